--- a/core/src/serving/quarantine/mark.rs
+++ b/core/src/serving/quarantine/mark.rs
@@ -31,10 +31,10 @@
     /// ```
     /// use redwingfold_core::Mark;
     /// let marks = [Mark::End("e1".into()), Mark::Trial(2)];
-    /// assert!(marks.iter().all(|mark| Mark::read(&mark.to_string()).as_ref() == Some(mark)));
-    /// assert_eq!(Mark::read("trial/x"), None);
+    /// assert!(marks.iter().all(|mark| Mark::parse(&mark.to_string()).as_ref() == Some(mark)));
+    /// assert_eq!(Mark::parse("trial/x"), None);
     /// ```
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         match text.split_once('/')? {
             ("end", server) if !server.is_empty() => Some(Self::End(server.into())),
             ("trial", number) => number.parse().ok().map(Self::Trial),
--- a/core/src/serving/quarantine/suspect.rs
+++ b/core/src/serving/quarantine/suspect.rs
@@ -11,9 +11,9 @@
 pub(super) struct Suspect {
     marks: Vec<Mark>,
     /// When it was last tried, or a trial was asked for.
-    pub(super) tried_at: Option<Millis>,
+    pub(super) last_trial_at: Option<Millis>,
     /// When it is forgotten.
-    pub(super) until: Millis,
+    pub(super) expires_at: Millis,
 }
 
 impl Suspect {
@@ -23,9 +23,9 @@
         if self.marks.contains(mark) || (is_end && self.ends() >= MAX_ENDS) {
             return false;
         }
-        self.until = self.until.max(until);
+        self.expires_at = self.expires_at.max(until);
         if !is_end {
-            self.tried_at = self.tried_at.max(Some(at));
+            self.last_trial_at = self.last_trial_at.max(Some(at));
         }
         self.marks.push(mark.clone());
         true
@@ -45,7 +45,7 @@
     }
 
     /// Returns the number of the last trial.
-    pub(super) fn trials(&self) -> u8 {
+    pub(super) fn last_trial(&self) -> u8 {
         let number = |mark: &Mark| match mark {
             Mark::Trial(number) => *number,
             Mark::End(_) => 0,
@@ -53,21 +53,27 @@
         self.marks.iter().map(number).max().unwrap_or(0)
     }
 
-    fn most_trials(&self, policy: &QuarantinePolicy) -> u8 {
-        if self.ends() > policy.ends { policy.trials_of_more } else { policy.trials }
+    fn max_trials(&self, policy: &QuarantinePolicy) -> u8 {
+        if self.ends() > policy.min_ends {
+            policy.max_trials_after_more_ends
+        } else {
+            policy.max_trials
+        }
     }
 
     /// Says what may be done with it once enough servers have ended.
     pub(super) fn admission(&self, policy: &QuarantinePolicy, now: Millis) -> Admission {
-        let trials = self.trials();
-        let since = self.tried_at.map(|at| now.since(at));
+        let trials = self.last_trial();
+        let since = self.last_trial_at.map(|at| now.since(at));
         match since {
-            Some(since) if since < policy.trial_lasts => {
-                Admission::Refused(policy.trial_lasts.since(since))
+            Some(since) if since < policy.trial_timeout => {
+                Admission::Refused(policy.trial_timeout.since(since))
+            }
+            _ if trials >= self.max_trials(policy) => {
+                Admission::Refused(self.expires_at.since(now))
             }
-            _ if trials >= self.most_trials(policy) => Admission::Refused(self.until.since(now)),
-            Some(since) if trials > 0 && since < policy.rest => {
-                Admission::Refused(policy.rest.since(since))
+            Some(since) if trials > 0 && since < policy.trial_interval => {
+                Admission::Refused(policy.trial_interval.since(since))
             }
             _ => Admission::Trial(trials + 1),
         }
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -158,16 +158,16 @@
     let mut written = std::collections::HashSet::new();
     for n in 0..10_000 {
         let run = EndedRun { request: Fingerprint(n), sent_at: Millis(n * 100) };
-        quarantine.ended(&BackendId::from(n.to_string().as_str()), run, Millis(n * 100));
-        quarantine.gave_up(run.request, Millis(n * 100));
-        let due = quarantine.due(Millis(n * 100), usize::MAX);
+        quarantine.record_end(&BackendId::from(n.to_string().as_str()), run, Millis(n * 100));
+        quarantine.expedite_marks(run.request, Millis(n * 100));
+        let due = quarantine.due_changes(Millis(n * 100), usize::MAX);
         for MarkChange { request, mark, age } in &due {
             match age {
                 Some(_) => written.insert((*request, mark.clone())),
                 None => written.remove(&(*request, mark.clone())),
             };
         }
-        quarantine.written(&due);
+        quarantine.confirm_written(&due);
         assert!(quarantine.counts(Millis(n * 100)).0 <= max_suspects);
         assert!(written.len() <= max_suspects + 1, "{}", written.len());
     }
@@ -182,21 +182,24 @@
     let request = Fingerprint(7);
     let mark = |mark| MarkChange { request, mark, age: Some(Millis(0)) };
     let ends = ["a", "b", "c"].map(|server| mark(Mark::End(server.into())));
-    quarantine.hear(&ends, Millis(0));
+    quarantine.apply_changes(&ends, Millis(0));
     assert_eq!(quarantine.admission(request, Millis(0)), Admission::Trial(1));
-    quarantine.hear(&[mark(Mark::Trial(1))], Millis(100));
-    assert_eq!(quarantine.admission(request, Millis(100)), Admission::Refused(policy.trial_lasts));
-    let left = policy.rest.since(Millis(3_000));
+    quarantine.apply_changes(&[mark(Mark::Trial(1))], Millis(100));
+    assert_eq!(
+        quarantine.admission(request, Millis(100)),
+        Admission::Refused(policy.trial_timeout)
+    );
+    let left = policy.trial_interval.since(Millis(3_000));
     assert_eq!(quarantine.admission(request, Millis(3_100)), Admission::Refused(left));
-    let later = policy.rest.after(Millis(100));
+    let later = policy.trial_interval.after(Millis(100));
     assert_eq!(quarantine.admission(request, later), Admission::Trial(2));
-    quarantine.hear(&[mark(Mark::Trial(2))], later);
-    let refused = quarantine.admission(request, later.after(policy.rest));
+    quarantine.apply_changes(&[mark(Mark::Trial(2))], later);
+    let refused = quarantine.admission(request, later.after(policy.trial_interval));
     assert!(
         matches!(refused, Admission::Refused(left) if left > Millis(80_000_000)),
         "{refused:?}"
     );
-    assert_eq!(quarantine.admission(request, policy.keep.after(later)), Admission::Free);
+    assert_eq!(quarantine.admission(request, policy.retention.after(later)), Admission::Allowed);
 }
 
 /// Two servers have ended under an innocent request, and its trials are lost one after the other, with gateways that are
@@ -208,15 +211,15 @@
     let mut quarantine = Quarantine::new(policy);
     let request = Fingerprint(7);
     let mark = |mark| MarkChange { request, mark, age: Some(Millis(0)) };
-    quarantine.hear(&["a", "b"].map(|server| mark(Mark::End(server.into()))), Millis(0));
+    quarantine.apply_changes(&["a", "b"].map(|server| mark(Mark::End(server.into()))), Millis(0));
     let mut now = Millis(0);
     for trial in 1..=4 {
         assert_eq!(quarantine.admission(request, now), Admission::Trial(trial));
-        quarantine.hear(&[mark(Mark::Trial(trial))], now);
-        now = now.after(policy.rest);
+        quarantine.apply_changes(&[mark(Mark::Trial(trial))], now);
+        now = now.after(policy.trial_interval);
         if trial == 3 {
             let mut third = quarantine.clone();
-            third.hear(&[mark(Mark::End("c".into()))], now);
+            third.apply_changes(&[mark(Mark::End("c".into()))], now);
             assert!(matches!(third.admission(request, now), Admission::Refused(_)));
         }
     }
@@ -230,17 +233,17 @@
     for is_answered in [true, false] {
         let mut quarantine = Quarantine::new(QuarantinePolicy::default());
         let run = |sent_at| EndedRun { request: Fingerprint(1), sent_at: Millis(sent_at) };
-        quarantine.ended(&BackendId::from("a"), run(0), Millis(100));
+        quarantine.record_end(&BackendId::from("a"), run(0), Millis(100));
         for now in (200..6_000).step_by(100) {
-            quarantine.runs_on(Fingerprint(1), Millis(now));
-            assert!(quarantine.due(Millis(now), 9).is_empty());
+            quarantine.postpone_marks(Fingerprint(1), Millis(now));
+            assert!(quarantine.due_changes(Millis(now), 9).is_empty());
         }
         if is_answered {
-            quarantine.completed(Fingerprint(1), Millis(6_000));
+            quarantine.record_answer(Fingerprint(1), Millis(6_000));
         } else {
-            quarantine.ended(&BackendId::from("b"), run(200), Millis(6_000));
+            quarantine.record_end(&BackendId::from("b"), run(200), Millis(6_000));
         }
-        let due = quarantine.due(Millis(20_000), 9).len();
+        let due = quarantine.due_changes(Millis(20_000), 9).len();
         assert_eq!(due, if is_answered { 0 } else { 2 });
     }
 }
--- a/core/tests/quarantine_fleet/mod.rs
+++ b/core/tests/quarantine_fleet/mod.rs
@@ -246,11 +246,11 @@
         let since = self.gateways[gateway].up_since;
         let flight = Flight { gateway, since, request, sends: 0, is_trial: false };
         match self.gateways[gateway].quarantine.admission(request, Millis(now)) {
-            Admission::Free => self.send(flight, now),
+            Admission::Allowed => self.send(flight, now),
             Admission::Refused(_) => self.refuse(request, now),
             Admission::Trial(number) => {
                 let gateway = &mut self.gateways[gateway];
-                gateway.quarantine.claims(request, Millis(now));
+                gateway.quarantine.record_claim(request, Millis(now));
                 gateway.claims.push((flight, number));
             }
         }
@@ -303,7 +303,7 @@
             done.into_iter().partition(|run| run.flight.request == DEADLY);
         for run in good {
             let gateway = &mut self.gateways[run.flight.gateway];
-            gateway.quarantine.completed(run.flight.request, Millis(now));
+            gateway.quarantine.record_answer(run.flight.request, Millis(now));
         }
         for run in deadly {
             let server = run.server;
@@ -344,16 +344,16 @@
             let request = run.flight.request;
             let gateway = &mut self.gateways[run.flight.gateway];
             let broken = EndedRun { request, sent_at: Millis(run.sent_at) };
-            gateway.quarantine.ended(&server, broken, Millis(now));
+            gateway.quarantine.record_end(&server, broken, Millis(now));
             let quarantine = &mut gateway.quarantine;
             let may = !run.flight.is_trial && run.flight.sends < MAX_SENDS;
             match quarantine.admission(request, Millis(now)) {
-                Admission::Free if may => self.send(run.flight, now),
+                Admission::Allowed if may => self.send(run.flight, now),
                 Admission::Trial(number) if may => {
-                    quarantine.claims(request, Millis(now));
+                    quarantine.record_claim(request, Millis(now));
                     self.gateways[run.flight.gateway].claims.push((run.flight, number));
                 }
-                _ => quarantine.gave_up(request, Millis(now)),
+                _ => quarantine.expedite_marks(request, Millis(now)),
             }
         }
     }
@@ -367,14 +367,14 @@
             let heard = gateway.view.hear(message, Millis(now), self.rng.u64(..));
             if let (FeedHeard::Applies, Some(from)) = (heard, from) {
                 gateway.past.add(from, told.next, told.changes.clone());
-                gateway.quarantine.hear(&told.changes, Millis(now));
+                gateway.quarantine.apply_changes(&told.changes, Millis(now));
             }
         }
     }
 
     fn call_store(&mut self, g: usize, now: u64) {
         let gateway = &self.gateways[g];
-        let is_write_due = gateway.quarantine.due_at().is_some_and(|at| at.0 <= now);
+        let is_write_due = gateway.quarantine.next_due_at().is_some_and(|at| at.0 <= now);
         let is_due = gateway.view.is_due(Millis(now)) || is_write_due;
         let is_urgent = gateway.quarantine.is_urgent() || !gateway.claims.is_empty();
         let is_rested = gateway.rests_until <= now || is_urgent;
@@ -390,7 +390,7 @@
         }
         for (mut flight, number) in claims {
             self.read(g, now);
-            if self.gateways[g].quarantine.trials(flight.request) >= number {
+            if self.gateways[g].quarantine.last_trial(flight.request) >= number {
                 self.refuse(flight.request, now);
                 continue;
             }
@@ -399,9 +399,9 @@
             flight.is_trial = true;
             self.send(flight, now);
         }
-        let due = self.gateways[g].quarantine.due(Millis(now), 500);
+        let due = self.gateways[g].quarantine.due_changes(Millis(now), 500);
         due.iter().for_each(|change| self.append(change.clone(), now));
-        self.gateways[g].quarantine.written(&due);
+        self.gateways[g].quarantine.confirm_written(&due);
         let is_due = self.gateways[g].view.is_due(Millis(now));
         if is_due || is_urgent {
             self.played.calls += usize::from(!due.is_empty());
@@ -429,9 +429,9 @@
         let is_older = gateway.view.reached().is_some_and(|was| was >> OFFSET_BITS < self.era);
         if known.is_none() && is_older {
             let (fleet, draw) = (gateway.view.fleet(), self.rng.u64(..));
-            gateway.quarantine.hear_older_copy(&changes, fleet, Millis(now), draw);
+            gateway.quarantine.apply_restored_snapshot(&changes, fleet, Millis(now), draw);
         } else {
-            gateway.quarantine.hear(&changes, Millis(now));
+            gateway.quarantine.apply_changes(&changes, Millis(now));
         }
         gateway.view.read(Millis(now), end, self.rng.u64(..));
         gateway.past.add(
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -138,9 +138,9 @@
         let feeds = Feeds::new(settings.feeds);
         let connect_times = ConnectTimes::new(settings.connect_timeout);
         // Servers end before many gateways at once; marks that all of them wrote at the same moment would hold each other up.
-        let hold = settings.quarantine.hold;
-        let hold = hold.after(Millis(fastrand::u64(0..=hold.0 / 2)));
-        let quarantine = Quarantine::new(QuarantinePolicy { hold, ..settings.quarantine });
+        let write_delay = settings.quarantine.write_delay;
+        let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
+        let quarantine = Quarantine::new(QuarantinePolicy { write_delay, ..settings.quarantine });
         Self {
             settings,
             dialect,
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -78,7 +78,7 @@
     /// Says whether the marks of requests should be read, or some written.
     pub fn has_marks_to_do(&self) -> bool {
         let now = self.now();
-        let is_write_due = self.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now);
+        let is_write_due = self.with_quarantine(|q| q.next_due_at()).is_some_and(|at| at <= now);
         let is_read_due = self.with_feeds(|feeds| feeds.is_due(Feed::Marks, now));
         is_write_due || is_read_due || !self.claims.borrow().is_empty()
     }
@@ -115,9 +115,11 @@
         let now = self.now();
         let fleet = self.with_feeds(|feeds| feeds.fleet());
         let kept = self.with_quarantine(|q| match all_of {
-            None => q.hear(&marks, now),
-            Some(StoreCopy::Present) => q.hear_all(&marks, now),
-            Some(StoreCopy::Older) => q.hear_older_copy(&marks, fleet, now, fastrand::u64(..)),
+            None => q.apply_changes(&marks, now),
+            Some(StoreCopy::Present) => q.apply_snapshot(&marks, now),
+            Some(StoreCopy::Older) => {
+                q.apply_restored_snapshot(&marks, fleet, now, fastrand::u64(..))
+            }
         });
         self.log_kept(&kept, None);
         let told = if all_of.is_some() { Vec::new() } else { marks };
@@ -128,7 +130,7 @@
 
     /// Takes marks of which another gateway told.
     pub(crate) fn hear_marks(&self, from: SocketAddr, marks: &[MarkChange]) {
-        let kept = self.with_quarantine(|q| q.hear(marks, self.now()));
+        let kept = self.with_quarantine(|q| q.apply_changes(marks, self.now()));
         self.log_kept(&kept, Some(from));
         if self.with_quarantine(|q| q.is_urgent()) {
             self.marks_moved.notify(usize::MAX);
@@ -138,14 +140,14 @@
     /// Takes that a server has ended while it ran requests.
     pub(crate) fn ended_under(&self, server: &BackendId, runs: &[EndedRun]) {
         for run in runs {
-            let ends = self.with_quarantine(|q| q.ended(server, *run, self.now()));
+            let ends = self.with_quarantine(|q| q.record_end(server, *run, self.now()));
             let counted = ends.map_or_else(|| "no".to_owned(), |ends| ends.to_string());
             self.telemetry.count("servers.ended_under", 1);
             self.telemetry.info(
                 "server_ended",
                 &[("server", server), ("content", &run.request), ("ends", &counted)],
             );
-            if ends == Some(self.settings.quarantine.ends) {
+            if ends == Some(self.settings.quarantine.min_ends) {
                 self.log_kept(&[run.request], None);
             }
         }
@@ -154,7 +156,7 @@
 
     /// Takes that a server has answered a request to its end.
     pub(crate) fn completed(&self, request: Fingerprint) {
-        if self.with_quarantine(|q| q.completed(request, self.now())) {
+        if self.with_quarantine(|q| q.record_answer(request, self.now())) {
             self.telemetry.count("quarantine.lifted", 1);
             self.telemetry.info("request_cleared", &[("content", &request)]);
             self.marks_moved.notify(usize::MAX);
@@ -176,7 +178,7 @@
             return false;
         }
         let (granted, answer): (_, Receiver<bool>) = bounded(1);
-        self.with_quarantine(|q| q.claims(request, self.now()));
+        self.with_quarantine(|q| q.record_claim(request, self.now()));
         self.claims.borrow_mut().push_back(Claim { request, trial, granted });
         self.marks_moved.notify(usize::MAX);
         let is_granted =
@@ -195,7 +197,7 @@
     pub(crate) async fn pass_quarantine(&mut self) -> Result<(), Failed> {
         match (self.trial, self.admission()) {
             (Some(trial), _) if trial.is_over => Err(self.quarantined(SOON)),
-            (Some(_), _) | (None, Admission::Free) => Ok(()),
+            (Some(_), _) | (None, Admission::Allowed) => Ok(()),
             (None, Admission::Refused(left)) => Err(self.quarantined(left)),
             (None, Admission::Trial(number)) => {
                 // One that finds no server would be used up for nothing.
@@ -221,7 +223,7 @@
 
     /// Says whether the request is kept from servers, or is a trial.
     pub(crate) fn is_quarantined(&self) -> bool {
-        self.trial.is_some() || self.admission() != Admission::Free
+        self.trial.is_some() || self.admission() != Admission::Allowed
     }
 
     fn admission(&self) -> Admission {
@@ -238,10 +240,10 @@
     pub(crate) fn leave_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
-            Some(trial) if trial.sends == 0 => q.unused(self.fingerprint, trial.number, now),
-            _ => q.gave_up(self.fingerprint, now),
+            Some(trial) if trial.sends == 0 => q.return_trial(self.fingerprint, trial.number, now),
+            _ => q.expedite_marks(self.fingerprint, now),
         });
-        if self.gw.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now) {
+        if self.gw.with_quarantine(|q| q.next_due_at()).is_some_and(|at| at <= now) {
             self.gw.marks_moved.notify(usize::MAX);
         }
     }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -146,7 +146,7 @@
     fn runs_on(&self, begun: &Begun) {
         let (flight, now) = (&self.flight, self.flight.gw.now());
         if now.since(begun.sent_at.after(begun.first_byte)) >= RUNS_ON {
-            flight.gw.with_quarantine(|q| q.runs_on(flight.fingerprint, now));
+            flight.gw.with_quarantine(|q| q.postpone_marks(flight.fingerprint, now));
         }
     }
 
