--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -50,18 +50,18 @@
 pub use rollout::{SequentialTest, Tally, TestVerdict};
 pub use route::{Denied, Plan, choose_version, plan, session_share};
 pub use serving::{
-    Admission, Affinity, AnswerSums, Arm, ArmChoice, BackendId, BackendServer, Broke, CallLimits,
-    Canary, CanaryPolicy, Catalog, ColdLimit, ColdPolicy, ConnectTimes, Counts, Customer, EndedRun,
-    EvacuationChange, Evacuations, EventId, EventSplitter, ExposureBudget, Fault, FeedHeard,
-    FeedPast, FeedTold, FeedView, Fingerprint, HealthPolicy, Homes, Larger, Leads, LeavingServers,
-    LimitChange, LimitPolicy, Mark, MarkChange, Members, MovedSessions, OrderAge, Owed,
-    PassedServers, Patience, PeerLoad, PeerLoads, Phase, Place, PlacementPolicy, PresentTime,
+    Admission, Affinity, AnswerSums, Arm, ArmChoice, Awaited, BackendId, BackendServer,
+    BaselineLatency, BrokenRun, CallLimits, Canary, CanaryPolicy, Catalog, ColdLimit, ColdPolicy,
+    ConfidenceGains, ConnectTimes, Counts, CurrentSlowdown, Customer, EndedRun, EvacuationChange,
+    Evacuations, EventId, EventSplitter, ExposureBudget, Fault, FeedHeard, FeedPast, FeedPositions,
+    FeedTold, FeedView, Fingerprint, HealthPolicy, Homes, IdleTimeout, InterruptedRuns,
+    LargerModel, LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members,
+    MovedSessions, OrderAge, PeerLoad, PeerLoads, PeerServerList, Phase, Place, PlacementPolicy,
     Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Regions, Registry,
-    RegistryPolicy, Repeat, RepeatBudget, RepeatUse, RetryAfterTimes, Rises, RolloutOrder, Route,
-    RouteEvidence, RouteName, SendTurns, Sent, ServerEnds, ServerHealth, ServerLimits,
+    RegistryPolicy, Repeat, RepeatBudget, RepeatUse, RetryAfterTimes, RolloutOrder,
+    RolloutStatuses, Route, RouteEvidence, RouteName, SendTurns, Sent, ServerHealth, ServerLimits,
     ServerReport, ServerState, Service, ServiceName, SessionKey, Shared, SilencePolicy,
-    SilenceWatch, SizePolicy, StatusBook, StreamRules, StreamTimes, Times, Unreached,
-    UrgencyPolicy, UsualTime, WholeEvents, Work, is_in_first_half, is_newest_shorter, lead_servers,
-    place,
+    SilenceWatch, SizePolicy, StreamRules, StreamTimes, Times, UnreachableServers, UrgencyPolicy,
+    WholeEvents, Work, is_in_first_half, is_newest_shorter, lead_servers, place,
 };
 pub use subset::{Member, PooledSide, is_log_reader, pin_holders, rank, sides_of_entry};
--- a/core/src/serving/load.rs
+++ b/core/src/serving/load.rs
@@ -30,11 +30,11 @@
     /// ```
     /// use redwingfold_core::{Millis, ReadRates};
     /// let mut rates = ReadRates::default();
-    /// (0..200).for_each(|_| rates.learn(&"slips".into(), 0, 4_000, Millis(200)));
+    /// (0..200).for_each(|_| rates.record(&"slips".into(), 0, 4_000, Millis(200)));
     /// let ms = rates.estimate(&"slips".into(), 0, 2_000);
     /// assert!((80..=120).contains(&ms.0));
     /// ```
-    pub fn learn(&mut self, service: &ServiceName, size: usize, tokens: u64, took: Millis) {
+    pub fn record(&mut self, service: &ServiceName, size: usize, tokens: u64, took: Millis) {
         if tokens < MIN_TOKENS {
             return;
         }
@@ -85,31 +85,31 @@
     /// ```
     /// use redwingfold_core::{Millis, PeerLoads};
     /// let mut peers = PeerLoads::default();
-    /// peers.sent(7, Millis(300), Millis(0));
-    /// peers.sent(7, Millis(300), Millis(100));
+    /// peers.record_sent(7, Millis(300), Millis(0));
+    /// peers.record_sent(7, Millis(300), Millis(100));
     /// assert_eq!(peers.backlog(7, Millis(200)), Millis(400));
     /// assert_eq!(peers.backlog(7, Millis(900)), Millis(0));
     /// ```
-    pub fn sent(&mut self, server: u32, takes: Millis, now: Millis) {
+    pub fn record_sent(&mut self, server: u32, takes: Millis, now: Millis) {
         self.make_room();
         let load = self.0.entry(server).or_default();
-        load.backlog = load.left(now).after(takes);
+        load.backlog = load.backlog_at(now).after(takes);
         load.as_of = now;
     }
 
     /// Takes a report that another gateway got.
-    pub fn reported(&mut self, server: u32, report: ServerReport, now: Millis) {
+    pub fn record_report(&mut self, server: u32, report: ServerReport, now: Millis) {
         self.make_room();
         self.0.entry(server).or_default().report = Some((report, now));
     }
 
     /// Returns the time that a server will still take for the prompts of others.
     pub fn backlog(&self, server: u32, now: Millis) -> Millis {
-        self.0.get(&server).map_or(Millis(0), |load| load.left(now))
+        self.0.get(&server).map_or(Millis(0), |load| load.backlog_at(now))
     }
 
     /// Returns what is known of a server.
-    pub fn at(&self, server: u32) -> PeerLoad {
+    pub fn get(&self, server: u32) -> PeerLoad {
         self.0.get(&server).copied().unwrap_or_default()
     }
 
@@ -118,7 +118,7 @@
     /// ```
     /// use redwingfold_core::{Millis, PeerLoads};
     /// let mut peers = PeerLoads::default();
-    /// peers.sent(7, Millis(300), Millis(0));
+    /// peers.record_sent(7, Millis(300), Millis(0));
     /// peers.forget(7);
     /// assert_eq!(peers.backlog(7, Millis(0)), Millis(0));
     /// ```
@@ -135,7 +135,7 @@
 }
 
 impl PeerLoad {
-    fn left(&self, now: Millis) -> Millis {
+    fn backlog_at(&self, now: Millis) -> Millis {
         self.backlog.since(now.since(self.as_of))
     }
 }
--- a/core/src/serving/members.rs
+++ b/core/src/serving/members.rs
@@ -6,14 +6,14 @@
 use crate::ids::Millis;
 
 /// Silence after which a gateway gets no more messages.
-const GONE: Millis = Millis(20_000);
+const LIVENESS_TIMEOUT: Millis = Millis(20_000);
 
 /// Gateways that are told of others that were learned, and that answer a newcomer. Each tells on what is new to it,
 /// so that all have it after three rounds; with eight each, one in three thousand is left out.
-const TOLD: usize = 8;
+const GOSSIP_FANOUT: usize = 8;
 
 /// Gateways of which a fleet is taken to have at least so many: who knows only a few as yet would tell each newcomer.
-const LARGE: usize = 64;
+const MIN_ASSUMED_FLEET: usize = 64;
 
 /// The other gateways, by their addresses.
 ///
@@ -27,7 +27,7 @@
     own: A,
     known: HashMap<A, Member>,
     /// Whether some were learned that others may not know.
-    is_news: bool,
+    is_changed: bool,
     /// Some that this one should tell of the others.
     newcomers: Vec<A>,
 }
@@ -35,11 +35,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Member {
     /// When it was last heard, or named first.
-    at: Millis,
+    last_seen_at: Millis,
     /// Since when it is known.
-    since: Millis,
+    known_since: Millis,
     /// Whether it was ever heard itself.
-    is_heard: bool,
+    has_sent: bool,
 }
 
 impl<A: Copy + Eq + Hash> Members<A> {
@@ -48,12 +48,12 @@
     /// ```
     /// use redwingfold_core::{Members, Millis};
     /// let mut members = Members::new('a');
-    /// assert!(members.learn(&['a', 'b'], Millis(0)) && members.take_news());
-    /// members.heard('c', Millis(5), 0);
+    /// assert!(members.add(&['a', 'b'], Millis(0)) && members.take_changed());
+    /// members.record_message('c', Millis(5), 0);
     /// assert_eq!((members.len(), members.take_newcomers()), (2, vec!['c']));
     /// ```
     pub fn new(own: A) -> Self {
-        Self { own, known: HashMap::new(), is_news: false, newcomers: Vec::new() }
+        Self { own, known: HashMap::new(), is_changed: false, newcomers: Vec::new() }
     }
 
     /// Returns the address of this gateway.
@@ -62,29 +62,34 @@
     }
 
     /// Adds gateways that somebody named; `true` if one of them is new.
-    pub fn learn(&mut self, named: &[A], now: Millis) -> bool {
+    pub fn add(&mut self, named: &[A], now: Millis) -> bool {
         let before = self.known.len();
         for addr in named.iter().filter(|addr| **addr != self.own) {
-            self.known.entry(*addr).or_insert(Member { at: now, since: now, is_heard: false });
+            self.known.entry(*addr).or_insert(Member {
+                last_seen_at: now,
+                known_since: now,
+                has_sent: false,
+            });
         }
-        let is_news = self.known.len() > before;
-        self.is_news |= is_news;
-        is_news
+        let has_added = self.known.len() > before;
+        self.is_changed |= has_added;
+        has_added
     }
 
     /// Notes that a gateway was heard; `draw` is a random number.
-    pub fn heard(&mut self, from: A, now: Millis, draw: u64) {
-        let since = self.known.get(&from).map_or(now, |member| member.since);
-        let before = self.known.insert(from, Member { at: now, since, is_heard: true });
-        let is_newcomer = !before.is_some_and(|member| member.is_heard);
-        if is_newcomer && draw % (self.len().max(LARGE) as u64) < TOLD as u64 {
+    pub fn record_message(&mut self, from: A, now: Millis, draw: u64) {
+        let known_since = self.known.get(&from).map_or(now, |member| member.known_since);
+        let before =
+            self.known.insert(from, Member { last_seen_at: now, known_since, has_sent: true });
+        let is_newcomer = !before.is_some_and(|member| member.has_sent);
+        if is_newcomer && draw % (self.len().max(MIN_ASSUMED_FLEET) as u64) < GOSSIP_FANOUT as u64 {
             self.newcomers.push(from);
         }
     }
 
     /// Says whether gateways were learned since this was last asked, so that a few should be told.
-    pub fn take_news(&mut self) -> bool {
-        std::mem::take(&mut self.is_news)
+    pub fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.is_changed)
     }
 
     /// Returns the newcomers that this gateway should tell of all others.
@@ -93,13 +98,13 @@
     }
 
     /// Returns those of some, in an order drawn anew, that are told of what was learned.
-    pub fn told(present: &[A]) -> &[A] {
-        &present[..present.len().min(TOLD)]
+    pub fn gossip_targets(present: &[A]) -> &[A] {
+        &present[..present.len().min(GOSSIP_FANOUT)]
     }
 
     /// Returns those that were heard of late.
-    pub fn present(&mut self, now: Millis) -> Vec<A> {
-        self.known.retain(|_, member| now.since(member.at) < GONE);
+    pub fn live(&mut self, now: Millis) -> Vec<A> {
+        self.known.retain(|_, member| now.since(member.last_seen_at) < LIVENESS_TIMEOUT);
         self.known.keys().copied().collect()
     }
 
@@ -108,13 +113,15 @@
     /// ```
     /// use redwingfold_core::{Members, Millis};
     /// let mut members = Members::new('a');
-    /// members.learn(&['b'], Millis(0));
-    /// members.learn(&['c'], Millis(9_000));
-    /// assert_eq!(members.known_for(Millis(5_000), Millis(10_000)), vec!['b']);
+    /// members.add(&['b'], Millis(0));
+    /// members.add(&['c'], Millis(9_000));
+    /// assert_eq!(members.live_for(Millis(5_000), Millis(10_000)), vec!['b']);
     /// ```
-    pub fn known_for(&self, time: Millis, now: Millis) -> Vec<A> {
-        let is_known =
-            |member: &Member| now.since(member.at) < GONE && now.since(member.since) >= time;
+    pub fn live_for(&self, time: Millis, now: Millis) -> Vec<A> {
+        let is_known = |member: &Member| {
+            now.since(member.last_seen_at) < LIVENESS_TIMEOUT
+                && now.since(member.known_since) >= time
+        };
         self.known.iter().filter(|(_, m)| is_known(m)).map(|(addr, _)| *addr).collect()
     }
 
--- a/core/src/serving/placement.rs
+++ b/core/src/serving/placement.rs
@@ -41,9 +41,9 @@
     /// A request that waits: all slots are taken.
     pub waiting_ms: f64,
     /// Reading a shared token again, beyond its time: it takes memory from other prompts.
-    pub again_ms: f64,
+    pub reread_ms_per_token: f64,
     /// Part of the shared prompt that the first servers in a prompt's ranking hold in their caches.
-    pub cached: [f64; 3],
+    pub cached_share: [f64; 3],
 }
 
 impl Default for PlacementPolicy {
@@ -51,7 +51,12 @@
     /// steps, of which a new one feels a few before its first token. The second in rank gets a prompt only while the
     /// first is loaded, and has it in its cache less often.
     fn default() -> Self {
-        Self { running_ms: 4.0, waiting_ms: 60.0, again_ms: 0.015, cached: [1.0, 0.6, 0.2] }
+        Self {
+            running_ms: 4.0,
+            waiting_ms: 60.0,
+            reread_ms_per_token: 0.015,
+            cached_share: [1.0, 0.6, 0.2],
+        }
     }
 }
 
@@ -95,8 +100,8 @@
     let mut costs: Vec<f64> = pool.iter().map(|p| p.cost(policy)).collect();
     if let Some(prompt) = work.shared_prompt {
         let ranked = ranked(&pool, prompt);
-        let saved = work.shared.0 as f64 + work.shared_tokens as f64 * policy.again_ms;
-        for (&i, part) in ranked.iter().zip(policy.cached) {
+        let saved = work.shared.0 as f64 + work.shared_tokens as f64 * policy.reread_ms_per_token;
+        for (&i, part) in ranked.iter().zip(policy.cached_share) {
             costs[i] -= part * saved;
         }
     }
--- a/core/src/serving/quarantine/answered.rs
+++ b/core/src/serving/quarantine/answered.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::Millis;
 use crate::serving::fingerprint::Fingerprint;
-use crate::serving::server_ends::EndedRun;
+use crate::serving::interrupted_runs::EndedRun;
 
 /// Places of the table; a newer request takes the entry of an older one that has the same.
 const TABLE_SIZE: u64 = 2_048;
--- a/core/src/serving/quarantine/mod.rs
+++ b/core/src/serving/quarantine/mod.rs
@@ -12,7 +12,7 @@
 use super::catalog::BackendId;
 use super::feed::wait;
 use super::fingerprint::Fingerprint;
-use super::server_ends::EndedRun;
+use super::interrupted_runs::EndedRun;
 use crate::ids::Millis;
 use answered::AnsweredRequests;
 use pending_changes::PendingChanges;
--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -55,22 +55,22 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PutOutcome {
     /// Nothing: it is of an earlier start than the one that is known, and came late.
-    Late,
+    Stale,
     /// The server was not known, or has changed.
-    Taken,
+    Applied,
     /// The server has started again: what was believed of it is void.
     Restarted,
 }
 
 /// A list of backend servers that another gateway passes on.
 #[derive(Clone, Debug, Default)]
-pub struct PassedServers {
+pub struct PeerServerList {
     /// The servers that it believes in.
     pub servers: Vec<BackendServer>,
     /// Those among them that it will take as gone after a time.
-    pub lapsing: Vec<(BackendId, Millis)>,
+    pub expiring: Vec<(BackendId, Millis)>,
     /// Time for which its whole lists may yet be of an older copy of the store.
-    pub copies_left: Millis,
+    pub stale_for: Millis,
 }
 
 /// How removals are taken while the store is in trouble.
@@ -93,22 +93,22 @@
     policy: RegistryPolicy,
     servers: HashMap<BackendId, Entry>,
     /// Until when a missing entry may be one that lapsed while the store was away.
-    trusted_from: Millis,
+    removals_trusted_from: Millis,
     /// Until when a whole list may be of an older copy of the store.
-    copies_until: Millis,
+    stale_until: Millis,
     /// When the first whole list was taken.
     first_list_at: Option<Millis>,
     /// When the last server that is known to be cold is warm.
-    all_warm_at: Millis,
+    last_cold_until: Millis,
     /// Servers that were removed, and when.
-    departed: HashMap<BackendId, Millis>,
+    removed: HashMap<BackendId, Millis>,
 }
 
 /// Time for which a removed server is remembered: copies from which the store comes back are some seconds old.
-const DEPARTED_KEPT: Millis = Millis(60_000);
+const REMOVED_RETENTION: Millis = Millis(60_000);
 
 /// Time for which an older copy may be passed on: all servers that live have written again by then.
-const COPIES_PASSED_ON: Millis = Millis(10_000);
+const RESTORED_LIST_LIFETIME: Millis = Millis(10_000);
 
 /// Time by which heartbeats of a cold server differ on when it is warm, as they are read sooner or later.
 const COLD_TOLERANCE: Millis = Millis(500);
@@ -119,7 +119,7 @@
     server: BackendServer,
     cold_until: Millis,
     /// When it is to be taken as gone, if its record is missing.
-    gone_at: Option<Millis>,
+    expires_at: Option<Millis>,
 }
 
 impl Registry {
@@ -129,8 +129,8 @@
     }
 
     /// Notes that the store was in trouble up to now: records of live servers may lapse.
-    pub fn store_was_away(&mut self, now: Millis) {
-        self.trusted_from = now.after(self.policy.return_grace);
+    pub fn record_outage(&mut self, now: Millis) {
+        self.removals_trusted_from = now.after(self.policy.return_grace);
     }
 
     /// Takes a server's record. A server that was seen draining stays so until it starts again.
@@ -138,13 +138,13 @@
         let before = self.servers.get(&server.id);
         let known = before.map(|entry| &entry.server);
         let outcome = match known {
-            Some(known) if known.is_restart_of(&server) => return PutOutcome::Late,
+            Some(known) if known.is_restart_of(&server) => return PutOutcome::Stale,
             Some(known) if server.is_restart_of(known) => PutOutcome::Restarted,
-            _ => PutOutcome::Taken,
+            _ => PutOutcome::Applied,
         };
         let was_draining = known.is_some_and(|known| known.state == ServerState::Draining);
         let state = match outcome {
-            PutOutcome::Taken if was_draining => ServerState::Draining,
+            PutOutcome::Applied if was_draining => ServerState::Draining,
             _ => server.state,
         };
         // A record that was written before the server said otherwise may come after.
@@ -153,10 +153,10 @@
             Millis(0) => was_cold_until,
             left => was_cold_until.max(now.after(left)),
         };
-        self.all_warm_at = self.all_warm_at.max(cold_until);
+        self.last_cold_until = self.last_cold_until.max(cold_until);
         let server = BackendServer { state, cold_left: Millis(0), ..server };
-        self.departed.remove(&server.id);
-        self.servers.insert(server.id.clone(), Entry { server, cold_until, gone_at: None });
+        self.removed.remove(&server.id);
+        self.servers.insert(server.id.clone(), Entry { server, cold_until, expires_at: None });
         outcome
     }
 
@@ -165,30 +165,30 @@
     /// A removal soon after an outage of the store may only mean that the server could not renew
     /// its record: the server stays for the grace, and goes if no record has come by then.
     pub fn remove(&mut self, id: &BackendId, now: Millis) {
-        if now >= self.trusted_from {
-            self.depart(id, now);
+        if now >= self.removals_trusted_from {
+            self.remove_now(id, now);
             return;
         }
         if let Some(entry) = self.servers.get_mut(id) {
-            entry.gone_at.get_or_insert(self.trusted_from);
+            entry.expires_at.get_or_insert(self.removals_trusted_from);
         }
     }
 
     /// Takes that a whole list lacks a server. While that may be an older copy's, only time shows whether the server lives.
-    fn miss(&mut self, id: &BackendId, now: Millis) {
-        let gone_at = now.after(self.policy.return_grace);
+    fn handle_unlisted(&mut self, id: &BackendId, now: Millis) {
+        let expires_at = now.after(self.policy.return_grace);
         match self.servers.get_mut(id) {
-            Some(entry) if now < self.copies_until => {
-                entry.gone_at.get_or_insert(gone_at);
+            Some(entry) if now < self.stale_until => {
+                entry.expires_at.get_or_insert(expires_at);
             }
             _ => self.remove(id, now),
         }
     }
 
-    fn depart(&mut self, id: &BackendId, now: Millis) {
-        self.departed.retain(|_, at| now.since(*at) < DEPARTED_KEPT);
+    fn remove_now(&mut self, id: &BackendId, now: Millis) {
+        self.removed.retain(|_, at| now.since(*at) < REMOVED_RETENTION);
         if self.servers.remove(id).is_some() {
-            self.departed.insert(id.clone(), now);
+            self.removed.insert(id.clone(), now);
         }
     }
 
@@ -197,11 +197,15 @@
     /// What it lacks may have registered since, and is given the time to do so again. What was removed here and is on it
     /// has left since the copy was made: one that said nothing of its end goes on for seconds, and got work again. It
     /// is taken back with its next heartbeat if it lives.
-    pub fn replace_by_copy(&mut self, servers: Vec<BackendServer>, now: Millis) -> Vec<BackendId> {
-        self.store_was_away(now);
-        self.copies_until = now.after(COPIES_PASSED_ON);
+    pub fn replace_by_restored(
+        &mut self,
+        servers: Vec<BackendServer>,
+        now: Millis,
+    ) -> Vec<BackendId> {
+        self.record_outage(now);
+        self.stale_until = now.after(RESTORED_LIST_LIFETIME);
         // What registered again after the copy before may be missing from this one, too.
-        self.servers.values_mut().for_each(|entry| entry.gone_at = None);
+        self.servers.values_mut().for_each(|entry| entry.expires_at = None);
         self.replace(servers, now)
     }
 
@@ -210,31 +214,31 @@
     /// If that list may be of an older copy, and this gateway has not heard of one yet, what the list lacks is given time to
     /// register again: otherwise servers that live are refused requests until their next heartbeats. A server that is about
     /// to be taken as gone there, and was seen to go here, does not come back for that time.
-    pub fn replace_by_passed(
+    pub fn replace_by_peer_list(
         &mut self,
-        list: PassedServers,
+        list: PeerServerList,
         as_of: Millis,
         now: Millis,
     ) -> Vec<BackendId> {
-        let PassedServers { mut servers, lapsing, copies_left } = list;
-        let is_lapsing = |server: &BackendServer| lapsing.iter().any(|(id, _)| *id == server.id);
-        servers.retain(|server| !(self.departed.contains_key(&server.id) && is_lapsing(server)));
-        let is_first_copy = copies_left > Millis(0) && now >= self.copies_until;
-        let restarted = match is_first_copy && self.first_list_at.is_some() {
-            true => self.replace_by_copy(servers, now),
+        let PeerServerList { mut servers, expiring, stale_for } = list;
+        let is_expiring = |server: &BackendServer| expiring.iter().any(|(id, _)| *id == server.id);
+        servers.retain(|server| !(self.removed.contains_key(&server.id) && is_expiring(server)));
+        let is_first_restored = stale_for > Millis(0) && now >= self.stale_until;
+        let restarted = match is_first_restored && self.first_list_at.is_some() {
+            true => self.replace_by_restored(servers, now),
             false => self.replace(servers, now),
         };
-        self.copies_until = self.copies_until.max(as_of.after(copies_left));
-        lapsing.iter().for_each(|(id, left)| self.lapse(id, as_of.after(*left)));
+        self.stale_until = self.stale_until.max(as_of.after(stale_for));
+        expiring.iter().for_each(|(id, left)| self.expire_by(id, as_of.after(*left)));
         restarted
     }
 
     /// Returns the time for which whole lists that are passed on from here may yet be of an older copy of the store.
     ///
     /// A gateway that has just started cannot tell whether its first list is of one.
-    pub fn copies_left(&self, now: Millis) -> Millis {
-        let since_start = self.first_list_at.map_or(now, |at| at.after(COPIES_PASSED_ON));
-        self.copies_until.max(since_start).since(now)
+    pub fn stale_for(&self, now: Millis) -> Millis {
+        let since_start = self.first_list_at.map_or(now, |at| at.after(RESTORED_LIST_LIFETIME));
+        self.stale_until.max(since_start).since(now)
     }
 
     /// Takes a whole list: servers that are not on it are removed. Returns those that have started
@@ -250,14 +254,14 @@
         self.first_list_at.get_or_insert(now);
         // A gateway that has just started knows only the copy, and passes it on.
         let has_left = |server: &BackendServer| {
-            let left_at = self.departed.get(&server.id);
-            now < self.copies_until && left_at.is_some_and(|at| now.since(*at) < DEPARTED_KEPT)
+            let left_at = self.removed.get(&server.id);
+            now < self.stale_until && left_at.is_some_and(|at| now.since(*at) < REMOVED_RETENTION)
         };
         let servers: Vec<_> = servers.into_iter().filter(|server| !has_left(server)).collect();
         let listed: HashSet<&BackendId> = servers.iter().map(|server| &server.id).collect();
         let gone: Vec<_> = self.servers.keys().filter(|id| !listed.contains(id)).cloned().collect();
         for id in gone {
-            self.miss(&id, now);
+            self.handle_unlisted(&id, now);
         }
         let mut restarted = Vec::new();
         for server in servers {
@@ -271,24 +275,26 @@
 
     /// Returns the servers whose records are gone and that may yet come back, with the time until they are taken as
     /// gone.
-    pub fn lapsing(&self, now: Millis) -> impl Iterator<Item = (&BackendId, Millis)> {
+    pub fn expiring(&self, now: Millis) -> impl Iterator<Item = (&BackendId, Millis)> {
         let left = move |at: Millis| (now < at).then(|| at.since(now));
-        self.servers.iter().filter_map(move |(id, entry)| Some((id, entry.gone_at.and_then(left)?)))
+        self.servers
+            .iter()
+            .filter_map(move |(id, entry)| Some((id, entry.expires_at.and_then(left)?)))
     }
 
     /// Takes from another list that a server's record is gone, and when it is to be taken as gone.
-    pub fn lapse(&mut self, id: &BackendId, gone_at: Millis) {
+    pub fn expire_by(&mut self, id: &BackendId, expires_at: Millis) {
         if let Some(entry) = self.servers.get_mut(id) {
-            entry.gone_at = Some(entry.gone_at.map_or(gone_at, |at| at.min(gone_at)));
+            entry.expires_at = Some(entry.expires_at.map_or(expires_at, |at| at.min(expires_at)));
         }
     }
 
     /// Forgets the servers whose grace has ended, and returns them.
     pub fn expire(&mut self, now: Millis) -> Vec<BackendId> {
-        let over = |entry: &Entry| entry.gone_at.is_some_and(|at| now >= at);
+        let over = |entry: &Entry| entry.expires_at.is_some_and(|at| now >= at);
         let gone: Vec<_> =
             self.servers.iter().filter(|(_, e)| over(e)).map(|(id, _)| id.clone()).collect();
-        gone.iter().for_each(|id| self.depart(id, now));
+        gone.iter().for_each(|id| self.remove_now(id, now));
         gone
     }
 
@@ -299,14 +305,14 @@
 
     /// Returns the servers that are believed to exist.
     pub fn servers(&self, now: Millis) -> impl Iterator<Item = &BackendServer> {
-        let alive = move |entry: &&Entry| entry.gone_at.is_none_or(|at| now < at);
+        let alive = move |entry: &&Entry| entry.expires_at.is_none_or(|at| now < at);
         self.servers.values().filter(alive).map(|entry| &entry.server)
     }
 
     /// Says whether a record brings nothing new. One of a server that is to be taken as gone does:
     /// the server lives.
     pub fn has(&self, server: &BackendServer, now: Millis) -> bool {
-        let Some(entry) = self.servers.get(&server.id).filter(|entry| entry.gone_at.is_none())
+        let Some(entry) = self.servers.get(&server.id).filter(|entry| entry.expires_at.is_none())
         else {
             return false;
         };
@@ -320,16 +326,16 @@
     }
 
     /// Takes from a server itself how much longer it is cold.
-    pub fn is_cold(&mut self, id: &BackendId, left: Millis, now: Millis) {
+    pub fn set_cold(&mut self, id: &BackendId, left: Millis, now: Millis) {
         if let Some(entry) = self.servers.get_mut(id) {
             entry.cold_until = entry.cold_until.max(now.after(left));
-            self.all_warm_at = self.all_warm_at.max(entry.cold_until);
+            self.last_cold_until = self.last_cold_until.max(entry.cold_until);
         }
     }
 
     /// Says whether any server may be cold.
     pub fn has_cold(&self, now: Millis) -> bool {
-        now < self.all_warm_at
+        now < self.last_cold_until
     }
 
     /// Returns how much longer a server is cold.
--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -6,21 +6,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SilencePolicy {
     /// Wait for the head of a stream, as a part of its aim, while there is no pressure.
-    pub head_part: f64,
+    pub head_aim_share: f64,
     /// What a pressure of one adds to that part: at such a pressure first bytes take the whole aim.
-    pub head_pressure: f64,
+    pub head_aim_share_per_pressure: f64,
     /// Wait for the head for each millisecond that the server is expected to need.
-    pub head_expected: u64,
+    pub head_expected_factor: u64,
     /// Wait for the next event, as a part of the longest pause that is still in time.
-    pub event_part: f64,
+    pub event_gap_share: f64,
     /// Shortest wait for an event.
     pub min_event: Millis,
     /// Pressure from which only the silence of a whole server counts.
-    pub full: f64,
+    pub max_pressure: f64,
     /// Shortest time that a model engine owes everyone something before its silence counts.
-    pub min_engine: Millis,
+    pub min_engine_silence: Millis,
     /// The same for a plain server.
-    pub min_plain: Millis,
+    pub min_plain_silence: Millis,
 }
 
 impl Default for SilencePolicy {
@@ -28,21 +28,21 @@
     /// events are shorter than 0.6 s (envol-routage, twelve days).
     fn default() -> Self {
         Self {
-            head_part: 0.5,
-            head_pressure: 2.0,
-            head_expected: 3,
-            event_part: 0.75,
+            head_aim_share: 0.5,
+            head_aim_share_per_pressure: 2.0,
+            head_expected_factor: 3,
+            event_gap_share: 0.75,
             min_event: Millis(750),
-            full: 0.30,
-            min_engine: Millis(2_000),
-            min_plain: Millis(500),
+            max_pressure: 0.30,
+            min_engine_silence: Millis(2_000),
+            min_plain_silence: Millis(500),
         }
     }
 }
 
 /// What a request waits for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Owed {
+pub enum Awaited {
     /// The head of a stream, which the server is expected to send after a time.
     Head(Millis),
     /// The next event of a stream in which a pause of this length is still in time.
@@ -64,48 +64,53 @@
     /// on the other two (five days with faults, two or three seeds each, without processor time).
     ///
     /// ```
-    /// use redwingfold_core::{Millis, Owed, SilencePolicy};
+    /// use redwingfold_core::{Millis, Awaited, SilencePolicy};
     /// let policy = SilencePolicy::default();
-    /// let wait = |owed, pressure| policy.wait(owed, Millis(2_000), pressure);
-    /// assert_eq!(wait(Owed::Head(Millis(100)), 0.0), Some(Millis(1_300)));
-    /// assert!(wait(Owed::Head(Millis(100)), 0.2) > wait(Owed::Head(Millis(100)), 0.1));
-    /// assert_eq!(wait(Owed::Head(Millis(100)), 0.5), None);
+    /// let wait = |awaited, pressure| policy.request_timeout(awaited, Millis(2_000), pressure);
+    /// assert_eq!(wait(Awaited::Head(Millis(100)), 0.0), Some(Millis(1_300)));
+    /// assert!(wait(Awaited::Head(Millis(100)), 0.2) > wait(Awaited::Head(Millis(100)), 0.1));
+    /// assert_eq!(wait(Awaited::Head(Millis(100)), 0.5), None);
     /// ```
-    pub fn wait(&self, owed: Owed, aim: Millis, pressure: f64) -> Option<Millis> {
+    pub fn request_timeout(&self, awaited: Awaited, aim: Millis, pressure: f64) -> Option<Millis> {
         let part = |whole: Millis, part: f64| Millis((whole.0 as f64 * part) as u64);
-        match owed {
-            Owed::Plain => Some(self.min_plain.max(Millis(aim.0 * 2))),
-            _ if pressure >= self.full => None,
-            Owed::Head(expected) => {
-                let base = part(aim, self.head_part + self.head_pressure * pressure);
-                Some(base.after(Millis(expected.0 * self.head_expected)))
+        match awaited {
+            Awaited::Plain => Some(self.min_plain_silence.max(Millis(aim.0 * 2))),
+            _ if pressure >= self.max_pressure => None,
+            Awaited::Head(expected) => {
+                let base =
+                    part(aim, self.head_aim_share + self.head_aim_share_per_pressure * pressure);
+                Some(base.after(Millis(expected.0 * self.head_expected_factor)))
             }
-            Owed::Event(gap) => Some(self.min_event.max(part(gap, self.event_part))),
+            Awaited::Event(gap) => Some(self.min_event.max(part(gap, self.event_gap_share))),
         }
     }
 
     /// Returns the silence towards everyone after which a server counts as hanging.
-    pub fn hang(&self, owed: Owed, aim: Millis) -> Millis {
-        let least = if owed == Owed::Plain { self.min_plain } else { self.min_engine };
-        least.max(Millis(aim.0 * 3 / 2))
+    pub fn hang_timeout(&self, awaited: Awaited, aim: Millis) -> Millis {
+        let min = if awaited == Awaited::Plain {
+            self.min_plain_silence
+        } else {
+            self.min_engine_silence
+        };
+        min.max(Millis(aim.0 * 3 / 2))
     }
 }
 
-/// How long a request has been owed bytes, as this process saw it.
+/// How long a request has been awaited bytes, as this process saw it.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceWatch {
-    looked_at: Millis,
+    polled_at: Millis,
     /// Longest time between two looks that counts.
     max_step: Millis,
-    own: Millis,
-    server: Millis,
+    request_silence: Millis,
+    server_silence: Millis,
 }
 
 impl SilenceWatch {
     /// Begins to watch; it is looked at each `every`.
     pub fn new(now: Millis, every: Millis) -> Self {
         let max_step = Millis(every.0 * 2);
-        Self { looked_at: now, max_step, own: Millis(0), server: Millis(0) }
+        Self { polled_at: now, max_step, request_silence: Millis(0), server_silence: Millis(0) }
     }
 
     /// Takes a look: `heard_at` is when the server last sent something to anyone.
@@ -117,25 +122,34 @@
     /// ```
     /// use redwingfold_core::{Millis, SilenceWatch};
     /// let mut watch = SilenceWatch::new(Millis(0), Millis(250));
-    /// watch.look(Millis(250), Millis(0));
-    /// watch.look(Millis(9_000), Millis(0));
-    /// assert_eq!(watch.own(), Millis(750));
+    /// watch.poll(Millis(250), Millis(0));
+    /// watch.poll(Millis(9_000), Millis(0));
+    /// assert_eq!(watch.waited(), Millis(750));
     /// ```
-    pub fn look(&mut self, now: Millis, heard_at: Millis) {
-        let step = now.since(self.looked_at).min(self.max_step);
-        self.own = self.own.after(step);
-        self.server = if heard_at > self.looked_at { Millis(0) } else { self.server.after(step) };
-        self.looked_at = now;
+    pub fn poll(&mut self, now: Millis, heard_at: Millis) {
+        let step = now.since(self.polled_at).min(self.max_step);
+        self.request_silence = self.request_silence.after(step);
+        self.server_silence =
+            if heard_at > self.polled_at { Millis(0) } else { self.server_silence.after(step) };
+        self.polled_at = now;
     }
 
     /// Returns how long the request has waited.
-    pub fn own(&self) -> Millis {
-        self.own
+    pub fn waited(&self) -> Millis {
+        self.request_silence
     }
 
     /// Says whether another server should be asked.
-    pub fn is_over(&self, policy: &SilencePolicy, owed: Owed, aim: Millis, pressure: f64) -> bool {
-        let is_lost = policy.wait(owed, aim, pressure).is_some_and(|wait| self.own >= wait);
-        is_lost || self.server >= policy.hang(owed, aim)
+    pub fn is_over(
+        &self,
+        policy: &SilencePolicy,
+        awaited: Awaited,
+        aim: Millis,
+        pressure: f64,
+    ) -> bool {
+        let is_request_silent = policy
+            .request_timeout(awaited, aim, pressure)
+            .is_some_and(|wait| self.request_silence >= wait);
+        is_request_silent || self.server_silence >= policy.hang_timeout(awaited, aim)
     }
 }
--- a/core/src/serving/sizes.rs
+++ b/core/src/serving/sizes.rs
@@ -12,9 +12,9 @@
     /// there is no pressure.
     pub min_confidence: f64,
     /// Pressure up to which that bar stays.
-    pub calm: f64,
+    pub low_pressure: f64,
     /// Pressure from which no larger model is asked.
-    pub full: f64,
+    pub high_pressure: f64,
     /// Confidence below which a larger model's answer is better even if it is late.
     pub late_confidence: f64,
 }
@@ -25,7 +25,12 @@
     /// each); on quiet ones 60 is ahead of 52 by 0.005. An engine without a queue begins to answer a
     /// small model's request in a tenth of the aim.
     fn default() -> Self {
-        Self { min_confidence: 52.0, calm: 0.07, full: 0.30, late_confidence: 30.0 }
+        Self {
+            min_confidence: 52.0,
+            low_pressure: 0.07,
+            high_pressure: 0.30,
+            late_confidence: 30.0,
+        }
     }
 }
 
@@ -35,10 +40,10 @@
 pub struct Pressure(f64);
 
 /// Weight of the newest try: about the last dozen count, a second or less at common rates.
-const NEWEST: f64 = 0.08;
+const NEWEST_WEIGHT: f64 = 0.08;
 
 /// Largest part that one try counts with: one lost in a dead server says nothing of the others.
-const MAX_PART: f64 = 1.5;
+const MAX_RATIO: f64 = 1.5;
 
 impl Pressure {
     /// Takes the time from a first try's send to its first byte.
@@ -46,12 +51,12 @@
     /// ```
     /// use redwingfold_core::{Millis, Pressure};
     /// let mut pressure = Pressure::default();
-    /// (0..100).for_each(|_| pressure.tried(Millis(500), Millis(1_000)));
+    /// (0..100).for_each(|_| pressure.record(Millis(500), Millis(1_000)));
     /// assert!((pressure.value() - 0.5).abs() < 0.01);
     /// ```
-    pub fn tried(&mut self, took: Millis, aim: Millis) {
-        let part = (took.0 as f64 / aim.0.max(1) as f64).min(MAX_PART);
-        self.0 += (part - self.0) * NEWEST;
+    pub fn record(&mut self, took: Millis, aim: Millis) {
+        let part = (took.0 as f64 / aim.0.max(1) as f64).min(MAX_RATIO);
+        self.0 += (part - self.0) * NEWEST_WEIGHT;
     }
 
     /// Returns the smoothed part.
@@ -71,17 +76,17 @@
     /// ```
     /// use redwingfold_core::SizePolicy;
     /// let policy = SizePolicy::default();
-    /// assert!(policy.bar(0.05) == policy.min_confidence && policy.bar(0.9) == 0.0);
+    /// assert!(policy.min_confidence_at(0.05) == policy.min_confidence && policy.min_confidence_at(0.9) == 0.0);
     /// ```
-    pub fn bar(&self, pressure: f64) -> f64 {
-        let part = (self.full - pressure) / (self.full - self.calm);
+    pub fn min_confidence_at(&self, pressure: f64) -> f64 {
+        let part = (self.high_pressure - pressure) / (self.high_pressure - self.low_pressure);
         self.min_confidence * part.clamp(0.0, 1.0)
     }
 
     /// Returns the confidence below which a larger model is asked; `in_time` if its first byte is expected
     /// within the aim.
-    fn asked(&self, pressure: f64, in_time: bool) -> f64 {
-        let bar = self.bar(pressure);
+    fn escalation_threshold(&self, pressure: f64, in_time: bool) -> f64 {
+        let bar = self.min_confidence_at(pressure);
         if in_time { bar } else { bar.min(self.late_confidence) }
     }
 
@@ -96,77 +101,78 @@
     /// with faults, two or three seeds each, without processor time).
     ///
     /// ```
-    /// use redwingfold_core::{Larger, SizePolicy};
+    /// use redwingfold_core::{LargerModel, SizePolicy};
     /// let policy = SizePolicy::default();
-    /// let middle = Larger { size: 1, rise: 20.0, in_time: true };
-    /// let largest = Larger { size: 2, rise: 60.0, in_time: true };
+    /// let middle = LargerModel { size: 1, gain: 20.0, in_time: true };
+    /// let largest = LargerModel { size: 2, gain: 60.0, in_time: true };
     /// let asked = |confidence| policy.larger(confidence, 0.0, &[middle, largest]);
     /// assert_eq!((asked(90), asked(40), asked(10)), (None, Some(1), Some(2)));
     /// ```
-    pub fn larger(&self, confidence: u8, pressure: f64, larger: &[Larger]) -> Option<usize> {
+    pub fn larger(&self, confidence: u8, pressure: f64, larger: &[LargerModel]) -> Option<usize> {
         let confidence = f64::from(confidence);
-        let is_enough = |l: &&Larger| l.in_time && confidence + l.rise >= self.min_confidence;
+        let is_sufficient =
+            |l: &&LargerModel| l.in_time && confidence + l.gain >= self.min_confidence;
         let largest = larger.last()?;
-        let chosen = larger.iter().find(is_enough).unwrap_or(largest);
-        (confidence < self.asked(pressure, chosen.in_time)).then_some(chosen.size)
+        let chosen = larger.iter().find(is_sufficient).unwrap_or(largest);
+        (confidence < self.escalation_threshold(pressure, chosen.in_time)).then_some(chosen.size)
     }
 }
 
 /// A larger model that may be asked.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Larger {
+pub struct LargerModel {
     /// Its index among the route's sizes.
     pub size: usize,
     /// By how much its confidence is expected to be higher.
-    pub rise: f64,
+    pub gain: f64,
     /// Whether its first byte is expected within the aim.
     pub in_time: bool,
 }
 
 /// By how much the confidence of larger models is higher than that of smaller ones, of the same request.
 #[derive(Clone, Debug, Default)]
-pub struct Rises(HashMap<(ServiceName, usize, usize), Rise>);
+pub struct ConfidenceGains(HashMap<(ServiceName, usize, usize), Gain>);
 
-/// Rise that is expected of a model that has not been asked yet: enough for it to be tried where little is
+/// Gain that is expected of a model that has not been asked yet: enough for it to be tried where little is
 /// missing.
-const FIRST_RISE: f64 = 18.0;
+const DEFAULT_GAIN: f64 = 18.0;
 
 /// Answers that this expectation counts as.
-const FIRST_WEIGHT: f64 = 6.0;
+const DEFAULT_WEIGHT: f64 = 6.0;
 
 /// Answers that count at most; later ones replace earlier ones.
 const MAX_WEIGHT: f64 = 60.0;
 
 #[derive(Clone, Copy, Debug)]
-struct Rise {
+struct Gain {
     mean: f64,
     weight: f64,
 }
 
-impl Default for Rise {
+impl Default for Gain {
     fn default() -> Self {
-        Self { mean: FIRST_RISE, weight: FIRST_WEIGHT }
+        Self { mean: DEFAULT_GAIN, weight: DEFAULT_WEIGHT }
     }
 }
 
-impl Rises {
+impl ConfidenceGains {
     /// Takes the confidence of two models in their answers to one request.
     ///
     /// ```
-    /// use redwingfold_core::Rises;
-    /// let mut rises = Rises::default();
-    /// let before = rises.expected(&"slips".into(), 0, 1);
-    /// (0..50).for_each(|_| rises.learn(&"slips".into(), (0, 40), (1, 42)));
-    /// assert!(rises.expected(&"slips".into(), 0, 1) < before / 2.0);
+    /// use redwingfold_core::ConfidenceGains;
+    /// let mut gains = ConfidenceGains::default();
+    /// let before = gains.expected(&"slips".into(), 0, 1);
+    /// (0..50).for_each(|_| gains.record(&"slips".into(), (0, 40), (1, 42)));
+    /// assert!(gains.expected(&"slips".into(), 0, 1) < before / 2.0);
     /// ```
-    pub fn learn(&mut self, service: &ServiceName, smaller: (usize, u8), larger: (usize, u8)) {
-        let rise = self.0.entry((service.clone(), smaller.0, larger.0)).or_default();
-        rise.weight = (rise.weight + 1.0).min(MAX_WEIGHT);
+    pub fn record(&mut self, service: &ServiceName, smaller: (usize, u8), larger: (usize, u8)) {
+        let gain = self.0.entry((service.clone(), smaller.0, larger.0)).or_default();
+        gain.weight = (gain.weight + 1.0).min(MAX_WEIGHT);
         let seen = f64::from(larger.1) - f64::from(smaller.1);
-        rise.mean += (seen - rise.mean) / rise.weight;
+        gain.mean += (seen - gain.mean) / gain.weight;
     }
 
-    /// Returns the expected rise from one model to another.
+    /// Returns the expected gain from one model to another.
     pub fn expected(&self, service: &ServiceName, smaller: usize, larger: usize) -> f64 {
         let key = (service.clone(), smaller, larger);
         self.0.get(&key).copied().unwrap_or_default().mean
--- a/core/src/serving/status.rs
+++ b/core/src/serving/status.rs
@@ -8,10 +8,10 @@
 use crate::ids::{Millis, VersionName};
 
 /// Longest wait before the word that a roll-out runs, which nobody acts on.
-const RUNNING_WAIT: Millis = Millis(1_500);
+const MAX_RUNNING_DELAY: Millis = Millis(1_500);
 
 /// Longest wait before the word on an end, on which servers stop.
-const END_WAIT: Millis = Millis(150);
+const MAX_END_DELAY: Millis = Millis(150);
 
 /// What the store says of the roll-outs, as far as a gateway knows, and which word is missing there.
 ///
@@ -21,14 +21,14 @@
 /// that it has ended, on which servers stop, a short one. The first word lets the others be, and the
 /// condition of the write keeps two that come together from writing twice.
 #[derive(Clone, Debug, Default)]
-pub struct StatusBook {
+pub struct RolloutStatuses {
     services: HashMap<ServiceName, Entry>,
     /// Until when others' word on what the store says may be of before it came back from an older copy.
-    doubted_until: Millis,
+    unreliable_until: Millis,
 }
 
 /// Time after which all gateways have noticed that the store has come back from an older copy.
-const DOUBTED: Millis = Millis(3_000);
+const UNRELIABLE_FOR: Millis = Millis(3_000);
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -41,9 +41,9 @@
     end_due: Option<Millis>,
 }
 
-impl StatusBook {
+impl RolloutStatuses {
     /// Takes what the store says of a roll-out: how it ended, or that it runs.
-    pub fn recorded(&mut self, service: &ServiceName, target: &VersionName, ended: Option<Phase>) {
+    pub fn record(&mut self, service: &ServiceName, target: &VersionName, ended: Option<Phase>) {
         let entry = Entry { recorded: Some(ended), ..Entry::new(target) };
         self.services.insert(service.clone(), entry);
     }
@@ -57,26 +57,26 @@
     ///
     /// An end that is lost leaves the operator waiting, and a process that starts anew goes on with a version that was
     /// found bad.
-    pub fn doubt(&mut self, now: Millis) {
+    pub fn invalidate(&mut self, now: Millis) {
         for entry in self.services.values_mut() {
             *entry = Entry::new(&entry.target);
         }
-        self.doubted_until = now.after(DOUBTED);
+        self.unreliable_until = now.after(UNRELIABLE_FOR);
     }
 
     /// Says whether others' word on what the store says is not to be relied on.
-    pub fn is_doubted(&self, now: Millis) -> bool {
-        now < self.doubted_until
+    pub fn is_unreliable(&self, now: Millis) -> bool {
+        now < self.unreliable_until
     }
 
     /// Returns how a roll-out ended, if the store says so.
-    pub fn ended(&self, service: &ServiceName, target: &VersionName) -> Option<Phase> {
+    pub fn outcome(&self, service: &ServiceName, target: &VersionName) -> Option<Phase> {
         let entry = self.services.get(service).filter(|entry| entry.target == *target)?;
         entry.recorded.flatten()
     }
 
     /// Says whether the store lacks the word on a phase, whoever is to write it.
-    pub fn is_missing(&self, service: &ServiceName, target: &VersionName, phase: Phase) -> bool {
+    pub fn is_unrecorded(&self, service: &ServiceName, target: &VersionName, phase: Phase) -> bool {
         let entry = self.services.get(service).filter(|entry| entry.target == *target);
         match entry.and_then(|entry| entry.recorded) {
             // An end is final: a gateway that sees it otherwise is late.
@@ -90,18 +90,18 @@
     /// `draw` is a random number.
     ///
     /// ```
-    /// use redwingfold_core::{Millis, Phase, StatusBook};
+    /// use redwingfold_core::{Millis, Phase, RolloutStatuses};
     /// let (service, target) = ("slips".into(), "v2".parse()?);
-    /// let mut book = StatusBook::default();
-    /// let mut due = |phase, now| book.due_in(&service, &target, phase, 1, Millis(now), u64::MAX);
+    /// let mut statuses = RolloutStatuses::default();
+    /// let mut due = |phase, now| statuses.write_due_in(&service, &target, phase, 1, Millis(now), u64::MAX);
     /// assert_eq!(due(Phase::Trial, 0), Some(Millis(1_500)));
     /// assert_eq!(due(Phase::Trial, 1_500), Some(Millis(0)));
     /// assert_eq!(due(Phase::Done, 1_500), Some(Millis(150)));
-    /// book.recorded(&service, &target, None);
-    /// assert_eq!(book.due_in(&service, &target, Phase::Ramp, 1, Millis(9_000), 0), None);
+    /// statuses.record(&service, &target, None);
+    /// assert_eq!(statuses.write_due_in(&service, &target, Phase::Ramp, 1, Millis(9_000), 0), None);
     /// # Ok::<(), redwingfold_core::ParseIdError>(())
     /// ```
-    pub fn due_in(
+    pub fn write_due_in(
         &mut self,
         service: &ServiceName,
         target: &VersionName,
@@ -110,7 +110,7 @@
         now: Millis,
         draw: u64,
     ) -> Option<Millis> {
-        if !self.is_missing(service, target, phase) {
+        if !self.is_unrecorded(service, target, phase) {
             return None;
         }
         let entry = self.services.entry(service.clone()).or_insert_with(|| Entry::new(target));
@@ -118,8 +118,8 @@
             *entry = Entry::new(target);
         }
         let (due, longest) = match phase {
-            Phase::Done | Phase::RolledBack => (&mut entry.end_due, END_WAIT),
-            Phase::Trial | Phase::Ramp | Phase::Full => (&mut entry.running_due, RUNNING_WAIT),
+            Phase::Done | Phase::RolledBack => (&mut entry.end_due, MAX_END_DELAY),
+            Phase::Trial | Phase::Ramp | Phase::Full => (&mut entry.running_due, MAX_RUNNING_DELAY),
         };
         let due = due.get_or_insert_with(|| now.after(wait(longest, fleet, draw)));
         Some(due.since(now))
--- a/core/src/serving/stream_time.rs
+++ b/core/src/serving/stream_time.rs
@@ -10,7 +10,7 @@
 pub struct StreamTimes(HashMap<ServiceName, f64>);
 
 /// Weight of the newest stream: about the last thirty count.
-const NEWEST: f64 = 0.03;
+const NEWEST_WEIGHT: f64 = 0.03;
 
 impl StreamTimes {
     /// Takes the time from a stream's first event to its end, of an answer of at most `max_output` tokens.
@@ -19,16 +19,16 @@
     /// use redwingfold_core::{Millis, StreamTimes};
     /// let mut times = StreamTimes::default();
     /// assert_eq!(times.estimate(&"drafts".into(), 100), Millis(0));
-    /// times.learn(&"drafts".into(), 200, Millis(1_000));
+    /// times.record(&"drafts".into(), 200, Millis(1_000));
     /// assert_eq!(times.estimate(&"drafts".into(), 100), Millis(500));
     /// ```
-    pub fn learn(&mut self, service: &ServiceName, max_output: u64, took: Millis) {
+    pub fn record(&mut self, service: &ServiceName, max_output: u64, took: Millis) {
         if max_output == 0 {
             return;
         }
         let seen = took.0 as f64 / max_output as f64;
         let mean = self.0.entry(service.clone()).or_insert(seen);
-        *mean += (seen - *mean) * NEWEST;
+        *mean += (seen - *mean) * NEWEST_WEIGHT;
     }
 
     /// Estimates the time for an answer of `tokens`; none while nothing is known.
--- a/core/src/serving/turns.rs
+++ b/core/src/serving/turns.rs
@@ -9,14 +9,14 @@
 const OPEN_FOR: Millis = Millis(250);
 
 /// Gateways that a fleet is taken to have until the others could be heard.
-const UNKNOWN_FLEET: usize = 330;
+const DEFAULT_FLEET: usize = 330;
 
 /// Time in which gateways hear of all others after the first word of them.
-const SETTLING: Millis = Millis(3_000);
+const SETTLING_TIME: Millis = Millis(3_000);
 
 /// Time for which the largest fleet that was known counts: a gateway that hears nobody may be cut off, while the others
 /// send on.
-const LARGEST_KEPT: Millis = Millis(60_000);
+const LARGEST_RETENTION: Millis = Millis(60_000);
 
 /// Maximum time between two turns, for rates close to zero.
 const MAX_PERIOD: Millis = Millis(3_600_000);
@@ -34,21 +34,21 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Fleet {
     largest: usize,
-    seen_at: Millis,
+    largest_seen_at: Millis,
     /// When others could first be heard.
-    met_at: Option<Millis>,
+    settling_from: Option<Millis>,
 }
 
 impl Fleet {
-    fn saw(&mut self, fleet: usize, now: Millis) {
-        if fleet >= self.largest || now.since(self.seen_at) >= LARGEST_KEPT {
-            (self.largest, self.seen_at) = (fleet, now);
+    fn record(&mut self, fleet: usize, now: Millis) {
+        if fleet >= self.largest || now.since(self.largest_seen_at) >= LARGEST_RETENTION {
+            (self.largest, self.largest_seen_at) = (fleet, now);
         }
     }
 
     fn size(&self, now: Millis) -> usize {
-        let is_settled = self.met_at.is_some_and(|at| now.since(at) >= SETTLING);
-        let least = if is_settled { 1 } else { UNKNOWN_FLEET };
+        let is_settled = self.settling_from.is_some_and(|at| now.since(at) >= SETTLING_TIME);
+        let least = if is_settled { 1 } else { DEFAULT_FLEET };
         self.largest.max(least)
     }
 }
@@ -64,8 +64,8 @@
 /// use redwingfold_core::{Millis, RequestRate, SendTurns};
 /// let rate = RequestRate::new(3.0).unwrap();
 /// let mut turns = SendTurns::default();
-/// turns.met(Millis(0));
-/// turns.saw_fleet(3, Millis(0));
+/// turns.start_settling(Millis(0));
+/// turns.record_fleet(3, Millis(0));
 /// let id = "i-1".into();
 /// assert_eq!(turns.wait(&id, rate, Millis(5_000), 700), Millis(700));
 /// assert_eq!(turns.wait(&id, rate, Millis(5_700), 0), Millis(0));
@@ -88,13 +88,13 @@
 
 impl SendTurns {
     /// Notes that the others could be heard from now on, or that there are none.
-    pub fn met(&mut self, now: Millis) {
-        self.fleet.met_at.get_or_insert(now);
+    pub fn start_settling(&mut self, now: Millis) {
+        self.fleet.settling_from.get_or_insert(now);
     }
 
     /// Notes how many gateways know of each other, this one included.
-    pub fn saw_fleet(&mut self, fleet: usize, now: Millis) {
-        self.fleet.saw(fleet, now);
+    pub fn record_fleet(&mut self, fleet: usize, now: Millis) {
+        self.fleet.record(fleet, now);
     }
 
     /// Returns the number of gateways to assume, this one included.
--- a/core/src/serving/urgency.rs
+++ b/core/src/serving/urgency.rs
@@ -6,22 +6,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct UrgencyPolicy {
     /// Tokens to be read, beyond the shared ones, from which a prompt belongs to the next class.
-    pub classes: [u64; 3],
+    pub class_min_tokens: [u64; 3],
 }
 
 impl Default for UrgencyPolicy {
     /// A common engine reads these in some 10, 40 and 100 ms with its smallest model, and in ten times
     /// that with its largest.
     fn default() -> Self {
-        Self { classes: [1_000, 3_000, 8_000] }
+        Self { class_min_tokens: [1_000, 3_000, 8_000] }
     }
 }
 
 /// Rank of what a caller is already reading.
-const RESUMED: Priority = Priority(0);
+const RESUMED_RANK: Priority = Priority(0);
 
 /// Last rank that servers know.
-const LAST: u8 = 9;
+const LAST_RANK: u8 = 9;
 
 impl UrgencyPolicy {
     /// Ranks a request by what it has to have read, and within that by the operator's rank.
@@ -43,9 +43,9 @@
     /// ```
     pub fn rank(&self, tokens: u64, own: Priority, is_resumed: bool) -> Priority {
         if is_resumed {
-            return RESUMED;
+            return RESUMED_RANK;
         }
-        let class = self.classes.iter().filter(|from| tokens >= **from).count() as u8;
-        Priority((1 + 2 * class + own.0.min(1)).min(LAST))
+        let class = self.class_min_tokens.iter().filter(|from| tokens >= **from).count() as u8;
+        Priority((1 + 2 * class + own.0.min(1)).min(LAST_RANK))
     }
 }
--- a/core/tests/freshness.rs
+++ b/core/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! How old the configurations of a fleet become, in virtual time: links that are slow, a store that turns hosts
 //! away, and messages that are lost.
 
-use redwingfold_core::{FeedTold, FeedView, Leads, Millis, is_newest_shorter};
+use redwingfold_core::{FeedPositions, FeedTold, FeedView, Millis, is_newest_shorter};
 
 /// Of reads of the operator's topic.
 const PERIOD: u64 = 450;
@@ -46,7 +46,7 @@
 
 struct Gateway {
     view: FeedView,
-    leads: Leads<usize>,
+    leads: FeedPositions<usize>,
     is_fast: bool,
     is_away: bool,
     /// Version, and when the read began that will bring it, and when it ends.
@@ -81,7 +81,7 @@
                 FeedTold { from: told.next, next: told.next, age: Millis(ms - told.as_of) };
             let gateway = &mut fleet[told.to];
             gateway.view.hear(message, Millis(ms), rng.u64(..));
-            gateway.leads.heard(told.from, told.next, Millis(ms));
+            gateway.leads.record(told.from, told.next, Millis(ms));
         }
         for n in 0..fleet.len() {
             let known = fleet[n].view.next();
@@ -114,7 +114,7 @@
     let one_in = |of: usize| of > 0 && n.is_multiple_of(of);
     Gateway {
         view,
-        leads: Leads::new(),
+        leads: FeedPositions::new(),
         is_fast: one_in(load.fast_one_in),
         is_away: load.away_one_in > 0 && n % load.away_one_in == 1,
         read: None,
@@ -154,7 +154,7 @@
             fleet[n].view.read(Millis(began), next, draw);
         }
     }
-    let lead = fleet[n].leads.pick(fleet[n].view.next(), draw, now).filter(|_| load.ask);
+    let lead = fleet[n].leads.pick_ahead(fleet[n].view.next(), draw, now).filter(|_| load.ask);
     if let (Some(lead), None) = (lead, fleet[n].asked) {
         match fleet[lead].served < SERVED {
             true => {
@@ -162,7 +162,7 @@
                 fleet[n].asked = Some((lead, ms + ANSWER));
                 fleet[n].not_before = ms + HEAD_START;
             }
-            false => fleet[n].leads.failed(lead, now),
+            false => fleet[n].leads.record_failure(lead, now),
         }
     }
     let gateway = &mut fleet[n];
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -1,9 +1,9 @@
 //! Versions that fail under load, in virtual time: servers with slots, and a window with less load than comes after it.
 
 use redwingfold_core::{
-    Affinity, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, Counts, Millis, OrderAge, Phase,
-    Place, PlacementPolicy, RolloutOrder, RouteEvidence, Shared, UsualTime, Work, is_in_first_half,
-    lead_servers, place,
+    Affinity, AnswerSums, Arm, ArmChoice, BaselineLatency, Canary, CanaryPolicy, Counts, Millis,
+    OrderAge, Phase, Place, PlacementPolicy, RolloutOrder, RouteEvidence, Shared, Work,
+    is_in_first_half, lead_servers, place,
 };
 
 const WINDOW: u64 = 16_000;
@@ -44,7 +44,7 @@
     rng: fastrand::Rng,
     canary: Canary,
     evidence: RouteEvidence,
-    usual: UsualTime,
+    usual: BaselineLatency,
     /// Servers of the version in service, and of the target.
     servers: [Vec<Server>; 2],
     coming: Vec<Coming>,
@@ -83,7 +83,7 @@
             rng: fastrand::Rng::with_seed(seed),
             canary: Canary::new(policy, order, OrderAge::default(), Millis(0), seed),
             evidence: RouteEvidence::default(),
-            usual: UsualTime::default(),
+            usual: BaselineLatency::default(),
             servers,
             coming: Vec::new(),
             played: Played::default(),
@@ -171,11 +171,11 @@
                     one.good = 1;
                     let ratio = match arm {
                         Arm::Current => self.usual.ratio(time, load),
-                        Arm::Target => self.usual.ratio_of_other(time, load),
+                        Arm::Target => self.usual.ratio_of_other_version(time, load),
                     };
                     ratio.into_iter().for_each(|ratio| one.begin.add(ratio));
                     if arm == Arm::Current {
-                        self.usual.learn(time, load);
+                        self.usual.record(time, load);
                     }
                 }
             }
--- a/core/tests/members.rs
+++ b/core/tests/members.rs
@@ -59,8 +59,8 @@
         let now = Millis(ms);
         for (_, from, to, named) in messages.extract_if(.., |(at, ..)| *at <= ms) {
             if ms >= gateways[to].up_at && rng.f64() >= faults.lost {
-                gateways[to].members.heard(from, now, rng.u64(..));
-                gateways[to].members.learn(&named, now);
+                gateways[to].members.record_message(from, now, rng.u64(..));
+                gateways[to].members.add(&named, now);
             }
         }
         for gateway in gateways.iter_mut().filter(|gateway| ms >= gateway.up_at) {
@@ -72,19 +72,19 @@
             let mut others: Vec<usize> = Vec::new();
             if gateway.reads_at == Some(ms) && gateway.members.is_empty() {
                 played.reads += 1;
-                gateway.members.learn(&(0..n).collect::<Vec<_>>(), Millis(ms + READ));
+                gateway.members.add(&(0..n).collect::<Vec<_>>(), Millis(ms + READ));
             }
             let (is_news, newcomers) =
-                (gateway.members.take_news(), gateway.members.take_newcomers());
+                (gateway.members.take_changed(), gateway.members.take_newcomers());
             let lives = gateway.tells_at <= ms;
             if !is_news && newcomers.is_empty() && !lives {
                 continue;
             }
-            let mut present = gateway.members.present(now);
+            let mut present = gateway.members.live(now);
             present.sort_unstable();
             rng.shuffle(&mut present);
             if is_news {
-                others.extend(Members::told(&present));
+                others.extend(Members::gossip_targets(&present));
             }
             others.extend(newcomers.into_iter().filter(|_| faults.tells_newcomers));
             played.addresses += others.iter().map(|to| send(*to, &present)).sum::<usize>();
--- a/core/tests/restored_servers.rs
+++ b/core/tests/restored_servers.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use redwingfold_core::{
-    BackendId, BackendServer, Incarnation, Millis, PassedServers, Registry, RegistryPolicy,
+    BackendId, BackendServer, Incarnation, Millis, PeerServerList, Registry, RegistryPolicy,
     ServerState,
 };
 
@@ -98,7 +98,7 @@
                 let servers = topic.listed.keys().copied().map(server).collect();
                 match known {
                     Some((era, _)) if era < topic.era => {
-                        self.registry.replace_by_copy(servers, now)
+                        self.registry.replace_by_restored(servers, now)
                     }
                     _ => self.registry.replace(servers, now),
                 };
@@ -108,18 +108,18 @@
     }
 
     /// Returns its list as it passes it on, with the servers that it will soon take as gone.
-    fn list(&self, now: Millis) -> PassedServers {
-        let lapsing = self.registry.lapsing(now).map(|(id, left)| (id.clone(), left));
-        PassedServers {
+    fn list(&self, now: Millis) -> PeerServerList {
+        let expiring = self.registry.expiring(now).map(|(id, left)| (id.clone(), left));
+        PeerServerList {
             servers: self.registry.servers(now).cloned().collect(),
-            lapsing: lapsing.collect(),
-            copies_left: self.registry.copies_left(now),
+            expiring: expiring.collect(),
+            stale_for: self.registry.stale_for(now),
         }
     }
 
     /// Takes the list that another gateway passes on.
     fn hear(&mut self, other: &Self, now: Millis) {
-        self.registry.replace_by_passed(other.list(now), now, now);
+        self.registry.replace_by_peer_list(other.list(now), now, now);
         self.next = other.next;
     }
 }
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -169,7 +169,7 @@
                 _ => {}
             }
             if is_down {
-                registry.store_was_away(Millis(now));
+                registry.record_outage(Millis(now));
                 registry.expire(Millis(now));
                 continue;
             }
@@ -212,7 +212,7 @@
 fn returned_record_ends_the_grace() {
     let mut registry = Registry::default();
     registry.put(server("a", ServerState::Ready), Millis(0));
-    registry.store_was_away(Millis(1_000));
+    registry.record_outage(Millis(1_000));
     registry.remove(&BackendId::from("a"), Millis(1_500));
     assert!(!registry.has(&server("a", ServerState::Ready), Millis(9_000)));
     registry.put(server("a", ServerState::Ready), Millis(0));
@@ -228,7 +228,7 @@
     let listed = || vec![server("left", ServerState::Ready), server("stays", ServerState::Ready)];
     registry.replace(listed(), Millis(0));
     registry.remove(&BackendId::from("left"), Millis(1_000));
-    registry.replace_by_copy(listed(), Millis(2_000));
+    registry.replace_by_restored(listed(), Millis(2_000));
     registry.replace(listed(), Millis(2_400));
     assert_eq!(registry.servers(Millis(2_400)).count(), 1);
     registry.put(server("left", ServerState::Ready), Millis(3_000));
@@ -248,7 +248,7 @@
     assert_eq!(registry.cold_left(&id, Millis(1_500)), Millis(2_500));
     assert!(registry.has(&cold(1_800), Millis(2_300)) && registry.has(&cold(0), Millis(2_300)));
     assert!(!registry.has(&cold(3_000), Millis(2_300)));
-    registry.is_cold(&id, Millis(3_000), Millis(2_300));
+    registry.set_cold(&id, Millis(3_000), Millis(2_300));
     registry.put(cold(0), Millis(2_400));
     assert_eq!(registry.cold_left(&id, Millis(2_400)), Millis(2_900));
     assert!(registry.has_cold(Millis(5_299)) && !registry.has_cold(Millis(5_300)));
@@ -350,15 +350,15 @@
 }
 
 /// Load pattern: a third of the engines leaves. As first tries wait longer, the bar falls, and it
-/// comes back with the calm; it never rises above its setting.
+/// comes back with the calm; it never gains above its setting.
 #[test]
 fn bar_of_confidence_follows_the_pressure() {
     let policy = SizePolicy::default();
     let mut pressure = Pressure::default();
     let mut bars = Vec::new();
     for took in [50, 600, 50] {
-        (0..60).for_each(|_| pressure.tried(Millis(took), Millis(1_000)));
-        bars.push(policy.bar(pressure.value()));
+        (0..60).for_each(|_| pressure.record(Millis(took), Millis(1_000)));
+        bars.push(policy.min_confidence_at(pressure.value()));
     }
     assert!(bars[0] == policy.min_confidence && bars[1] == 0.0 && bars[2] > 45.0, "{bars:?}");
 }
@@ -373,7 +373,7 @@
         let pause = rng.u64(..200);
         (now, truth) = (now + pause, truth.saturating_sub(pause));
         let takes = rng.u64(..300);
-        peers.sent(1, Millis(takes), Millis(now));
+        peers.record_sent(1, Millis(takes), Millis(now));
         truth += takes;
         assert_eq!(peers.backlog(1, Millis(now)), Millis(truth));
     }
@@ -387,12 +387,12 @@
     let start = |born, state| BackendServer { born: Some(Incarnation(born)), ..server("a", state) };
     let state = |registry: &Registry| registry.servers(Millis(0)).next().map(|s| s.state);
     let mut registry = Registry::default();
-    assert_eq!(registry.put(start(1, ServerState::Ready), Millis(0)), PutOutcome::Taken);
-    assert_eq!(registry.put(start(1, ServerState::Draining), Millis(0)), PutOutcome::Taken);
-    assert_eq!(registry.put(start(1, ServerState::Ready), Millis(0)), PutOutcome::Taken);
+    assert_eq!(registry.put(start(1, ServerState::Ready), Millis(0)), PutOutcome::Applied);
+    assert_eq!(registry.put(start(1, ServerState::Draining), Millis(0)), PutOutcome::Applied);
+    assert_eq!(registry.put(start(1, ServerState::Ready), Millis(0)), PutOutcome::Applied);
     assert_eq!(state(&registry), Some(ServerState::Draining));
     assert_eq!(registry.put(start(2, ServerState::Ready), Millis(0)), PutOutcome::Restarted);
-    assert_eq!(registry.put(start(1, ServerState::Draining), Millis(0)), PutOutcome::Late);
+    assert_eq!(registry.put(start(1, ServerState::Draining), Millis(0)), PutOutcome::Stale);
     assert_eq!(state(&registry), Some(ServerState::Ready));
     let list = vec![start(3, ServerState::Ready), server("b", ServerState::Ready)];
     assert_eq!(registry.replace(list, Millis(0)), vec![BackendId::from("a")]);
--- a/core/tests/silence.rs
+++ b/core/tests/silence.rs
@@ -1,6 +1,6 @@
 //! When a server's silence towards a request is worth a second send.
 
-use redwingfold_core::{Millis, Owed, SilencePolicy, SilenceWatch};
+use redwingfold_core::{Awaited, Millis, SilencePolicy, SilenceWatch};
 
 const AIM: Millis = Millis(2_000);
 const POLL: Millis = Millis(200);
@@ -26,9 +26,9 @@
         let mut watch = SilenceWatch::new(Millis(0), POLL);
         let given_up = (1..100).map(|look| look * POLL.0).find(|now| {
             // The server answers others all the while.
-            watch.look(Millis(*now), Millis(*now));
+            watch.poll(Millis(*now), Millis(*now));
             let is_answered = !is_lost && takes <= *now;
-            is_answered || watch.is_over(&policy, Owed::Head(Millis(50)), AIM, pressure)
+            is_answered || watch.is_over(&policy, Awaited::Head(Millis(50)), AIM, pressure)
         });
         let is_second = is_lost || given_up.is_some_and(|at| at < takes);
         match (is_lost, given_up) {
@@ -71,12 +71,12 @@
     let policy = SilencePolicy::default();
     let mut watch = SilenceWatch::new(Millis(0), POLL);
     for now in [200, 5_200] {
-        watch.look(Millis(now), Millis(0));
+        watch.poll(Millis(now), Millis(0));
     }
-    assert!(!watch.is_over(&policy, Owed::Event(Millis(1_000)), AIM, 0.0));
-    watch.look(Millis(5_400), Millis(5_300));
-    watch.look(Millis(5_600), Millis(5_300));
-    assert!(watch.is_over(&policy, Owed::Event(Millis(1_000)), AIM, 0.0));
+    assert!(!watch.is_over(&policy, Awaited::Event(Millis(1_000)), AIM, 0.0));
+    watch.poll(Millis(5_400), Millis(5_300));
+    watch.poll(Millis(5_600), Millis(5_300));
+    assert!(watch.is_over(&policy, Awaited::Event(Millis(1_000)), AIM, 0.0));
 }
 
 /// A server hangs and says nothing to anyone: it is given up also at a pressure at which the silence
@@ -87,8 +87,8 @@
     let given_up = |heard_at: fn(u64) -> u64| {
         let mut watch = SilenceWatch::new(Millis(0), POLL);
         (1..50).map(|look| look * POLL.0).find(|now| {
-            watch.look(Millis(*now), Millis(heard_at(*now)));
-            watch.is_over(&policy, Owed::Head(Millis(50)), AIM, 1.0)
+            watch.poll(Millis(*now), Millis(heard_at(*now)));
+            watch.is_over(&policy, Awaited::Head(Millis(50)), AIM, 1.0)
         })
     };
     assert_eq!(given_up(|_| 0), Some(3_000));
--- a/core/tests/sizes.rs
+++ b/core/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! Which model answers, where models of three sizes stand to choose from.
 
-use redwingfold_core::{Larger, Rises, ServiceName, SizePolicy};
+use redwingfold_core::{ConfidenceGains, LargerModel, ServiceName, SizePolicy};
 
 /// Share of requests that each model is up to, the smallest first.
 const POWER: [f64; 3] = [0.56, 0.65, 1.0];
@@ -29,7 +29,7 @@
 /// Plays requests of even difficulty through a cascade of the models `may` names after the smallest.
 fn play(power: [f64; 3], may: &[usize], seed: u64) -> Spent {
     let (policy, service) = (SizePolicy::default(), ServiceName::from("slips"));
-    let (mut rises, mut spent, n) = (Rises::default(), Spent::default(), 4_000_u32);
+    let (mut gains, mut spent, n) = (ConfidenceGains::default(), Spent::default(), 4_000_u32);
     for request in 0..n {
         // The same requests, whatever is asked for those before them.
         let mut rng = fastrand::Rng::with_seed(seed << 32 | u64::from(request));
@@ -41,14 +41,14 @@
             spent.price += PRICE[size] / f64::from(n);
             spent.middle += f64::from(u8::from(size == 1)) / f64::from(n);
             if let Some(smaller) = before.replace((size, confidence)) {
-                rises.learn(&service, smaller, (size, confidence));
+                gains.record(&service, smaller, (size, confidence));
             }
             let larger: Vec<_> = may
                 .iter()
                 .filter(|larger| **larger > size)
-                .map(|larger| Larger {
+                .map(|larger| LargerModel {
                     size: *larger,
-                    rise: rises.expected(&service, size, *larger),
+                    gain: gains.expected(&service, size, *larger),
                     in_time: true,
                 })
                 .collect();
@@ -87,7 +87,7 @@
 #[test]
 fn late_answers_are_had_only_where_the_one_in_hand_is_wrong() {
     let policy = SizePolicy::default();
-    let late = [Larger { size: 2, rise: 60.0, in_time: false }];
+    let late = [LargerModel { size: 2, gain: 60.0, in_time: false }];
     assert_eq!(policy.larger(40, 0.0, &late), None);
     assert_eq!(policy.larger(5, 0.0, &late), Some(2));
     assert_eq!(policy.larger(5, 1.0, &late), None);
--- a/core/tests/status.rs
+++ b/core/tests/status.rs
@@ -1,6 +1,6 @@
 //! The word on a roll-out's end, written by one of many gateways.
 
-use redwingfold_core::{Millis, Phase, ServiceName, StatusBook, VersionName};
+use redwingfold_core::{Millis, Phase, RolloutStatuses, ServiceName, VersionName};
 
 /// When the roll-out ends, as the first gateway sees it; the others see it up to a second later.
 const ENDS_AT: u64 = 5_000;
@@ -10,7 +10,7 @@
 
 /// A gateway: what it knows of the store, and as of which record.
 struct Gateway {
-    book: StatusBook,
+    book: RolloutStatuses,
     /// What it makes of the roll-out itself, and from when on.
     end: (Phase, u64),
     /// A write on its way: when it arrives, on which number of records it depends, and its word.
@@ -49,7 +49,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let (service, target) = names();
     let gateway = |rng: &mut fastrand::Rng| Gateway {
-        book: StatusBook::default(),
+        book: RolloutStatuses::default(),
         end: (
             if rng.f64() < faults.dissent { Phase::Done } else { Phase::RolledBack },
             ENDS_AT + rng.u64(..1_000),
@@ -78,9 +78,9 @@
             let gw = &mut gateways[g];
             let phase = if ms >= gw.end.1 { gw.end.0 } else { Phase::Trial };
             // An end that the store has gone before what this gateway makes of it.
-            let phase = gw.book.ended(&service, &target).unwrap_or(phase);
+            let phase = gw.book.outcome(&service, &target).unwrap_or(phase);
             let draw = rng.u64(..);
-            let due = gw.book.due_in(&service, &target, phase, n, Millis(ms), draw);
+            let due = gw.book.write_due_in(&service, &target, phase, n, Millis(ms), draw);
             if due == Some(Millis(0)) {
                 step(gw, &mut played, phase, faults, ms, &mut rng);
             }
@@ -106,9 +106,9 @@
     }
     let at = played.records.len();
     if let Some(last) = played.records.last() {
-        gw.book.recorded(&service, &target, *last);
+        gw.book.record(&service, &target, *last);
     }
-    if gw.book.is_missing(&service, &target, phase) {
+    if gw.book.is_unrecorded(&service, &target, phase) {
         played.calls += 1;
         gw.write = Some((ms + WRITE_TAKES, at, (phase >= Phase::Done).then_some(phase)));
     }
@@ -123,7 +123,7 @@
     }
     played.records.push(word);
     if rng.f64() >= faults.lost {
-        gw.book.recorded(&service, &target, word);
+        gw.book.record(&service, &target, word);
     }
 }
 
@@ -131,15 +131,15 @@
 fn tell(g: usize, gateways: &mut [Gateway], faults: Faults, ms: u64, rng: &mut fastrand::Rng) {
     let (service, target) = names();
     let teller = &gateways[g].book;
-    if teller.is_missing(&service, &target, Phase::Trial) {
+    if teller.is_unrecorded(&service, &target, Phase::Trial) {
         return;
     }
-    let ended = teller.ended(&service, &target);
+    let ended = teller.outcome(&service, &target);
     for other in gateways.iter_mut().filter(|other| other.frozen_until <= ms) {
-        let knows = other.book.ended(&service, &target).is_some();
-        let is_news = ended.is_some() || other.book.is_missing(&service, &target, Phase::Trial);
+        let knows = other.book.outcome(&service, &target).is_some();
+        let is_news = ended.is_some() || other.book.is_unrecorded(&service, &target, Phase::Trial);
         if !knows && is_news && rng.f64() >= faults.unheard {
-            other.book.recorded(&service, &target, ended);
+            other.book.record(&service, &target, ended);
         }
     }
 }
@@ -194,20 +194,26 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let (service, target) = names();
         let sees: Vec<_> = (0..GATEWAYS).map(|_| rng.u64(..30)).collect();
-        let mut books = vec![StatusBook::default(); GATEWAYS];
+        let mut books = vec![RolloutStatuses::default(); GATEWAYS];
         let mut writes: Vec<Option<u64>> = vec![None; GATEWAYS];
         let (mut calls, mut told_at) = (0, None);
         for ms in 0..400 {
             for g in 0..GATEWAYS {
                 if told_at.is_some_and(|at| ms >= at) && rng.f64() > 0.02 {
-                    books[g].recorded(&service, &target, Some(Phase::Done));
+                    books[g].record(&service, &target, Some(Phase::Done));
                 }
                 if ms < sees[g] {
                     continue;
                 }
                 let now = Millis(ms);
-                let due =
-                    books[g].due_in(&service, &target, Phase::Done, GATEWAYS, now, rng.u64(..));
+                let due = books[g].write_due_in(
+                    &service,
+                    &target,
+                    Phase::Done,
+                    GATEWAYS,
+                    now,
+                    rng.u64(..),
+                );
                 if due == Some(Millis(0)) && writes[g].is_none() {
                     calls += 2;
                     writes[g] = Some(ms + 2 * CALL_TAKES);
--- a/core/tests/turn_fleet/mod.rs
+++ b/core/tests/turn_fleet/mod.rs
@@ -120,7 +120,7 @@
         match way {
             Way::Free => true,
             Way::Turns => {
-                self.turns.saw_fleet(known, Millis(at));
+                self.turns.record_fleet(known, Millis(at));
                 let draw = xxh3_64_with_seed(&own.to_le_bytes(), at ^ ((server as u64) << 20));
                 self.turns.wait(&self.ids[server], target, Millis(at), draw) == Millis(0)
             }
@@ -158,7 +158,7 @@
     let mut gateways: Vec<_> = (0..n).map(|own| gateway(own, n, &ids, belief, &mut rng)).collect();
     for gateway in gateways.iter_mut().filter(|gateway| gateway.up_at < u64::MAX) {
         gateway.hears_at.iter_mut().for_each(|at| *at += began);
-        gateway.turns.met(Millis(gateway.up_at));
+        gateway.turns.start_settling(Millis(gateway.up_at));
     }
     let mut arrivals: Vec<Vec<u64>> = vec![Vec::new(); load.cold];
     for at in began..began + load.duration.0 {
--- a/core/tests/unreached.rs
+++ b/core/tests/unreached.rs
@@ -1,6 +1,6 @@
 //! Servers that cannot be reached, before gateways that tell each other, in virtual time.
 
-use redwingfold_core::{Millis, Unreached};
+use redwingfold_core::{Millis, UnreachableServers};
 
 /// Time after which a connection that does not come is given up, where others take a few milliseconds.
 const CONNECT: u64 = 60;
@@ -39,8 +39,8 @@
 
 fn play(load: Load, seed: u64) -> Played {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut tables = vec![Unreached::new(); load.gateways];
-    tables.iter_mut().for_each(|table| table.heard(Millis(0)));
+    let mut tables = vec![UnreachableServers::new(); load.gateways];
+    tables.iter_mut().for_each(|table| table.record_contact(Millis(0)));
     let (mut failing, mut words): (Vec<(u64, usize, u32)>, Vec<Word>) = Default::default();
     let (mut played, mut back) = (Played::default(), vec![false; load.dark]);
     let is_on = |ms: u64| (load.from..load.until).contains(&ms);
@@ -48,7 +48,7 @@
         let now = Millis(ms);
         for (_, g, server) in failing.extract_if(.., |(at, ..)| *at <= ms) {
             if !tables[g].is_cut_off(now) {
-                tables[g].failed(server, g, load.gateways, now, rng.u64(..));
+                tables[g].record_failure(server, g, load.gateways, now, rng.u64(..));
                 words.push((ms + rng.u64(..TURN), g, server, false));
             }
         }
@@ -57,10 +57,10 @@
                 match has_answered {
                     _ if g == from || !load.is_told || rng.f64() < 0.02 => {}
                     true => {
-                        table.answered(server);
+                        table.record_answer(server);
                     }
                     false => {
-                        table.failed(server, from, load.gateways, now, rng.u64(..));
+                        table.record_failure(server, from, load.gateways, now, rng.u64(..));
                     }
                 }
             }
@@ -69,7 +69,7 @@
         for _ in 0..requests {
             let g = rng.usize(..load.gateways);
             let is_dark = |server: u32| (server as usize) < load.dark && is_on(ms);
-            let is_out = |server: &u32| tables[g].is_out(*server, now);
+            let is_out = |server: &u32| tables[g].is_excluded(*server, now);
             let (out, pool): (Vec<u32>, Vec<u32>) = (0..load.servers as u32).partition(is_out);
             if g >= load.cut_off {
                 played.choices += 1;
@@ -80,15 +80,15 @@
             let Some(&server) = two.into_iter().flatten().min_by_key(|s| !is_dark(**s)) else {
                 continue;
             };
-            tables[g].tried(server, now);
+            tables[g].record_attempt(server, now);
             match is_dark(server) || (g < load.cut_off && is_on(ms)) {
                 true => {
                     played.in_vain += usize::from(is_dark(server));
                     failing.push((ms + CONNECT, g, server));
                 }
                 false => {
-                    tables[g].heard(now);
-                    if tables[g].answered(server) {
+                    tables[g].record_contact(now);
+                    if tables[g].record_answer(server) {
                         words.push((ms + rng.u64(..TURN), g, server, true));
                     }
                     if let Some(back) = back.get_mut(server as usize).filter(|_| ms >= load.until) {
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -7,7 +7,7 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use redwingfold_core::{BackendServer, EndedRun, EventId, Millis, Owed, Repeat, SilenceWatch};
+use redwingfold_core::{Awaited, BackendServer, EndedRun, EventId, Millis, Repeat, SilenceWatch};
 
 use crate::clock::within;
 use crate::facts::{AnswerFacts, AttemptFacts, ReportedLoad};
@@ -223,7 +223,8 @@
         server: &BackendServer,
         expected: Millis,
     ) -> Option<Result<Response<Incoming>, CallError>> {
-        let owed = if self.route.stream.is_some() { Owed::Head(expected) } else { Owed::Plain };
+        let owed =
+            if self.route.stream.is_some() { Awaited::Head(expected) } else { Awaited::Plain };
         let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL);
         let mut answered = pin!(answered);
         loop {
@@ -245,9 +246,9 @@
         &self,
         watch: &mut SilenceWatch,
         server: &BackendServer,
-        owed: Owed,
+        owed: Awaited,
     ) -> bool {
-        watch.look(self.gw.now(), self.gw.loads.heard_at(&server.id));
+        watch.poll(self.gw.now(), self.gw.loads.heard_at(&server.id));
         watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
     }
 
--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -29,7 +29,7 @@
 
     /// Takes from a server's answer how much longer it is cold.
     pub(crate) fn heard_cold(&self, server: &BackendServer, left: Millis) {
-        self.with_registry(|r| r.is_cold(&server.id, left, self.now()));
+        self.with_registry(|r| r.set_cold(&server.id, left, self.now()));
     }
 
     /// Shows on the metrics page how many servers are cold.
--- a/gateway/src/ends.rs
+++ b/gateway/src/ends.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use redwingfold_core::{BackendId, BackendServer, Broke, EndedRun, Millis, ServerState};
+use redwingfold_core::{BackendId, BackendServer, BrokenRun, EndedRun, Millis, ServerState};
 
 use crate::clock::{sleep, within};
 use crate::gateway::Gateway;
@@ -26,13 +26,13 @@
             return;
         }
         let is_suspect = self.with_quarantine(|q| q.is_suspect(run.request));
-        let broke = self.ends.borrow_mut().broke(&server.id, run, self.now());
+        let broke = self.ends.borrow_mut().record_broken(&server.id, run, self.now());
         match broke {
-            Broke::First => self.spawn(look(self.clone(), server.clone())),
-            Broke::Ended => self.ended_under(&server.id, &[run]),
-            Broke::Waits => {}
+            BrokenRun::ProbeServer => self.spawn(look(self.clone(), server.clone())),
+            BrokenRun::ServerEnded => self.ended_under(&server.id, &[run]),
+            BrokenRun::ProbePending => {}
         }
-        if is_suspect && broke != Broke::Ended {
+        if is_suspect && broke != BrokenRun::ServerEnded {
             within(LOOK_LIMIT, self.looked_at(&server.id)).await;
         }
     }
@@ -41,7 +41,7 @@
     async fn looked_at(&self, id: &BackendId) {
         loop {
             let looked = self.looked.listen();
-            if !self.ends.borrow().is_unseen(id) {
+            if !self.ends.borrow().awaits_probe(id) {
                 return;
             }
             looked.await;
@@ -50,7 +50,7 @@
 
     /// Takes that a server has ended: it refuses connections, or has started again.
     pub(crate) fn server_ended(&self, id: &BackendId) {
-        let runs = self.ends.borrow_mut().ended(id, self.now());
+        let runs = self.ends.borrow_mut().record_end(id, self.now());
         self.ended_under(id, &runs);
     }
 
@@ -68,7 +68,7 @@
     /// Takes that a server's record is gone.
     pub(crate) fn server_lapsed(&self, id: &BackendId) {
         if self.is_ready_server(id) {
-            let runs = self.ends.borrow_mut().lapsed(id, self.now());
+            let runs = self.ends.borrow_mut().record_expiry(id, self.now());
             self.ended_under(id, &runs);
         }
     }
@@ -85,7 +85,7 @@
         if refused {
             gw.server_ended(&server.id);
         }
-        gw.ends.borrow_mut().looked_at(&server.id);
+        gw.ends.borrow_mut().record_probe(&server.id);
         gw.looked.notify(usize::MAX);
         if refused {
             return;
--- a/gateway/src/exchange/beliefs.rs
+++ b/gateway/src/exchange/beliefs.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use redwingfold_core::{FeedTold, Leads, Millis};
+use redwingfold_core::{FeedPositions, FeedTold, Millis};
 
 use super::image::{Orders, Record};
 use crate::feeds::{Feed, Reach};
@@ -36,7 +36,7 @@
 
     /// Notes that another gateway knows a feed up to an offset.
     pub(crate) fn note_lead(&self, feed: Feed, gateway: SocketAddr, next: u64) {
-        self.with_leads(feed, |leads| leads.heard(gateway, next, self.now()));
+        self.with_leads(feed, |leads| leads.record(gateway, next, self.now()));
         if self.lead(feed).is_some() {
             self.ahead.notify(usize::MAX);
         }
@@ -50,19 +50,19 @@
     /// Picks a gateway that knows more of a feed.
     pub(super) fn lead(&self, feed: Feed) -> Option<SocketAddr> {
         let own = self.with_feeds(|feeds| feeds.reached(feed));
-        self.with_leads(feed, |leads| leads.pick(own, fastrand::u64(..), self.now()))
+        self.with_leads(feed, |leads| leads.pick_ahead(own, fastrand::u64(..), self.now()))
     }
 
     pub(super) fn lead_failed(&self, feed: Feed, gateway: SocketAddr) {
-        self.with_leads(feed, |leads| leads.failed(gateway, self.now()));
+        self.with_leads(feed, |leads| leads.record_failure(gateway, self.now()));
     }
 
-    fn with_leads<T>(&self, feed: Feed, f: impl FnOnce(&mut Leads<SocketAddr>) -> T) -> T {
+    fn with_leads<T>(&self, feed: Feed, f: impl FnOnce(&mut FeedPositions<SocketAddr>) -> T) -> T {
         match feed {
             Feed::Orders => f(&mut self.orders_leads.borrow_mut()),
             Feed::Servers => f(&mut self.servers_leads.borrow_mut()),
             // Few and short, they are read in the store by whoever missed some.
-            Feed::Marks => f(&mut Leads::new()),
+            Feed::Marks => f(&mut FeedPositions::new()),
         }
     }
 }
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -1,7 +1,7 @@
 //! The list of backend servers, as one gateway gives it to another.
 
 use bytes::Bytes;
-use redwingfold_core::{BackendServer, Millis, PassedServers, Registry, ServerState};
+use redwingfold_core::{BackendServer, Millis, PeerServerList, Registry, ServerState};
 use serde::{Deserialize, Serialize};
 
 use super::delta;
@@ -68,8 +68,8 @@
             }
         });
         let servers = servers.collect();
-        let lapsing = registry.lapsing(now).map(|(id, left)| (id.to_string(), left.0 as u32));
-        let copies_left = registry.copies_left(now).0 as u32;
+        let lapsing = registry.expiring(now).map(|(id, left)| (id.to_string(), left.0 as u32));
+        let copies_left = registry.stale_for(now).0 as u32;
         Self { next, servers, lapsing: lapsing.collect(), copies_left }
     }
 
@@ -88,14 +88,14 @@
         Ok(postcard::from_bytes(&delta::read(&short, &[], len)?)?)
     }
 
-    pub(super) fn servers(self) -> Result<PassedServers, String> {
+    pub(super) fn servers(self) -> Result<PeerServerList, String> {
         let servers = self.servers.into_iter().map(|s| s.try_into().map_err(|e| format!("{e}")));
         let lapsing = self.lapsing.into_iter();
         let lapsing = lapsing.map(|(id, left)| (id.as_str().into(), Millis(u64::from(left))));
-        Ok(PassedServers {
+        Ok(PeerServerList {
             servers: servers.collect::<Result<_, _>>()?,
-            lapsing: lapsing.collect(),
-            copies_left: Millis(u64::from(self.copies_left)),
+            expiring: lapsing.collect(),
+            stale_for: Millis(u64::from(self.copies_left)),
         })
     }
 }
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -150,7 +150,7 @@
 #[test]
 fn server_that_is_about_to_go_goes_where_the_list_was_passed_on() {
     let mut read = Registry::default();
-    read.store_was_away(Millis(0));
+    read.record_outage(Millis(0));
     ["left", "stays"].iter().for_each(|id| {
         read.put(server(id), Millis(0));
     });
@@ -158,7 +158,7 @@
     let list = List::new(7, &read, |_| false, Millis(200)).write().unwrap().of(7).unwrap();
     let passed = List::read(&list, MAX).unwrap().servers().unwrap();
     let mut heard = Registry::default();
-    heard.replace_by_passed(passed, Millis(200), Millis(300));
+    heard.replace_by_peer_list(passed, Millis(200), Millis(300));
     assert_eq!(heard.servers(Millis(1_900)).count(), 2);
     let later: Vec<_> = heard.servers(Millis(2_100)).map(|s| s.id.as_str()).collect();
     assert_eq!(later, ["stays"]);
@@ -175,7 +175,7 @@
     let list = List::new(7, &read, is_leaving, Millis(0)).write().unwrap().of(7).unwrap();
     let passed = List::read(&list, MAX).unwrap().servers().unwrap();
     let mut heard = Registry::default();
-    heard.replace_by_passed(passed, Millis(0), Millis(0));
+    heard.replace_by_peer_list(passed, Millis(0), Millis(0));
     // A stale record from the store arrives later.
     heard.put(server("leaves"), Millis(100));
     let state = |id: &str| heard.get(&id.into()).map(|server| server.state);
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -8,9 +8,10 @@
 
 use event_listener::Event;
 use redwingfold_core::{
-    Catalog, ConnectTimes, Evacuations, Leads, LeavingServers, Millis, Pressure, Quarantine,
-    QuarantinePolicy, ReadRates, Regions, Registry, RegistryPolicy, RepeatBudget, RepeatUse,
-    RetryAfterTimes, Rises, SendTurns, ServerEnds, ServerLimits, ServiceName, StreamTimes,
+    Catalog, ConfidenceGains, ConnectTimes, Evacuations, FeedPositions, InterruptedRuns,
+    LeavingServers, Millis, Pressure, Quarantine, QuarantinePolicy, ReadRates, Regions, Registry,
+    RegistryPolicy, RepeatBudget, RepeatUse, RetryAfterTimes, SendTurns, ServerLimits, ServiceName,
+    StreamTimes,
 };
 use redwingfold_telemetry::Telemetry;
 use smol::LocalExecutor;
@@ -81,7 +82,7 @@
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<Orders>,
     /// Runs that ended, and servers that did.
-    pub(crate) ends: Rc<RefCell<ServerEnds>>,
+    pub(crate) ends: Rc<RefCell<InterruptedRuns>>,
     /// A server was looked at whose runs broke off.
     pub(crate) looked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
@@ -100,9 +101,9 @@
     /// Why the operator's topic could not be read the last time.
     pub(crate) orders_trouble: RefCell<Option<String>>,
     /// Other gateways that told how far they know the operator's topic.
-    pub(crate) orders_leads: RefCell<Leads<SocketAddr>>,
+    pub(crate) orders_leads: RefCell<FeedPositions<SocketAddr>>,
     /// The same for backend servers.
-    pub(crate) servers_leads: RefCell<Leads<SocketAddr>>,
+    pub(crate) servers_leads: RefCell<FeedPositions<SocketAddr>>,
     /// The list of servers as it was last written for another gateway.
     pub(crate) servers_written: RefCell<Option<WrittenServers>>,
     /// Another gateway knows more of one of them.
@@ -110,7 +111,7 @@
     budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
     pub(crate) connect_times: Cell<ConnectTimes>,
     pub(crate) rates: RefCell<ReadRates>,
-    pub(crate) rises: RefCell<Rises>,
+    pub(crate) rises: RefCell<ConfidenceGains>,
     pub(crate) stream_times: RefCell<StreamTimes>,
     pressure: Cell<Pressure>,
     standing: Cell<Standing>,
@@ -307,7 +308,7 @@
     /// Counts how long a first try waited for its first byte.
     pub(crate) fn first_try(&self, took: Millis, aim: Millis) {
         let mut pressure = self.pressure.get();
-        pressure.tried(took, aim);
+        pressure.record(took, aim);
         self.pressure.set(pressure);
     }
 
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use redwingfold_core::{
-    BackendId, BackendServer, EndedRun, Fault, HealthPolicy, Incarnation, Millis, PeerLoads, Place,
-    RequestRate, ServerEnds, ServerHealth, ServerReport, Unreached,
+    BackendId, BackendServer, EndedRun, Fault, HealthPolicy, Incarnation, InterruptedRuns, Millis,
+    PeerLoads, Place, RequestRate, ServerHealth, ServerReport, UnreachableServers,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -39,7 +39,7 @@
 struct Tables {
     own: HashMap<BackendId, Known>,
     peers: PeerLoads,
-    unreached: Unreached<Voice>,
+    unreached: UnreachableServers<Voice>,
     /// What the peers have not been told yet.
     untold: LoadNews,
     /// Pending notices to the peers about leaving servers, keyed by incarnation hash.
@@ -104,7 +104,7 @@
     server: ServerStart,
     unread: Millis,
     run: EndedRun,
-    ends: Rc<RefCell<ServerEnds>>,
+    ends: Rc<RefCell<InterruptedRuns>>,
     /// Whether it ended otherwise than by being given up.
     is_settled: bool,
 }
@@ -147,7 +147,7 @@
         let tables = self.0.borrow();
         let known = tables.own.get(&server.id).cloned().unwrap_or_default();
         let short = short_id(&server.id);
-        let told = tables.peers.at(short).report.filter(|(_, at)| *at > known.reported_at);
+        let told = tables.peers.get(short).report.filter(|(_, at)| *at > known.reported_at);
         let since = f64::from(known.sent_since) - f64::from(known.ended_since);
         let own = (f64::from(known.reported.running) + since, known.reported.waiting);
         let (reported, waiting, at) = match told {
@@ -162,7 +162,7 @@
             waiting: f64::from(waiting),
             unread: known.unread.after(tables.peers.backlog(short, now)),
             slots: server.slots,
-            is_out: known.health.is_out(now) || tables.unreached.is_out(short, now),
+            is_out: known.health.is_out(now) || tables.unreached.is_excluded(short, now),
         }
     }
 
@@ -173,7 +173,7 @@
         server: &BackendServer,
         unread: Millis,
         run: EndedRun,
-        ends: Rc<RefCell<ServerEnds>>,
+        ends: Rc<RefCell<InterruptedRuns>>,
     ) -> UnderWay {
         let mut tables = self.0.borrow_mut();
         if unread >= MIN_TOLD && tables.untold.sent.len() < MAX_UNTOLD {
@@ -209,22 +209,23 @@
         now: Millis,
     ) -> Vec<u32> {
         let Tables { peers, unreached, .. } = &mut *self.0.borrow_mut();
-        news.sent.into_iter().for_each(|(server, takes)| peers.sent(server, takes, now));
+        news.sent.into_iter().for_each(|(server, takes)| peers.record_sent(server, takes, now));
         for (server, report) in news.reports {
-            peers.reported(server, report, now);
-            unreached.answered(server);
+            peers.record_report(server, report, now);
+            unreached.record_answer(server);
         }
         for server in news.answered {
-            unreached.answered(server);
+            unreached.record_answer(server);
         }
         let voice = Voice::Peer(from);
-        let is_out = |server: &u32| unreached.failed(*server, voice, fleet, now, fastrand::u64(..));
+        let is_out =
+            |server: &u32| unreached.record_failure(*server, voice, fleet, now, fastrand::u64(..));
         news.unreached.iter().copied().filter(is_out).collect()
     }
 
     /// Notes that a server is tried.
     pub(crate) fn tries(&self, server: &BackendServer, now: Millis) {
-        self.0.borrow_mut().unreached.tried(short_id(&server.id), now);
+        self.0.borrow_mut().unreached.record_attempt(short_id(&server.id), now);
     }
 
     /// Takes that no connection to a server could be made; `true` if it is left out from now on.
@@ -236,7 +237,7 @@
         let short = short_id(&server.id);
         tables.untold.reports.remove(&short);
         tables.untold.unreached.insert(short);
-        tables.unreached.failed(short, Voice::Own, fleet, now, fastrand::u64(..))
+        tables.unreached.record_failure(short, Voice::Own, fleet, now, fastrand::u64(..))
     }
 
     /// Queues a limit for the peers; drops it if the queue is full.
@@ -273,9 +274,9 @@
     pub(crate) fn heard(&self, server: &BackendServer, now: Millis) {
         self.change(&server.into(), |known| known.heard_at = now);
         let Tables { unreached, untold, .. } = &mut *self.0.borrow_mut();
-        unreached.heard(now);
+        unreached.record_contact(now);
         let short = short_id(&server.id);
-        if unreached.answered(short) {
+        if unreached.record_answer(short) {
             untold.unreached.remove(&short);
             untold.answered.insert(short);
         }
@@ -308,7 +309,7 @@
         let mut tables = self.0.borrow_mut();
         tables.own.remove(id);
         tables.peers.forget(short_id(id));
-        tables.unreached.answered(short_id(id));
+        tables.unreached.record_answer(short_id(id));
     }
 
     /// Changes what is known of a start of a server. What its earlier starts answered, or how they
@@ -331,7 +332,7 @@
     /// Notes that the server has answered the request to its end.
     pub(crate) fn is_answered(&mut self) {
         self.is_settled = true;
-        self.ends.borrow_mut().answered(&self.server.id, Clock.now());
+        self.ends.borrow_mut().record_answer(&self.server.id, Clock.now());
     }
 
     /// Notes that the server did not run the request: it cannot end under it.
@@ -344,7 +345,7 @@
     fn drop(&mut self) {
         self.is_read();
         if !self.is_settled {
-            self.ends.borrow_mut().left(&self.server.id, self.run, Clock.now());
+            self.ends.borrow_mut().record_abandoned(&self.server.id, self.run, Clock.now());
         }
         self.table.change(&self.server, |known| {
             known.under_way = known.under_way.saturating_sub(1);
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -1,6 +1,6 @@
 //! Whether a model's answer is kept, or a larger one is asked.
 
-use redwingfold_core::{Larger, Millis, RepeatUse};
+use redwingfold_core::{LargerModel, Millis, RepeatUse};
 
 use crate::request::Flight;
 
@@ -9,7 +9,7 @@
     pub(crate) fn is_sure_enough(&mut self, size: usize, confidence: u8) -> bool {
         match self.opinion.replace((size, confidence)) {
             Some(smaller) if smaller.0 < size => {
-                self.gw.rises.borrow_mut().learn(&self.service, smaller, (size, confidence));
+                self.gw.rises.borrow_mut().record(&self.service, smaller, (size, confidence));
             }
             _ => {}
         }
@@ -42,9 +42,9 @@
         let spent = self.gw.now().since(self.begun);
         let larger: Vec<_> = (size + 1..self.route.sizes.len())
             .filter(|larger| self.ends_in_time(*larger))
-            .map(|larger| Larger {
+            .map(|larger| LargerModel {
                 size: larger,
-                rise: self.gw.rises.borrow().expected(&self.service, size, larger),
+                gain: self.gw.rises.borrow().expected(&self.service, size, larger),
                 in_time: spent.after(self.reading_time(larger)) < self.route.aim,
             })
             .collect();
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -26,7 +26,7 @@
 
     /// Adds peers that somebody named; `true` if one of them is new.
     pub fn learn(&self, named: &[SocketAddr], now: Millis) -> bool {
-        self.0.borrow_mut().learn(named, now)
+        self.0.borrow_mut().add(named, now)
     }
 
     /// Returns the number of peers.
@@ -50,6 +50,6 @@
 
     /// Returns those that were heard of late.
     pub(crate) fn present(&self, now: Millis) -> Vec<SocketAddr> {
-        self.with(|members| members.present(now))
+        self.with(|members| members.live(now))
     }
 }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -113,13 +113,13 @@
 
     /// Tells newcomers which gateways there are, and a few others what was learned.
     async fn tell_of_others(&mut self) {
-        let (is_news, mut told) = self.peers.with(|m| (m.take_news(), m.take_newcomers()));
+        let (is_news, mut told) = self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
         if !is_news && told.is_empty() {
             return;
         }
         let present = self.present();
         if is_news {
-            told.extend(Members::told(&present));
+            told.extend(Members::gossip_targets(&present));
         }
         self.tell_all_others(&present, &told, KEPT_FOR_OTHERS).await;
     }
@@ -244,7 +244,7 @@
             continue;
         };
         let now = gw.now();
-        peers.with(|members| members.heard(from, now, fastrand::u64(..)));
+        peers.with(|members| members.record_message(from, now, fastrand::u64(..)));
         if peers.learn(&message.gateways, now) {
             gw.news.notify(usize::MAX);
         }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_lite::Stream;
 use http_body::Frame;
-use redwingfold_core::{EventSplitter, Millis, Owed, SilenceWatch};
+use redwingfold_core::{Awaited, EventSplitter, Millis, SilenceWatch};
 
 use crate::answer::{Answer, boxed, passed_on};
 use crate::attempt::{Begun, Next, SILENCE_POLL};
@@ -175,7 +175,7 @@
             let gap = self.flight.route.stream.map_or(Millis(0), |stream| stream.gap);
             loop {
                 sleep(SILENCE_POLL).await;
-                let is_silent = self.flight.is_silent(&mut watch, &server, Owed::Event(gap));
+                let is_silent = self.flight.is_silent(&mut watch, &server, Awaited::Event(gap));
                 if is_silent && self.flight.is_repeatable() {
                     return Step::Silent;
                 }
@@ -193,7 +193,7 @@
         };
         let took = flight.gw.now().since(flight.begun.after(first));
         let mut times = flight.gw.stream_times.borrow_mut();
-        times.learn(&flight.service, flight.facts.usage.max_output, took);
+        times.record(&flight.service, flight.facts.usage.max_output, took);
     }
 
     async fn finish(mut self, ended: Ended) {
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -259,7 +259,7 @@
             self.gw.first_try(begun.first_byte, self.route.aim);
         }
         let own = self.own_tokens();
-        self.gw.rates.borrow_mut().learn(&self.service, size, own, begun.first_byte);
+        self.gw.rates.borrow_mut().record(&self.service, size, own, begun.first_byte);
         match begun.facts.confidence {
             Some(confidence) => self.is_sure_enough(size, confidence),
             None => true,
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -56,14 +56,14 @@
         let usual = versions.usual.entry((route, seen.size, is_pace)).or_default();
         let ratio = time.and_then(|time| match arm {
             Some(Arm::Current) => usual.ratio(time, seen.load),
-            Some(Arm::Target) | None => usual.ratio_of_other(time, seen.load),
+            Some(Arm::Target) | None => usual.ratio_of_other_version(time, seen.load),
         });
         if let (Some(Arm::Current), Some(time)) = (arm, time) {
-            usual.learn(time, seen.load);
+            usual.record(time, seen.load);
         }
         let present = &mut versions.present[usize::from(is_pace)];
         let ratio = match arm {
-            Some(Arm::Current) => ratio.inspect(|ratio| present.learn(*ratio, now)),
+            Some(Arm::Current) => ratio.inspect(|ratio| present.record(*ratio, now)),
             Some(Arm::Target) | None => ratio.map(|ratio| ratio / present.factor()),
         };
         if versions.latest().is_none_or(|canary| canary.phase() == Phase::Done) {
@@ -107,9 +107,9 @@
                 return None;
             }
             let target = &canary.order().target;
-            let recorded = match self.statuses.ended(service, target) {
+            let recorded = match self.statuses.outcome(service, target) {
                 Some(phase) => Recorded::Ended(phase),
-                None if self.statuses.is_missing(service, target, Phase::Trial) => {
+                None if self.statuses.is_unrecorded(service, target, Phase::Trial) => {
                     Recorded::Unknown
                 }
                 None => Recorded::Running,
@@ -146,7 +146,7 @@
         let (service, target, recorded) =
             (news.service.clone(), news.target.clone(), news.recorded);
         // A gateway that the store cannot reach may not have noticed yet that it came back from an older copy.
-        let is_doubted = news.era < self.era || self.statuses.is_doubted(now);
+        let is_doubted = news.era < self.era || self.statuses.is_unreliable(now);
         match versions.others.get_mut(from) {
             Some((known, at)) => {
                 known.take(news);
@@ -164,7 +164,7 @@
             Recorded::Ended(phase) if is_doubted => self.end(&service, phase, now),
             _ if is_doubted => {}
             Recorded::Ended(phase) => self.recorded(&service, &target, Some(phase), now),
-            Recorded::Running if self.statuses.is_missing(&service, &target, Phase::Trial) => {
+            Recorded::Running if self.statuses.is_unrecorded(&service, &target, Phase::Trial) => {
                 self.recorded(&service, &target, None, now);
             }
             Recorded::Running | Recorded::Unknown => {}
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 
 use redwingfold_core::{
-    Arm, Canary, CanaryPolicy, Millis, MovedSessions, OrderAge, Phase, PresentTime, RolloutOrder,
-    RouteEvidence, ServiceName, Shared, StatusBook, UsualTime, VersionName,
+    Arm, BaselineLatency, Canary, CanaryPolicy, CurrentSlowdown, Millis, MovedSessions, OrderAge,
+    Phase, RolloutOrder, RolloutStatuses, RouteEvidence, ServiceName, Shared, VersionName,
 };
 
 use crate::gateway::StoreCopy;
@@ -44,9 +44,9 @@
     ended_at: Option<Millis>,
     routes: HashMap<u32, RouteEvidence>,
     others: HashMap<String, (RolloutNews, Millis)>,
-    usual: HashMap<(u32, usize, bool), UsualTime>,
+    usual: HashMap<(u32, usize, bool), BaselineLatency>,
     /// Times of the version in service at the moment, and pauses between its events.
-    present: [PresentTime; 2],
+    present: [CurrentSlowdown; 2],
 }
 
 /// The versions of all services, and their roll-outs.
@@ -56,7 +56,7 @@
     /// Sessions that have moved, as far as this gateway has sent, keeps or has asked for them.
     pub(crate) moved_sessions: MovedSessions,
     services: HashMap<ServiceName, ServiceVersions>,
-    statuses: StatusBook,
+    statuses: RolloutStatuses,
     /// Services of which this gateway should write which versions are in service.
     unwritten: Vec<ServiceName>,
     /// All orders given before then are known.
@@ -96,7 +96,7 @@
             policy,
             moved_sessions: MovedSessions::new(session_keep),
             services: HashMap::new(),
-            statuses: StatusBook::default(),
+            statuses: RolloutStatuses::default(),
             unwritten: Vec::new(),
             orders_as_of: Millis(0),
             era: 0,
@@ -152,7 +152,7 @@
         ended: Option<Phase>,
         now: Millis,
     ) {
-        self.statuses.recorded(service, target, ended);
+        self.statuses.record(service, target, ended);
         let canary = self.canary(service).filter(|c| c.is_announced());
         let is_same = canary.is_some_and(|c| c.order().target == *target);
         if let (true, Some(phase)) = (is_same, ended) {
@@ -168,7 +168,7 @@
     /// Doubts what the store said of roll-outs: it has come back from an older copy, and is in another era.
     pub(crate) fn doubt_statuses(&mut self, era: u64, now: Millis) {
         self.era = era;
-        self.statuses.doubt(now);
+        self.statuses.invalidate(now);
     }
 
     /// Notes that this gateway has written a status. The others hear of it at once, so that they need not
@@ -286,7 +286,7 @@
             let canary = v.canary.as_ref()?;
             let (target, phase) = (&canary.order().target, canary.phase());
             let draw = fastrand::u64(..);
-            let due = statuses.due_in(service, target, phase, fleet, now, draw)?;
+            let due = statuses.write_due_in(service, target, phase, fleet, now, draw)?;
             let (service, target) = (service.clone(), target.clone());
             Some((due, DueStatus { service, target, phase }))
         });
@@ -299,7 +299,7 @@
             _ if v.unannounced.as_ref().is_some_and(|c| c.phase() < Phase::Done) => false,
             None => true,
             Some(c) if c.phase() < Phase::Done => false,
-            Some(c) => !self.statuses.is_missing(service, &c.order().target, c.phase()),
+            Some(c) => !self.statuses.is_unrecorded(service, &c.order().target, c.phase()),
         })
     }
 }
--- a/gateway/src/rollouts/versions.rs
+++ b/gateway/src/rollouts/versions.rs
@@ -49,7 +49,8 @@
         let mut begun = Vec::new();
         for (service, versions) in &mut self.services {
             let is_over = |c: &Canary| {
-                let is_written = !self.statuses.is_missing(service, &c.order().target, c.phase());
+                let is_written =
+                    !self.statuses.is_unrecorded(service, &c.order().target, c.phase());
                 c.phase() >= Phase::Done && (is_written || !c.is_announced())
             };
             let is_told = versions.ended_at.is_none_or(|at| now.since(at) >= END_TOLD);
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use redwingfold_core::{BackendId, BackendServer, Millis, PassedServers, PutOutcome};
+use redwingfold_core::{BackendId, BackendServer, Millis, PeerServerList, PutOutcome};
 
 use crate::feeds::ServerChange;
 use crate::gateway::{Gateway, StoreCopy};
@@ -85,15 +85,15 @@
         self.saw_list(&servers);
         let restarted = match copy {
             StoreCopy::Present => self.registry.borrow_mut().replace(servers, now),
-            StoreCopy::Older => self.registry.borrow_mut().replace_by_copy(servers, now),
+            StoreCopy::Older => self.registry.borrow_mut().replace_by_restored(servers, now),
         };
         self.took_list(&restarted);
     }
 
     /// Takes the list of backend servers that another gateway passes on, as of a time.
-    pub(crate) fn replace_servers_by_passed(&self, list: PassedServers, as_of: Millis) {
+    pub(crate) fn replace_servers_by_passed(&self, list: PeerServerList, as_of: Millis) {
         self.saw_list(&list.servers);
-        let restarted = self.registry.borrow_mut().replace_by_passed(list, as_of, self.now());
+        let restarted = self.registry.borrow_mut().replace_by_peer_list(list, as_of, self.now());
         self.took_list(&restarted);
     }
 
@@ -114,7 +114,7 @@
 
     /// Notes that the store that lists the servers was in trouble.
     pub fn store_was_away(&self) {
-        self.registry.borrow_mut().store_was_away(self.now());
+        self.registry.borrow_mut().record_outage(self.now());
     }
 
     /// Forgets servers whose grace has ended.
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -145,7 +145,7 @@
         let peers = self.peers.borrow();
         let Some((peers, _)) = peers.as_ref() else { return Vec::new() };
         let own = peers.own();
-        let settled = peers.with(|members| members.known_for(retention, now));
+        let settled = peers.with(|members| members.live_for(retention, now));
         let keepers = self.keepers(session, now);
         let former = session.former_keepers(&keepers, &settled, address_hash);
         let others = keepers.into_iter().filter(|keeper| *keeper != own);
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -116,7 +116,7 @@
 
 /// An answer whose body is being read.
 ///
-/// It may take as long as its bytes need, as long as some come: see [`redwingfold_core::Patience`].
+/// It may take as long as its bytes need, as long as some come: see [`redwingfold_core::IdleTimeout`].
 #[derive(Debug)]
 pub struct Reading {
     head: response::Parts,
