--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -15,10 +15,10 @@
 use crate::attempt::Begun;
 
 /// Body of an answer; an error breaks the connection off, so that the caller sees it cut.
-pub type AnswerBody = UnsyncBoxBody<Bytes, io::Error>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
 /// An answer to a caller.
-pub type Answer = Response<AnswerBody>;
+pub type GatewayResponse = Response<ResponseBody>;
 
 /// A request that was given up.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
 }
 
 /// Makes a whole body.
-pub(crate) fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
@@ -48,8 +48,8 @@
 /// use redwingfold_gateway::text_answer;
 /// assert_eq!(text_answer(http::StatusCode::OK, "ready").status(), 200);
 /// ```
-pub fn text_answer(status: StatusCode, text: impl Into<Bytes>) -> Answer {
-    let mut res = Response::new(whole_body(text));
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> GatewayResponse {
+    let mut res = Response::new(full_body(text));
     *res.status_mut() = status;
     res.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     res
@@ -59,7 +59,7 @@
 ///
 /// A status that promises "not run" is only given when that is true: after a send whose fate is
 /// not known, the answer is 502 or 504.
-pub(crate) fn error_answer(failed: &Failed) -> Answer {
+pub(crate) fn error_response(failed: &Failed) -> GatewayResponse {
     let row = failed.kind.row();
     let promises_not_run = matches!(row.status, 408 | 421 | 429 | 503);
     let status = match failed.run {
@@ -69,7 +69,7 @@
     };
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let body = format!("{}: {}\n", failed.kind, failed.why);
-    let mut res = text_answer(status, body);
+    let mut res = text_response(status, body);
     let retry_after = failed.retry_after.or(row.retry_after);
     if let Some(after) = retry_after.filter(|_| failed.run == RunState::NotRun) {
         let seconds = format!("{}.{:03}", after.0 / 1000, after.0 % 1000);
@@ -80,13 +80,13 @@
 }
 
 /// Asks the caller to close its connection after this answer.
-pub(crate) fn close_after(res: &mut Answer) {
+pub(crate) fn close_after(res: &mut GatewayResponse) {
     res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// Makes the caller's answer from a server's: its status, headers and signature.
-pub(crate) fn passed_on(begun: &Begun, body: AnswerBody) -> Answer {
-    let mut res = Answer::new(body);
+pub(crate) fn passed_on(begun: &Begun, body: ResponseBody) -> GatewayResponse {
+    let mut res = GatewayResponse::new(body);
     *res.status_mut() = begun.head.status;
     *res.headers_mut() = end_to_end(&begun.head.headers);
     res
@@ -119,6 +119,6 @@
 /// Boxes a body that may break.
 pub(crate) fn boxed(
     body: impl http_body::Body<Data = Bytes, Error = io::Error> + Send + 'static,
-) -> AnswerBody {
+) -> ResponseBody {
     body.boxed_unsync()
 }
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -10,10 +10,10 @@
 use redwingfold_core::{BackendServer, EndedRun, EventId, Millis, Owed, Repeat, SilenceWatch};
 
 use crate::clock::within;
-use crate::facts::{AnswerFacts, AttemptFacts, ReportedLoad};
+use crate::facts::{AttemptMetadata, ReportedLoad, ResponseMetadata};
 use crate::load::UnderWay;
 use crate::request::Flight;
-use crate::upstream::{CallError, Caller, chain};
+use crate::upstream::{CallError, HttpConnection, error_chain};
 
 /// Pause between looks at whether a server that is waited for is silent.
 pub(crate) const SILENCE_POLL: Millis = Millis(200);
@@ -38,7 +38,7 @@
 /// An answer whose head has come. Dropping it stops the server's work.
 pub(crate) struct Begun {
     pub(crate) head: http::response::Parts,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseMetadata,
     pub(crate) server: BackendServer,
     pub(crate) under_way: UnderWay,
     pub(crate) size: Option<usize>,
@@ -46,7 +46,7 @@
     /// Time from the send to the head.
     pub(crate) first_byte: Millis,
     body: Incoming,
-    _caller: Caller,
+    _caller: HttpConnection,
 }
 
 /// What comes next of a body.
@@ -70,7 +70,7 @@
         loop {
             match self.body.frame().await {
                 None => return Next::End,
-                Some(Err(e)) => return Next::Broken(chain(&e)),
+                Some(Err(e)) => return Next::Broken(error_chain(&e)),
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => return Next::Chunk(data),
@@ -95,7 +95,7 @@
         let limit = gw.connect_times.get().limit().min(self.left());
         let connecting_at = gw.now();
         gw.loads.tries(server, connecting_at);
-        let connected = Caller::connect(&gw.executor, server.addr, limit).await;
+        let connected = HttpConnection::connect(&gw.executor, server.addr, limit).await;
         let mut caller = match connected {
             Ok(caller) => caller,
             Err(e) => {
@@ -138,9 +138,9 @@
             }
         };
         let now = gw.now();
-        let facts = (gw.dialect.read_answer)(head.status, &head.headers);
+        let facts = (gw.header_codec.decode_response)(head.status, &head.headers);
         gw.loads.heard(server, now);
-        if let Some(left) = facts.cold_left {
+        if let Some(left) = facts.cold_remaining {
             gw.heard_cold(server, left);
         }
         if let Some(load) = facts.load {
@@ -180,24 +180,24 @@
         left: Millis,
         resume_after: Option<EventId>,
     ) -> Request<Full<Bytes>> {
-        let attempt = AttemptFacts {
+        let attempt = AttemptMetadata {
             server: server.id.clone(),
-            left,
+            time_left: left,
             customer: self.customer.as_ref().map(|c| c.name.clone()),
             model: self.size.map(|size| self.route.sizes[size].clone()),
-            urgency: self.urgency(resume_after.is_some() && self.facts.resume_after.is_none()),
+            priority: self.urgency(resume_after.is_some() && self.facts.resume_after.is_none()),
             resume_after,
         };
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
         *req.headers_mut() = self.headers.clone();
-        (self.gw.dialect.write_attempt)(req.headers_mut(), &attempt);
+        (self.gw.header_codec.encode_attempt)(req.headers_mut(), &attempt);
         req
     }
 
     /// Looks at whether a head is an answer to this request at all.
-    fn refusal(&self, head: &http::response::Parts, facts: &AnswerFacts) -> Option<Attempted> {
+    fn refusal(&self, head: &http::response::Parts, facts: &ResponseMetadata) -> Option<Attempted> {
         match facts {
             f if f.id.as_ref().is_some_and(|id| *id != self.facts.id) => {
                 Some(Attempted::Lost("answer to another request".to_owned()))
--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -18,7 +18,7 @@
     }
 
     /// Records that a server announced in an answer to a peer that it is leaving.
-    pub(crate) fn hear_leaving(&self, from: SocketAddr, hash: u64) {
+    pub(crate) fn apply_peer_leaving(&self, from: SocketAddr, hash: u64) {
         if !self.insert_leaving(hash) {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /// Updates the gauges of servers that are leaving or whose requested delay is still in effect.
-    pub fn show_availability(&self) {
+    pub fn update_availability_gauges(&self) {
         let now = self.now();
         let (leaving, delayed) = self.with_registry(|r| {
             let leaving = r.servers(now).filter(|server| self.is_leaving(server)).count();
--- a/gateway/src/choice.rs
+++ b/gateway/src/choice.rs
@@ -8,7 +8,7 @@
 
 use crate::answer::Failed;
 use crate::clock::sleep;
-use crate::facts::ModelAsk;
+use crate::facts::RequestedModel;
 use crate::request::Flight;
 use crate::rollout_choice::{Bound, BoundBy};
 use crate::session_keepers::KeepersAnswer;
@@ -247,7 +247,7 @@
     fn candidates<'a>(&self, registry: &'a Registry) -> Vec<&'a BackendServer> {
         let model = match (&self.facts.model, self.size) {
             (_, Some(size)) => self.route.sizes.get(size),
-            (ModelAsk::Named(model), None) => Some(model),
+            (RequestedModel::Named(model), None) => Some(model),
             _ => None,
         };
         let has_model = |s: &BackendServer| {
--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -33,7 +33,7 @@
     }
 
     /// Shows on the metrics page how many servers are cold.
-    pub fn show_cold(&self) {
+    pub fn update_cold_gauge(&self) {
         let now = self.now();
         let cold = self.with_registry(|r| {
             r.servers(now).filter(|server| self.cold_limit(server, r, now).is_some()).count()
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -47,13 +47,13 @@
                 .info(event, &[("domain", domain), ("servers", &servers), ("config", &config)]);
         }
         if !changes.is_empty() {
-            self.show_evacuations();
+            self.update_evacuation_gauges();
             self.moved.notify(usize::MAX);
         }
     }
 
     /// Shows on the metrics page how many domains are emptied, and for how long the first of them has been.
-    pub fn show_evacuations(&self) {
+    pub fn update_evacuation_gauges(&self) {
         let evacuations = self.evacuations.borrow();
         let first = evacuations.emptied().map(|(_, since)| since).min();
         let longest = first.map_or(Millis(0), |since| self.now().since(since));
--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -14,7 +14,7 @@
 use crate::clock::{sleep, within};
 use crate::feeds::Feed;
 use crate::gateway::Gateway;
-use crate::upstream::Caller;
+use crate::upstream::HttpConnection;
 
 /// Longest silence of a gateway that is asked. It writes its answer in some 10 ms of a whole core; a host with
 /// a tenth of one takes ten times as long.
@@ -100,7 +100,7 @@
 async fn ask_servers(gw: &Gateway, gateway: SocketAddr) -> Result<bool, String> {
     let began = gw.now();
     let next = gw.with_feeds(|feeds| feeds.reached(Feed::Servers));
-    let max = gw.settings.max_orders;
+    let max = gw.settings.max_orders_bytes;
     let Some(body) = get(gw, gateway, &servers::target(next), max).await? else {
         return Ok(false);
     };
@@ -112,7 +112,7 @@
         &[("from", &gateway), ("next", &list.next), ("age_ms", &age), ("bytes", &body.len())],
     );
     let next = list.next;
-    gw.replace_servers_by_passed(list.servers()?, as_of);
+    gw.replace_servers_from_peer(list.servers()?, as_of);
     gw.with_feeds(|feeds| feeds.know_servers(as_of, next));
     Ok(true)
 }
@@ -124,7 +124,7 @@
 ) -> Result<Option<Fetched>, String> {
     let began = gw.now();
     let ask = Ask { have, next: gw.with_feeds(|feeds| feeds.reached(Feed::Orders)) };
-    let max = gw.settings.max_orders;
+    let max = gw.settings.max_orders_bytes;
     let Some(body) = get(gw, gateway, &ask.target(), max).await? else { return Ok(None) };
     let offer: Offer = postcard::from_bytes(&body).map_err(|e| e.to_string())?;
     // What the answer took is counted as its age, too: the store may have moved on meanwhile.
@@ -155,12 +155,13 @@
     target: &str,
     max: usize,
 ) -> Result<Option<Bytes>, String> {
-    let connected = Caller::connect(&gw.executor, gateway, gw.settings.connect_timeout).await;
+    let connected =
+        HttpConnection::connect(&gw.executor, gateway, gw.settings.connect_timeout).await;
     let mut caller = connected.map_err(|e| e.to_string())?;
     let req = Request::get(target).header("host", gateway.to_string());
     let req = req.body(Full::default()).map_err(|e| e.to_string())?;
-    let mut reading = caller.begin(req, max, SILENCE).await.map_err(|e| e.to_string())?;
-    let body = reading.whole().await.map_err(|e| e.to_string())?;
+    let mut reading = caller.send_and_read(req, max, SILENCE).await.map_err(|e| e.to_string())?;
+    let body = reading.read_to_end().await.map_err(|e| e.to_string())?;
     match reading.status() {
         StatusCode::OK => Ok(Some(body)),
         StatusCode::NO_CONTENT => Ok(None),
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -6,7 +6,7 @@
 
 use super::image::Digest;
 use super::servers::{self, List};
-use crate::answer::{Answer, text_answer, whole_body};
+use crate::answer::{GatewayResponse, full_body, text_response};
 use crate::feeds::Feed;
 use crate::gateway::Gateway;
 
@@ -35,7 +35,7 @@
 }
 
 /// Makes the pages of what a gateway knows of the store's feeds.
-pub fn feed_pages(gw: Rc<Gateway>) -> impl Fn(&Uri) -> Option<Answer> + Clone {
+pub fn feed_pages(gw: Rc<Gateway>) -> impl Fn(&Uri) -> Option<GatewayResponse> + Clone {
     move |uri| {
         let ask = Ask::read(uri.query().unwrap_or_default());
         let bytes = match uri.path() {
@@ -47,11 +47,11 @@
             _ => return None,
         };
         let Some(bytes) = bytes else {
-            return Some(text_answer(StatusCode::NO_CONTENT, ""));
+            return Some(text_response(StatusCode::NO_CONTENT, ""));
         };
         gw.telemetry.count("feed.passed_on", 1);
         gw.telemetry.count("feed.passed_on_bytes", bytes.len() as i64);
-        Some(Response::new(whole_body(bytes)))
+        Some(Response::new(full_body(bytes)))
     }
 }
 
--- a/gateway/src/facts.rs
+++ b/gateway/src/facts.rs
@@ -7,7 +7,7 @@
 
 /// Which model a caller asks for.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub enum ModelAsk {
+pub enum RequestedModel {
     /// The gateway chooses.
     Any,
     /// This one.
@@ -37,17 +37,17 @@
 
 /// What a request says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Id of this attempt of the caller.
     pub id: String,
     /// How long the caller waits.
-    pub patience: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The customer's key.
     pub key: Option<String>,
     /// Requests of one session follow each other and keep their version.
     pub session: Option<String>,
     /// The model.
-    pub model: ModelAsk,
+    pub model: RequestedModel,
     /// Tokens.
     pub usage: Usage,
     /// Parts of the prompt, in order; the last one is the request's own.
@@ -56,7 +56,7 @@
     pub resume_after: Option<EventId>,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     /// Returns the parts of the prompt that other requests share; the last one is its own.
     pub(crate) fn shared_parts(&self) -> &[PromptPart] {
         &self.prompt[..self.prompt.len().saturating_sub(1)]
@@ -65,17 +65,17 @@
 
 /// What an attempt tells a backend server beside the caller's request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptFacts {
+pub struct AttemptMetadata {
     /// The server for which it is meant; any other must refuse it.
     pub server: BackendId,
     /// Time left for the answer.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The customer, as its key tells.
     pub customer: Option<CustomerName>,
     /// The model that the gateway chose, if the caller left it the choice.
     pub model: Option<ModelName>,
     /// Rank among the server's requests.
-    pub urgency: Priority,
+    pub priority: Priority,
     /// The last event that the caller has.
     pub resume_after: Option<EventId>,
 }
@@ -93,7 +93,7 @@
 
 /// What the head of an answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// Id of the attempt that it answers, if it says so.
     pub id: Option<String>,
     /// Whether the server says that it did not run the request, and will not.
@@ -105,7 +105,7 @@
     /// Load of the server.
     pub load: Option<ReportedLoad>,
     /// How much longer the server is cold, if it says so.
-    pub cold_left: Option<Millis>,
+    pub cold_remaining: Option<Millis>,
     /// Requests per second that the server accepts from all gateways combined, if limited.
     pub rate_limit: Option<RequestRate>,
     /// Whether the server announces that it is leaving.
@@ -118,11 +118,11 @@
 
 /// How a deployment writes facts into heads. Header names appear nowhere else.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct HeaderCodec {
     /// Reads a request's head; the error says what is wrong with it.
-    pub read_request: fn(&HeaderMap) -> Result<RequestFacts, String>,
+    pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, String>,
     /// Turns the head of a caller's request into that of an attempt.
-    pub write_attempt: fn(&mut HeaderMap, &AttemptFacts),
+    pub encode_attempt: fn(&mut HeaderMap, &AttemptMetadata),
     /// Reads the head of an answer.
-    pub read_answer: fn(StatusCode, &HeaderMap) -> AnswerFacts,
+    pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
 }
--- a/gateway/src/flight_log.rs
+++ b/gateway/src/flight_log.rs
@@ -70,7 +70,7 @@
     /// Records the session of a long request once more at its end, from which on its next one may follow.
     fn refresh_session(&self) {
         let (gw, now) = (&self.gw, self.gw.now());
-        let is_long = now.since(self.begun).0 >= gw.settings.session_keep.0 / 2;
+        let is_long = now.since(self.begun).0 >= gw.settings.session_retention.0 / 2;
         let Some(server) = self.server.as_ref() else { return };
         if is_long && self.reached == Some(Arm::Target) {
             self.record_session(server, now);
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -17,10 +17,10 @@
 
 use crate::clock::{Clock, within};
 use crate::exchange::{Orders, WrittenServers};
-use crate::facts::Dialect;
+use crate::facts::HeaderCodec;
 use crate::feeds::{Feed, Feeds, ServerChange};
 use crate::load::LoadTable;
-use crate::quarantine::Claim;
+use crate::quarantine::TrialClaim;
 use crate::rollouts::Rollouts;
 use crate::session_keepers::SessionKeepers;
 use crate::settings::GatewaySettings;
@@ -64,7 +64,7 @@
 /// What one process believes, decides and has under way. It belongs to one thread.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
-    pub(crate) dialect: Dialect,
+    pub(crate) header_codec: HeaderCodec,
     pub(crate) telemetry: Telemetry,
     pub(crate) clock: Clock,
     started: Millis,
@@ -85,7 +85,7 @@
     /// A server was looked at whose runs broke off.
     pub(crate) looked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
-    pub(crate) claims: RefCell<VecDeque<Claim>>,
+    pub(crate) claims: RefCell<VecDeque<TrialClaim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
     pub(crate) regions: RefCell<Regions>,
     pub(crate) send_turns: RefCell<SendTurns>,
@@ -130,11 +130,11 @@
     /// Makes a gateway that knows no configuration yet.
     pub fn new(
         settings: GatewaySettings,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         telemetry: Telemetry,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
-        let rollouts = Rollouts::new(settings.canary, settings.session_keep);
+        let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
         let connect_times = ConnectTimes::new(settings.connect_timeout);
         // Servers end before many gateways at once; marks that all of them wrote at the same moment would hold each other up.
@@ -143,7 +143,7 @@
         let quarantine = Quarantine::new(QuarantinePolicy { hold, ..settings.quarantine });
         Self {
             settings,
-            dialect,
+            header_codec,
             telemetry,
             clock: Clock,
             started: Clock.now(),
@@ -253,7 +253,7 @@
         self.telemetry.gauge("store.era", era);
         self.telemetry.warn("store_restored", &[("era_before", &before), ("era", &era)]);
         self.restored_at.set(Some(now));
-        self.store_was_away();
+        self.record_store_outage();
         self.with_rollouts(|r| r.doubt_statuses(era, now));
     }
 
@@ -282,7 +282,7 @@
         let s = &self.settings;
         let mut budgets = self.budgets.borrow_mut();
         f(budgets.entry(service.clone()).or_insert_with(|| {
-            RepeatBudget::new(s.repeat_window, s.repeat_ratio, s.quality_ratio, s.repeat_slack)
+            RepeatBudget::new(s.retry_window, s.retry_ratio, s.larger_model_ratio, s.retry_reserve)
         }))
     }
 
--- a/gateway/src/head_watch.rs
+++ b/gateway/src/head_watch.rs
@@ -11,7 +11,7 @@
 use redwingfold_core::Millis;
 use smol::io::{AsyncRead, AsyncWrite};
 
-use crate::answer::AnswerBody;
+use crate::answer::ResponseBody;
 use crate::clock::{Clock, sleep};
 
 /// No byte of a further head has come.
@@ -65,7 +65,7 @@
     }
 
     /// Watches an answer: once it is gone, the next head may come.
-    pub(crate) fn answer(&self, body: AnswerBody) -> WatchedBody {
+    pub(crate) fn answer(&self, body: ResponseBody) -> WatchedBody {
         WatchedBody { inner: body, watch: self.clone() }
     }
 }
@@ -111,7 +111,7 @@
 
 /// The body of an answer, after which the connection is idle.
 pub(crate) struct WatchedBody {
-    inner: AnswerBody,
+    inner: ResponseBody,
     watch: HeadWatch,
 }
 
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! Answers HTTP requests from backend servers that it chooses, watches and goes on from.
 //!
 //! One pipeline: caller, request facts, route and customer, choice of version, model and server,
-//! attempt, relay, caller. What a deployment says on its wire comes in through a [`Dialect`], and
+//! attempt, relay, caller. What a deployment says on its wire comes in through a [`HeaderCodec`], and
 //! what it believes through [`Gateway`]'s methods; decisions are made in `redwingfold-core`.
 
 mod answer;
@@ -44,11 +44,12 @@
 mod turns;
 mod upstream;
 
-pub use answer::{Answer, AnswerBody, text_answer};
+pub use answer::{GatewayResponse, ResponseBody, text_response};
 pub use clock::Clock;
 pub use exchange::{Fetched, Record, feed_pages, fetch_orders, fetch_servers, watch_orders_age};
 pub use facts::{
-    AnswerFacts, AttemptFacts, Dialect, ModelAsk, PromptPart, ReportedLoad, RequestFacts, Usage,
+    AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
+    ResponseMetadata, Usage,
 };
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
 pub use gateway::{ConfigSource, Gateway, Standing, StoreCopy};
@@ -56,10 +57,10 @@
 pub use net::{bind, connect, with_timeouts};
 pub use peer_table::Peers;
 pub use peers::{hear_peers, tell_peers};
-pub use quarantine::Claim;
+pub use quarantine::TrialClaim;
 pub use rollout_news::{Recorded, RolloutNews};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
 pub use session_keepers::tell_keepers;
 pub use settings::GatewaySettings;
-pub use upstream::{CallError, Caller, Reading};
+pub use upstream::{CallError, HttpConnection, ResponseReader};
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::gateway::Gateway;
-use crate::load::LimitNews;
+use crate::load::LimitUpdate;
 
 /// Returns a hash of the server's id and incarnation, the same on every gateway.
 pub(crate) fn incarnation_hash(server: &BackendServer) -> u64 {
@@ -18,7 +18,7 @@
     /// Records the limit in a server's answer and queues it for the peers.
     pub(crate) fn record_limit(&self, server: &BackendServer, limit: Option<RequestRate>) {
         let hash = incarnation_hash(server);
-        let news = LimitNews { limit, reported_at: self.now() };
+        let news = LimitUpdate { limit, reported_at: self.now() };
         let change = self.server_limits.borrow_mut().record(hash, limit, news.reported_at);
         // Repeated with every answer, so that gateways that have just started or missed a message learn the limit.
         if self.server_limits.borrow().has(hash) {
@@ -28,7 +28,7 @@
     }
 
     /// Records the limit in an answer that a peer received.
-    pub(crate) fn hear_limit(&self, from: SocketAddr, hash: u64, news: LimitNews) {
+    pub(crate) fn apply_peer_limit(&self, from: SocketAddr, hash: u64, news: LimitUpdate) {
         let change = self.server_limits.borrow_mut().record(hash, news.limit, news.reported_at);
         if change.is_none() {
             return;
@@ -71,7 +71,7 @@
     }
 
     /// Updates the gauge of servers that report a limit.
-    pub fn show_limits(&self) {
+    pub fn update_limit_gauge(&self) {
         let limited = self.with_registry(|r| {
             r.servers(self.now()).filter(|server| self.limit_of(server).is_some()).count()
         });
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -41,7 +41,7 @@
     peers: PeerLoads,
     unreached: Unreached<Voice>,
     /// What the peers have not been told yet.
-    untold: LoadNews,
+    untold: LoadUpdate,
     /// Pending notices to the peers about leaving servers, keyed by incarnation hash.
     leaving_notices: HashMap<u64, NoticeSchedule>,
 }
@@ -61,7 +61,7 @@
 
 /// What one gateway tells the others of servers' loads.
 #[derive(Debug, Default)]
-pub(crate) struct LoadNews {
+pub(crate) struct LoadUpdate {
     /// Prompts that were sent, and how long each takes to read.
     pub(crate) sent: Vec<(u32, Millis)>,
     /// Reports that came with answers, the newest of each server.
@@ -71,14 +71,14 @@
     /// Servers that have answered, though somebody could not reach them.
     pub(crate) answered: HashSet<u32>,
     /// Server limits, keyed by incarnation hash.
-    pub(crate) limits: HashMap<u64, LimitNews>,
+    pub(crate) limits: HashMap<u64, LimitUpdate>,
     /// Incarnation hashes of servers that have announced that they are leaving.
     pub(crate) leaving: HashSet<u64>,
 }
 
 /// The limit in a server's answer, as passed between gateways.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LimitNews {
+pub(crate) struct LimitUpdate {
     /// `None` if the server no longer reports a limit.
     pub(crate) limit: Option<RequestRate>,
     pub(crate) reported_at: Millis,
@@ -201,10 +201,10 @@
     }
 
     /// Takes what a peer has told; returns the servers that are left out from now on, by their short names.
-    pub(crate) fn hear(
+    pub(crate) fn apply_peer_update(
         &self,
         from: SocketAddr,
-        news: LoadNews,
+        news: LoadUpdate,
         fleet: usize,
         now: Millis,
     ) -> Vec<u32> {
@@ -240,7 +240,7 @@
     }
 
     /// Queues a limit for the peers; drops it if the queue is full.
-    pub(crate) fn tell_limit(&self, server: u64, news: LimitNews) {
+    pub(crate) fn tell_limit(&self, server: u64, news: LimitUpdate) {
         let limits = &mut self.0.borrow_mut().untold.limits;
         if limits.len() < MAX_UNTOLD / 2 || limits.contains_key(&server) {
             limits.insert(server, news);
@@ -259,7 +259,7 @@
     }
 
     /// Takes what the peers have not been told yet.
-    pub(crate) fn take_news(&self, now: Millis) -> LoadNews {
+    pub(crate) fn take_pending_updates(&self, now: Millis) -> LoadUpdate {
         let Tables { untold, leaving_notices, .. } = &mut *self.0.borrow_mut();
         for (server, schedule) in leaving_notices.iter_mut().filter(|(_, s)| s.next_at <= now) {
             untold.leaving.insert(*server);
--- a/gateway/src/meeting.rs
+++ b/gateway/src/meeting.rs
@@ -73,7 +73,7 @@
                 gw.news.notify(usize::MAX);
             }
         }
-        gw.met_others();
+        gw.record_peers_joined();
         if peers.len() != logged {
             logged = peers.len();
             gw.telemetry.info("peers_known", &[("peers", &logged)]);
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::feeds::ServerChange;
-use crate::load::{LimitNews, LoadNews};
+use crate::load::{LimitUpdate, LoadUpdate};
 use crate::rollout_news::{Recorded, RolloutNews};
 use crate::session_keepers::SessionMessage;
 
@@ -317,13 +317,13 @@
 
 impl LimitWire {
     /// Returns the server's incarnation hash and limit, or `None` if the rate is invalid.
-    fn to_news(self, now: Millis) -> Option<(u64, LimitNews)> {
+    fn to_news(self, now: Millis) -> Option<(u64, LimitUpdate)> {
         let Self(server, per_second, age) = self;
         let limit = match per_second {
             Some(per_second) => Some(RequestRate::new(per_second)?),
             None => None,
         };
-        Some((server, LimitNews { limit, reported_at: Millis(now.0.saturating_sub(age.into())) }))
+        Some((server, LimitUpdate { limit, reported_at: Millis(now.0.saturating_sub(age.into())) }))
     }
 }
 
@@ -334,7 +334,7 @@
     }
 
     /// Adds what is told of loads.
-    pub(crate) fn add_loads(&mut self, news: LoadNews, now: Millis) {
+    pub(crate) fn add_loads(&mut self, news: LoadUpdate, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
         self.sent = news.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
         let report = |(server, r): (u32, ServerReport)| {
@@ -343,7 +343,7 @@
         self.reports = news.reports.into_iter().map(report).collect();
         self.unreached = news.unreached.into_iter().collect();
         self.answered = news.answered.into_iter().collect();
-        let limit = |(server, news): (u64, LimitNews)| {
+        let limit = |(server, news): (u64, LimitUpdate)| {
             let age = short(now.since(news.reported_at).0);
             LimitWire(server, news.limit.map(RequestRate::per_second), age)
         };
@@ -352,14 +352,14 @@
     }
 
     /// Takes out what is told of loads.
-    pub(crate) fn take_loads(&mut self, now: Millis) -> LoadNews {
+    pub(crate) fn take_loads(&mut self, now: Millis) -> LoadUpdate {
         let sent = std::mem::take(&mut self.sent);
         let reports = std::mem::take(&mut self.reports);
         let limits = std::mem::take(&mut self.limits);
         let report = |(server, running, waiting): (u32, u16, u16)| {
             (server, ServerReport { running: running.into(), waiting: waiting.into() })
         };
-        LoadNews {
+        LoadUpdate {
             sent: sent.into_iter().map(|(s, ms)| (s, Millis(ms.into()))).collect(),
             reports: reports.into_iter().map(report).collect(),
             unreached: std::mem::take(&mut self.unreached).into_iter().collect(),
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -137,7 +137,7 @@
         let fleet = present.len() + 1;
         self.gw.with_feeds(|feeds| feeds.share_with(fleet));
         self.gw.with_rollouts(|rollouts| rollouts.share_with(fleet));
-        self.gw.saw_fleet(fleet);
+        self.gw.record_fleet_size(fleet);
         self.turn = self.turn.wrapping_add(1);
         if self.turn.is_multiple_of(ROLLOUT_TURNS) {
             let part = &present[..present.len().div_ceil(ROLLOUT_PART)];
@@ -150,7 +150,7 @@
             self.tell_all_others(&present, one, KEPT_FOR_FEEDS).await;
         }
         let mut loads = PeerMessage::default();
-        loads.add_loads(self.gw.loads.take_news(self.gw.now()), self.gw.now());
+        loads.add_loads(self.gw.loads.take_pending_updates(self.gw.now()), self.gw.now());
         if !loads.is_empty() || self.gw.now().since(self.told_at) >= QUIET {
             self.tell(loads, &present, KEPT_FOR_FEEDS).await;
         }
@@ -257,11 +257,11 @@
     let fleet = gw.with_feeds(|feeds| feeds.fleet());
     let news = message.take_loads(now);
     for (server, limit) in &news.limits {
-        gw.hear_limit(from, *server, *limit);
+        gw.apply_peer_limit(from, *server, *limit);
     }
-    news.leaving.iter().for_each(|server| gw.hear_leaving(from, *server));
-    for server in gw.loads.hear(from, news, fleet, now) {
-        gw.left_out_unreached(server, Some(from));
+    news.leaving.iter().for_each(|server| gw.apply_peer_leaving(from, *server));
+    for server in gw.loads.apply_peer_update(from, news, fleet, now) {
+        gw.log_unreachable_server(server, Some(from));
     }
     if let Some(orders) = message.orders {
         gw.hear_orders(from, orders.into());
@@ -273,7 +273,7 @@
             Ok(changes) => {
                 let next = FeedTold::from(told).next;
                 let heard = gw.with_feeds(|feeds| feeds.hear_servers(told.into(), changes, now));
-                gw.take_changes(heard);
+                gw.apply_server_changes(heard);
                 gw.note_lead(Feed::Servers, from, next);
             }
             Err(_) => gw.telemetry.count("peers.unreadable", 1),
@@ -282,7 +282,7 @@
     if let Some((told, marks)) = message.marks {
         let marks = marks.into_iter().map(Into::into).collect();
         let heard = gw.with_feeds(|feeds| feeds.hear_marks(told.into(), marks, now));
-        gw.hear_marks(from, &heard);
+        gw.apply_peer_marks(from, &heard);
     }
     message.session.iter().for_each(|session| gw.hear_session(from, *session));
     for rollout in message.rollouts {
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -9,9 +9,9 @@
 use hyper::body::{Body, Incoming};
 use redwingfold_core::{CallLimits, Catalog, Customer, ErrorKind, Millis, Route};
 
-use crate::answer::{Answer, Failed, close_after, error_answer};
+use crate::answer::{Failed, GatewayResponse, close_after, error_response};
 use crate::clock::within;
-use crate::facts::RequestFacts;
+use crate::facts::RequestMetadata;
 use crate::fingerprint::fingerprint;
 use crate::gateway::{Gateway, Standing};
 use crate::request::{Asked, Flight};
@@ -32,12 +32,12 @@
 const COME_BACK: Millis = Millis(1_000);
 
 /// Answers a caller's request.
-pub(crate) async fn handle(gw: Rc<Gateway>, req: Request<Incoming>) -> Answer {
+pub(crate) async fn handle(gw: Rc<Gateway>, req: Request<Incoming>) -> GatewayResponse {
     let answered = Box::pin(answer(&gw, req)).await;
     let mut res = match answered {
         Ok(res) => res,
         Err(failed) => {
-            let mut res = error_answer(&failed);
+            let mut res = error_response(&failed);
             if matches!(failed.kind, ErrorKind::BadRequest | ErrorKind::BodyTooLarge) {
                 close_after(&mut res);
             }
@@ -50,7 +50,7 @@
     res
 }
 
-async fn answer(gw: &Rc<Gateway>, req: Request<Incoming>) -> Result<Answer, Failed> {
+async fn answer(gw: &Rc<Gateway>, req: Request<Incoming>) -> Result<GatewayResponse, Failed> {
     let begun = gw.now();
     let mut id = String::new();
     let (catalog, route, customer, facts, asked) = match admit(gw, req, &mut id).await {
@@ -83,7 +83,7 @@
     }
 }
 
-type Admitted = (Rc<Catalog>, Rc<Route>, Option<Customer>, RequestFacts, Asked);
+type Admitted = (Rc<Catalog>, Rc<Route>, Option<Customer>, RequestMetadata, Asked);
 
 /// Reads a request and looks at whether it is well-formed and allowed; `id` is set as soon as it is
 /// known.
@@ -97,7 +97,7 @@
     let limits = early.as_ref().map_or_else(CallLimits::default, |c| c.limits);
     check_framing(&head.headers)?;
     let body = read_body(gw, &limits, body).await?;
-    let facts = (gw.dialect.read_request)(&head.headers)
+    let facts = (gw.header_codec.decode_request)(&head.headers)
         .map_err(|why| Failed::new(ErrorKind::BadRequest, why))?;
     id.clone_from(&facts.id);
     // Taken anew after the body: a slow sender must not be answered by an old configuration.
@@ -122,9 +122,9 @@
 /// Load pattern: the entries are restarted one after the other, faster than each ends, and callers
 /// reach only ones that stop. A closed listener would take the one repeat that a caller has; told
 /// when to come back, it meets one that is up again.
-fn check_ending(gw: &Gateway, route: &Route, facts: &RequestFacts) -> Result<(), Failed> {
+fn check_ending(gw: &Gateway, route: &Route, facts: &RequestMetadata) -> Result<(), Failed> {
     let longest = route.timeout.unwrap_or(Millis(u64::MAX));
-    let takes = facts.patience.unwrap_or(longest).min(longest);
+    let takes = facts.timeout.unwrap_or(longest).min(longest);
     if gw.standing() != Standing::Ending || gw.now().after(takes) < gw.ends_at() {
         return Ok(());
     }
@@ -142,9 +142,9 @@
 /// Load pattern: all processes are killed at once, and their callers come back before the store has
 /// answered. Refused at once, each would spend the one repeat that it has on a process that knows
 /// nothing; most are served if they wait a moment.
-async fn known_catalog(gw: &Gateway, facts: &RequestFacts) -> Result<Rc<Catalog>, Failed> {
-    let patience = facts.patience.unwrap_or(DEFAULT_PATIENCE);
-    let limit = Millis(patience.0 / KNOWLEDGE_PART).min(MAX_KNOWLEDGE_WAIT);
+async fn known_catalog(gw: &Gateway, facts: &RequestMetadata) -> Result<Rc<Catalog>, Failed> {
+    let timeout = facts.timeout.unwrap_or(DEFAULT_PATIENCE);
+    let limit = Millis(timeout.0 / KNOWLEDGE_PART).min(MAX_KNOWLEDGE_WAIT);
     within(limit, async {
         gw.known().await;
         gw.marks_known().await;
@@ -159,7 +159,7 @@
 fn customer(
     catalog: &Catalog,
     route: &Route,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<Option<Customer>, Failed> {
     if route.is_public || !catalog.has_customers() {
         return Ok(None);
@@ -194,7 +194,7 @@
     let announced = body.size_hint().lower() as usize;
     match announced {
         n if n > limits.body_bytes => return Err(too_large()),
-        n if gw.held_bytes.get() + n > gw.settings.max_held_bytes => {
+        n if gw.held_bytes.get() + n > gw.settings.max_request_body_bytes => {
             return Err(Failed::new(ErrorKind::TooManyOpen, "request bodies fill their memory"));
         }
         0 if body.is_end_stream() => return Ok(Bytes::new()),
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -26,7 +26,7 @@
 
 /// A trial that a request asks for. Of all gateways, the one that writes its mark first gets it.
 #[derive(Debug)]
-pub struct Claim {
+pub struct TrialClaim {
     /// The request.
     pub request: Fingerprint,
     /// Number of the trial.
@@ -34,9 +34,9 @@
     granted: Sender<bool>,
 }
 
-impl Claim {
+impl TrialClaim {
     /// Tells the request whether it may be sent; `false` if it does not wait any longer.
-    pub fn answer(self, is_granted: bool) -> bool {
+    pub fn resolve(self, is_granted: bool) -> bool {
         self.granted.try_send(is_granted).is_ok()
     }
 }
@@ -71,12 +71,12 @@
     }
 
     /// Takes the next trial that a request asks for.
-    pub fn next_claim(&self) -> Option<Claim> {
+    pub fn next_claim(&self) -> Option<TrialClaim> {
         self.claims.borrow_mut().pop_front()
     }
 
     /// Says whether the marks of requests should be read, or some written.
-    pub fn has_marks_to_do(&self) -> bool {
+    pub fn is_mark_sync_due(&self) -> bool {
         let now = self.now();
         let is_write_due = self.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now);
         let is_read_due = self.with_feeds(|feeds| feeds.is_due(Feed::Marks, now));
@@ -84,7 +84,7 @@
     }
 
     /// Waits until a request asks for a trial, or marks are to be written, at most for a time.
-    pub async fn marks_moved(&self, limit: Millis) {
+    pub async fn wait_for_mark_work(&self, limit: Millis) {
         let moved = self.marks_moved.listen();
         if self.claims.borrow().is_empty() {
             within(limit, moved).await;
@@ -93,19 +93,19 @@
 
     /// Waits until it is time for calls again: a period of reads, or until a request asks for a trial or is to be kept from
     /// servers. What happens together is written together, and a gateway that misses many messages reads once.
-    pub async fn rest_from_marks(&self) {
+    pub async fn wait_for_next_mark_sync(&self) {
         let until = self.now().after(self.settings.feeds.marks);
         while self.claims.borrow().is_empty()
             && !self.with_quarantine(|q| q.is_urgent())
             && self.now() < until
         {
-            self.marks_moved(until.since(self.now())).await;
+            self.wait_for_mark_work(until.since(self.now())).await;
         }
     }
 
     /// Takes an own read of marks that began at `began` and ended at position `next`; `all_of` is the copy of the store
     /// if it brought all of them.
-    pub fn read_marks(
+    pub fn apply_read_marks(
         &self,
         began: Millis,
         next: u64,
@@ -127,7 +127,7 @@
     }
 
     /// Takes marks of which another gateway told.
-    pub(crate) fn hear_marks(&self, from: SocketAddr, marks: &[MarkChange]) {
+    pub(crate) fn apply_peer_marks(&self, from: SocketAddr, marks: &[MarkChange]) {
         let kept = self.with_quarantine(|q| q.hear(marks, self.now()));
         self.log_kept(&kept, Some(from));
         if self.with_quarantine(|q| q.is_urgent()) {
@@ -177,7 +177,7 @@
         }
         let (granted, answer): (_, Receiver<bool>) = bounded(1);
         self.with_quarantine(|q| q.claims(request, self.now()));
-        self.claims.borrow_mut().push_back(Claim { request, trial, granted });
+        self.claims.borrow_mut().push_back(TrialClaim { request, trial, granted });
         self.marks_moved.notify(usize::MAX);
         let is_granted =
             matches!(within(CLAIM_LIMIT.min(patience), answer.recv()).await, Some(Ok(true)));
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use http_body::Frame;
 use redwingfold_core::{EventSplitter, Millis, Owed, SilenceWatch};
 
-use crate::answer::{Answer, boxed, passed_on};
+use crate::answer::{GatewayResponse, boxed, passed_on};
 use crate::attempt::{Begun, Next, SILENCE_POLL};
 use crate::clock::sleep;
 use crate::request::Flight;
@@ -23,7 +23,7 @@
 const RUNS_ON: Millis = Millis(500);
 
 /// Begins to pass a stream on; the rest goes on in a task of its own.
-pub(crate) fn start(flight: Flight, begun: Box<Begun>) -> Answer {
+pub(crate) fn start(flight: Flight, begun: Box<Begun>) -> GatewayResponse {
     let (tx, rx) = bounded(CHUNKS_IN_FLIGHT);
     let res = passed_on(&begun, boxed(ChannelBody { rx: Box::pin(rx) }));
     let gw = flight.gw.clone();
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -10,10 +10,10 @@
     is_in_first_half,
 };
 
-use crate::answer::{Answer, Failed, passed_on, whole_body};
+use crate::answer::{Failed, GatewayResponse, full_body, passed_on};
 use crate::attempt::{Attempted, Begun, Next};
 use crate::clock::within;
-use crate::facts::{ModelAsk, RequestFacts};
+use crate::facts::{RequestMetadata, RequestedModel};
 use crate::gateway::Gateway;
 use crate::load::short_id;
 use crate::quarantine::Trial;
@@ -34,7 +34,7 @@
     pub(crate) route: Rc<Route>,
     pub(crate) service: ServiceName,
     pub(crate) customer: Option<Customer>,
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -86,14 +86,14 @@
         catalog: Rc<Catalog>,
         route: Rc<Route>,
         customer: Option<Customer>,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         asked: Asked,
         begun: Millis,
     ) -> Self {
         let service = route.target(fastrand::u64(..)).cloned().unwrap_or_default();
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
-        let until = begun.after(facts.patience.unwrap_or(longest).min(longest));
-        let is_chosen_here = facts.model == ModelAsk::Any && !route.sizes.is_empty();
+        let until = begun.after(facts.timeout.unwrap_or(longest).min(longest));
+        let is_chosen_here = facts.model == RequestedModel::Any && !route.sizes.is_empty();
         // The smallest goes first, also where a caller takes up a broken answer: which model began
         // it is not known, but the small one says again whether it is up to the request. After a
         // restart of all processes, hundreds come back at once; with the largest for all of them,
@@ -175,7 +175,7 @@
     }
 
     /// Answers the request.
-    pub(crate) async fn answer(mut self) -> Result<Answer, (Box<Self>, Failed)> {
+    pub(crate) async fn answer(mut self) -> Result<GatewayResponse, (Box<Self>, Failed)> {
         let begun = match Box::pin(self.begin(self.facts.resume_after)).await {
             Ok(begun) => begun,
             Err(failed) => return Err((Box::new(self), failed)),
@@ -302,7 +302,7 @@
     }
 
     /// Reads a whole answer and passes it on; one that breaks is had again elsewhere if it may.
-    async fn whole(&mut self, mut begun: Box<Begun>) -> Result<Answer, Failed> {
+    async fn whole(&mut self, mut begun: Box<Begun>) -> Result<GatewayResponse, Failed> {
         loop {
             let why = match self.read_whole(&mut begun).await {
                 Ok(bytes) => {
@@ -311,7 +311,7 @@
                     if is_answered(begun.head.status) {
                         self.gw.completed(self.fingerprint);
                     }
-                    return Ok(passed_on(&begun, whole_body(bytes)));
+                    return Ok(passed_on(&begun, full_body(bytes)));
                 }
                 Err(why) => why,
             };
@@ -326,7 +326,7 @@
     }
 
     async fn read_whole(&self, begun: &mut Begun) -> Result<Bytes, String> {
-        let max = self.gw.settings.max_whole_answer.max(self.catalog.limits.body_bytes);
+        let max = self.gw.settings.max_buffered_response_bytes.max(self.catalog.limits.body_bytes);
         let mut bytes = Vec::new();
         loop {
             match within(self.left(), begun.next()).await {
@@ -368,7 +368,7 @@
         self.failed_at(server, Fault::Lost);
         let fleet = self.gw.with_feeds(|feeds| feeds.fleet());
         if self.gw.loads.unreached(server, fleet, self.gw.now()) {
-            self.gw.left_out_unreached(short_id(&server.id), None);
+            self.gw.log_unreachable_server(short_id(&server.id), None);
         }
         match self.unreachable {
             n if n < MAX_UNREACHABLE => Ok(()),
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -91,10 +91,10 @@
 }
 
 impl Rollouts {
-    pub(crate) fn new(policy: CanaryPolicy, session_keep: Millis) -> Self {
+    pub(crate) fn new(policy: CanaryPolicy, session_retention: Millis) -> Self {
         Self {
             policy,
-            moved_sessions: MovedSessions::new(session_keep),
+            moved_sessions: MovedSessions::new(session_retention),
             services: HashMap::new(),
             statuses: StatusBook::default(),
             unwritten: Vec::new(),
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -13,7 +13,7 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::answer::{Answer, text_answer};
+use crate::answer::{GatewayResponse, text_response};
 use crate::clock::sleep;
 use crate::gateway::{Gateway, Standing};
 use crate::head_watch::HeadWatch;
@@ -103,7 +103,7 @@
     let ended = ended.await;
     if let Err(e) = ended {
         gw.telemetry.count("connection.broken", 1);
-        gw.telemetry.debug("connection_broken", &[("why", &crate::upstream::chain(&e))]);
+        gw.telemetry.debug("connection_broken", &[("why", &crate::upstream::error_chain(&e))]);
     }
 }
 
@@ -113,7 +113,7 @@
     gw: Rc<Gateway>,
     listener: TcpListener,
     max: usize,
-    page: impl Fn(&Uri) -> Option<Answer> + Clone + 'static,
+    page: impl Fn(&Uri) -> Option<GatewayResponse> + Clone + 'static,
 ) {
     let open = Rc::new(());
     loop {
@@ -133,7 +133,7 @@
                 return;
             }
             let service = service_fn(|req: Request<Incoming>| {
-                let none = || text_answer(StatusCode::NOT_FOUND, "");
+                let none = || text_response(StatusCode::NOT_FOUND, "");
                 let res = page(req.uri()).unwrap_or_else(none);
                 std::future::ready(Ok::<_, Infallible>(res))
             });
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes changes in the list of backend servers.
-    pub fn take_changes(&self, changes: Vec<ServerChange>) {
+    pub fn apply_server_changes(&self, changes: Vec<ServerChange>) {
         for change in changes {
             match change {
                 ServerChange::Gone(id) => self.remove_server(&id),
@@ -59,7 +59,7 @@
     }
 
     /// Returns what of some records is new to this gateway.
-    pub fn new_changes(&self, changes: Vec<ServerChange>) -> Vec<ServerChange> {
+    pub fn retain_new_changes(&self, changes: Vec<ServerChange>) -> Vec<ServerChange> {
         let (registry, now) = (self.registry.borrow(), self.now());
         // A server that lapsed and registered again is known as it was, but its removal comes first.
         let mut changed = HashSet::new();
@@ -91,7 +91,7 @@
     }
 
     /// Takes the list of backend servers that another gateway passes on, as of a time.
-    pub(crate) fn replace_servers_by_passed(&self, list: PassedServers, as_of: Millis) {
+    pub(crate) fn replace_servers_from_peer(&self, list: PassedServers, as_of: Millis) {
         self.saw_list(&list.servers);
         let restarted = self.registry.borrow_mut().replace_by_passed(list, as_of, self.now());
         self.took_list(&restarted);
@@ -113,7 +113,7 @@
     }
 
     /// Notes that the store that lists the servers was in trouble.
-    pub fn store_was_away(&self) {
+    pub fn record_store_outage(&self) {
         self.registry.borrow_mut().store_was_away(self.now());
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Logs that a server is left out because gateways could not reach it, this one the last or another.
-    pub(crate) fn left_out_unreached(&self, server: u32, told_by: Option<SocketAddr>) {
+    pub(crate) fn log_unreachable_server(&self, server: u32, told_by: Option<SocketAddr>) {
         self.telemetry.count("servers.unreached", 1);
         let registry = self.registry.borrow();
         let found = registry.servers(self.now()).find(|s| short_id(&s.id) == server);
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -248,7 +248,7 @@
 
     async fn ask_keepers_once(&self, session: SessionKey) -> KeepersAnswer {
         let question = self.session_keepers.ask();
-        let (retention, now) = (self.settings.session_keep, self.now());
+        let (retention, now) = (self.settings.session_retention, self.now());
         let messages = self.session_keepers.questions(session, question.number, retention, now);
         if messages.is_empty() {
             if self.session_keepers.is_starting(now) {
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -13,21 +13,21 @@
     /// Connections from callers at a time.
     pub max_connections: usize,
     /// Bytes of request bodies that are held at a time.
-    pub max_held_bytes: usize,
+    pub max_request_body_bytes: usize,
     /// Second sends for each request.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Second sends for each request that may go to larger models.
-    pub quality_ratio: f64,
+    pub larger_model_ratio: f64,
     /// Second sends that are allowed without requests.
-    pub repeat_slack: f64,
+    pub retry_reserve: f64,
     /// Window of the budget of second sends.
-    pub repeat_window: Millis,
+    pub retry_window: Millis,
     /// How long a session's version is remembered after its last request.
-    pub session_keep: Millis,
+    pub session_retention: Millis,
     /// Longest time within which a connection to a backend server must stand.
     pub connect_timeout: Millis,
     /// Bytes of a whole answer that are held back until it is complete.
-    pub max_whole_answer: usize,
+    pub max_buffered_response_bytes: usize,
     /// How roll-outs go on.
     pub canary: CanaryPolicy,
     /// When servers are left out.
@@ -49,7 +49,7 @@
     /// How often the store's feeds are read.
     pub feeds: FeedPeriods,
     /// Bytes of the operator's newest records that are taken from another gateway.
-    pub max_orders: usize,
+    pub max_orders_bytes: usize,
 }
 
 impl Default for GatewaySettings {
@@ -63,16 +63,16 @@
     fn default() -> Self {
         Self {
             max_connections: 1_500,
-            max_held_bytes: 16 * 1024 * 1024,
-            repeat_ratio: 0.8,
-            quality_ratio: 0.6,
-            repeat_slack: 2.0,
-            repeat_window: Millis(10_000),
-            session_keep: Millis(10_000),
+            max_request_body_bytes: 16 * 1024 * 1024,
+            retry_ratio: 0.8,
+            larger_model_ratio: 0.6,
+            retry_reserve: 2.0,
+            retry_window: Millis(10_000),
+            session_retention: Millis(10_000),
             // Round trips within a region take a few milliseconds; a lost first packet comes again
             // after a second, which is too long for most calls.
             connect_timeout: Millis(250),
-            max_whole_answer: 256 * 1024,
+            max_buffered_response_bytes: 256 * 1024,
             canary: CanaryPolicy::default(),
             health: HealthPolicy::default(),
             placement: PlacementPolicy::default(),
@@ -83,7 +83,7 @@
             cold: ColdPolicy::default(),
             limits: LimitPolicy::default(),
             feeds: FeedPeriods::default(),
-            max_orders: 16 * 1024 * 1024,
+            max_orders_bytes: 16 * 1024 * 1024,
         }
     }
 }
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -94,12 +94,12 @@
     }
 
     /// Notes how many gateways know of each other, this one included.
-    pub(crate) fn saw_fleet(&self, fleet: usize) {
+    pub(crate) fn record_fleet_size(&self, fleet: usize) {
         self.send_turns.borrow_mut().saw_fleet(fleet, self.now());
     }
 
     /// Notes that the other gateways could be heard from now on, or that there are none.
-    pub(crate) fn met_others(&self) {
+    pub(crate) fn record_peers_joined(&self) {
         self.send_turns.borrow_mut().met(self.now());
         self.note_others_known();
     }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -53,13 +53,13 @@
 
 /// A connection to a server. Dropping it closes it, which stops what the server does for it.
 #[derive(Debug)]
-pub struct Caller {
+pub struct HttpConnection {
     tx: SendRequest<Full<Bytes>>,
     /// Drives the connection; it ends when this is dropped.
     _conn: Task<()>,
 }
 
-impl Caller {
+impl HttpConnection {
     /// Connects.
     ///
     /// # Errors
@@ -89,7 +89,7 @@
         &mut self,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        self.tx.send_request(req).await.map_err(|e| CallError::Unknown(chain(&e)))
+        self.tx.send_request(req).await.map_err(|e| CallError::Unknown(error_chain(&e)))
     }
 
     /// Sends a request and returns the answer as it begins; its body may have up to `max` bytes.
@@ -98,19 +98,27 @@
     ///
     /// [`CallError::Silent`] if nothing came for a span, else [`CallError::Unknown`]: the server may have
     /// received it.
-    pub async fn begin(
+    pub async fn send_and_read(
         &mut self,
         req: Request<Full<Bytes>>,
         max: usize,
         silence: Millis,
-    ) -> Result<Reading, CallError> {
+    ) -> Result<ResponseReader, CallError> {
         let began = Clock.now();
         let silent = || Err(CallError::Silent(format!("no answer in {silence} ms")));
         let res = within(silence, self.send(req)).await.unwrap_or_else(silent)?;
         let (head, body) = res.into_parts();
-        let of = body.size_hint().exact();
+        let content_length = body.size_hint().exact();
         let longest = Clock.now().since(began);
-        Ok(Reading { head, body, buf: BytesMut::new(), of, max, silence, longest })
+        Ok(ResponseReader {
+            head,
+            body,
+            buf: BytesMut::new(),
+            content_length,
+            max,
+            silence,
+            longest,
+        })
     }
 }
 
@@ -118,19 +126,19 @@
 ///
 /// It may take as long as its bytes need, as long as some come: see [`redwingfold_core::Patience`].
 #[derive(Debug)]
-pub struct Reading {
+pub struct ResponseReader {
     head: response::Parts,
     body: Incoming,
     buf: BytesMut,
     /// Length that the head names.
-    of: Option<u64>,
+    content_length: Option<u64>,
     max: usize,
     silence: Millis,
     /// The longest silence so far.
     longest: Millis,
 }
 
-impl Reading {
+impl ResponseReader {
     /// Returns the status.
     pub fn status(&self) -> StatusCode {
         self.head.status
@@ -142,8 +150,8 @@
     }
 
     /// Returns the length of the body, if the head names it.
-    pub fn length(&self) -> Option<u64> {
-        self.of
+    pub fn content_length(&self) -> Option<u64> {
+        self.content_length
     }
 
     /// Returns the longest silence before the answer and within it.
@@ -156,8 +164,8 @@
     /// # Errors
     ///
     /// [`CallError::Silent`] if nothing came for a span; [`CallError::Unknown`] if it broke off or is too long.
-    pub async fn until(&mut self, len: usize) -> Result<&[u8], CallError> {
-        while self.buf.len() < len && self.more().await? {}
+    pub async fn read_until(&mut self, len: usize) -> Result<&[u8], CallError> {
+        while self.buf.len() < len && self.read_frame().await? {}
         Ok(&self.buf)
     }
 
@@ -165,13 +173,13 @@
     ///
     /// # Errors
     ///
-    /// See [`Reading::until`].
-    pub async fn whole(&mut self) -> Result<Bytes, CallError> {
-        while self.more().await? {}
+    /// See [`ResponseReader::read_until`].
+    pub async fn read_to_end(&mut self) -> Result<Bytes, CallError> {
+        while self.read_frame().await? {}
         Ok(self.buf.split().freeze())
     }
 
-    async fn more(&mut self) -> Result<bool, CallError> {
+    async fn read_frame(&mut self) -> Result<bool, CallError> {
         let began = Clock.now();
         let Some(frame) = within(self.silence, self.body.frame()).await else {
             let why = format!("silent for {} ms after {}", self.silence, self.progress());
@@ -181,7 +189,7 @@
         match frame {
             None => Ok(false),
             Some(Err(e)) => {
-                Err(CallError::Unknown(format!("{} after {}", chain(&e), self.progress())))
+                Err(CallError::Unknown(format!("{} after {}", error_chain(&e), self.progress())))
             }
             Some(Ok(frame)) => {
                 self.buf.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
@@ -195,15 +203,15 @@
 
     /// Says how much has come: who looks at a failed call sees whether nothing did, or too slowly.
     fn progress(&self) -> String {
-        match self.of {
-            Some(of) => format!("{} of {of} bytes", self.buf.len()),
+        match self.content_length {
+            Some(content_length) => format!("{} of {content_length} bytes", self.buf.len()),
             None => format!("{} bytes", self.buf.len()),
         }
     }
 }
 
 /// Writes an error with its causes.
-pub(crate) fn chain(e: &dyn std::error::Error) -> String {
+pub(crate) fn error_chain(e: &dyn std::error::Error) -> String {
     let mut text = e.to_string();
     let mut cause = e.source();
     while let Some(e) = cause {
