--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -45,8 +45,8 @@
 /// Makes an answer of plain text.
 ///
 /// ```
-/// use redwingfold_gateway::text_answer;
-/// assert_eq!(text_answer(http::StatusCode::OK, "ready").status(), 200);
+/// use redwingfold_gateway::text_response;
+/// assert_eq!(text_response(http::StatusCode::OK, "ready").status(), 200);
 /// ```
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> GatewayResponse {
     let mut res = Response::new(full_body(text));
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -58,7 +58,7 @@
     /// ```
     /// use redwingfold_gateway::GatewaySettings;
     /// let settings = GatewaySettings::default();
-    /// assert!(settings.quality_ratio < settings.repeat_ratio);
+    /// assert!(settings.larger_model_ratio < settings.retry_ratio);
     /// ```
     fn default() -> Self {
         Self {
