--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -10,18 +10,18 @@
 use redwingfold_core::{BackendServer, EndedRun, EventId, Millis, Owed, Repeat, SilenceWatch};
 
 use crate::clock::within;
-use crate::facts::{AttemptMetadata, ReportedLoad, ResponseMetadata};
-use crate::load::UnderWay;
-use crate::request::Flight;
+use crate::load::InFlightGuard;
+use crate::metadata::{AttemptMetadata, ReportedLoad, ResponseMetadata};
+use crate::request::InFlightRequest;
 use crate::upstream::{CallError, HttpConnection, error_chain};
 
 /// Pause between looks at whether a server that is waited for is silent.
-pub(crate) const SILENCE_POLL: Millis = Millis(200);
+pub(crate) const SILENCE_POLL_INTERVAL: Millis = Millis(200);
 
 /// How an attempt went.
-pub(crate) enum Attempted {
+pub(crate) enum AttemptOutcome {
     /// The head of an answer has come.
-    Begun(Box<Begun>),
+    Started(Box<UpstreamResponse>),
     /// The server may have run it.
     Lost(String),
     /// The server says that it did not run it.
@@ -36,44 +36,44 @@
 }
 
 /// An answer whose head has come. Dropping it stops the server's work.
-pub(crate) struct Begun {
+pub(crate) struct UpstreamResponse {
     pub(crate) head: http::response::Parts,
-    pub(crate) facts: ResponseMetadata,
+    pub(crate) metadata: ResponseMetadata,
     pub(crate) server: BackendServer,
-    pub(crate) under_way: UnderWay,
+    pub(crate) in_flight: InFlightGuard,
     pub(crate) size: Option<usize>,
     pub(crate) sent_at: Millis,
     /// Time from the send to the head.
-    pub(crate) first_byte: Millis,
+    pub(crate) time_to_first_byte: Millis,
     body: Incoming,
-    _caller: HttpConnection,
+    _connection: HttpConnection,
 }
 
 /// What comes next of a body.
-pub(crate) enum Next {
+pub(crate) enum BodyRead {
     Broken(String),
     Chunk(Bytes),
     End,
 }
 
-impl Begun {
+impl UpstreamResponse {
     /// Returns the requests that its server runs and that wait there, for each of its slots; 0 if it does not say.
     pub(crate) fn load(&self) -> f64 {
         let of = |load: ReportedLoad| {
             f64::from(load.running + load.waiting) / f64::from(load.slots.max(1))
         };
-        self.facts.load.map_or(0.0, of)
+        self.metadata.load.map_or(0.0, of)
     }
 
     /// Reads on.
-    pub(crate) async fn next(&mut self) -> Next {
+    pub(crate) async fn read_next(&mut self) -> BodyRead {
         loop {
             match self.body.frame().await {
-                None => return Next::End,
-                Some(Err(e)) => return Next::Broken(error_chain(&e)),
+                None => return BodyRead::End,
+                Some(Err(e)) => return BodyRead::Broken(error_chain(&e)),
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
-                    Ok(data) => return Next::Chunk(data),
+                    Ok(data) => return BodyRead::Chunk(data),
                     // Trailers belong to the connection, not to the answer's bytes.
                     Err(_) => {}
                 },
@@ -82,110 +82,112 @@
     }
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Sends the request to a server and waits for the head of its answer.
     pub(crate) async fn attempt(
         &mut self,
         server: &BackendServer,
-        unread: Millis,
+        prefill_wait: Millis,
         resume_after: Option<EventId>,
-    ) -> Attempted {
+    ) -> AttemptOutcome {
         let gw = self.gw.clone();
-        gw.sends_to(server);
-        let limit = gw.connect_times.get().limit().min(self.left());
+        gw.record_send_turn(server);
+        let limit = gw.connect_times.get().limit().min(self.time_left());
         let connecting_at = gw.now();
-        gw.loads.tries(server, connecting_at);
+        gw.loads.record_connect_attempt(server, connecting_at);
         let connected = HttpConnection::connect(&gw.executor, server.addr, limit).await;
-        let mut caller = match connected {
-            Ok(caller) => caller,
+        let mut connection = match connected {
+            Ok(connection) => connection,
             Err(e) => {
                 if e.is_timeout() {
                     gw.connected(None);
                 }
                 if e.is_refused() {
-                    gw.server_is_gone(&server.id);
+                    gw.record_server_gone(&server.id);
                 }
-                return Attempted::Unreachable(e.to_string());
+                return AttemptOutcome::Unreachable(e.to_string());
             }
         };
         gw.connected(Some(gw.now().since(connecting_at)));
-        let left = self.left();
-        if left == Millis(0) {
-            return Attempted::Unreachable("no time is left".to_owned());
+        let time_left = self.time_left();
+        if time_left == Millis(0) {
+            return AttemptOutcome::Unreachable("no time is left".to_owned());
         }
-        let req = self.attempt_request(server, left, resume_after);
+        let req = self.attempt_request(server, time_left, resume_after);
         let sent_at = gw.now();
         gw.count_send_to_unavailable(server);
-        self.count_send(server);
-        let reading = self.reading_time(self.size.unwrap_or(0));
-        let expected = unread.after(reading).after(self.work(self.size).shared);
+        self.record_send(server);
+        let prefill_time = self.prefill_time(self.size.unwrap_or(0));
+        let expected = prefill_wait.after(prefill_time).after(self.prefill_work(self.size).shared);
         let run = EndedRun { request: self.fingerprint, sent_at };
-        let mut under_way = gw.loads.send(server, reading, run, gw.ends.clone());
-        self.run = redwingfold_core::RunState::MayHaveRun;
+        let mut in_flight = gw.loads.record_send(server, prefill_time, run, gw.ends.clone());
+        self.run_state = redwingfold_core::RunState::MayHaveRun;
         self.sends += 1;
-        let answered = self.wait_for_head(caller.send(req), server, expected).await;
+        let answered = self.wait_for_head(connection.send(req), server, expected).await;
         let (head, body) = match answered {
             Some(Ok(res)) => res.into_parts(),
             Some(Err(CallError::Silent(why) | CallError::Unknown(why))) => {
-                self.broke_run(server, sent_at).await;
-                return Attempted::Lost(why);
+                self.record_broken_run(server, sent_at).await;
+                return AttemptOutcome::Lost(why);
+            }
+            Some(Err(e @ CallError::Unreachable(_))) => return AttemptOutcome::Lost(e.to_string()),
+            None if self.time_left() == Millis(0) => {
+                return AttemptOutcome::Lost("deadline".to_owned());
             }
-            Some(Err(e @ CallError::Unreachable(_))) => return Attempted::Lost(e.to_string()),
-            None if self.left() == Millis(0) => return Attempted::Lost("deadline".to_owned()),
             None => {
-                self.broke_run(server, sent_at).await;
-                return Attempted::Silent;
+                self.record_broken_run(server, sent_at).await;
+                return AttemptOutcome::Silent;
             }
         };
         let now = gw.now();
-        let facts = (gw.header_codec.decode_response)(head.status, &head.headers);
-        gw.loads.heard(server, now);
-        if let Some(left) = facts.cold_remaining {
-            gw.heard_cold(server, left);
+        let metadata = (gw.header_codec.decode_response)(head.status, &head.headers);
+        gw.loads.record_activity(server, now);
+        if let Some(left) = metadata.cold_remaining {
+            gw.record_cold(server, left);
         }
-        if let Some(load) = facts.load {
-            gw.loads.reported(server, load, now);
+        if let Some(load) = metadata.load {
+            gw.loads.record_report(server, load, now);
         }
-        let refusal = self.refusal(&head, &facts);
+        let rejection = self.check_response(&head, &metadata);
         // Invalid answers and answers from another server must not change what is recorded of this server.
-        if matches!(refusal, None | Some(Attempted::NotRun(_))) {
-            gw.record_limit(server, facts.rate_limit);
-            if facts.is_leaving {
+        if matches!(rejection, None | Some(AttemptOutcome::NotRun(_))) {
+            gw.record_limit(server, metadata.rate_limit);
+            if metadata.is_leaving {
                 gw.record_leaving(server);
             }
-            facts.retry_after.iter().for_each(|delay| gw.record_retry_after(server, *delay));
+            metadata.retry_after.iter().for_each(|delay| gw.record_retry_after(server, *delay));
         }
-        if let Some(attempted) = refusal {
-            if !matches!(attempted, Attempted::Lost(_)) {
-                under_way.was_not_run();
+        if let Some(outcome) = rejection {
+            if !matches!(outcome, AttemptOutcome::Lost(_)) {
+                in_flight.record_not_run();
             }
-            return attempted;
+            return outcome;
         }
-        Attempted::Begun(Box::new(Begun {
+        AttemptOutcome::Started(Box::new(UpstreamResponse {
             head,
-            facts,
+            metadata,
             server: server.clone(),
-            under_way,
+            in_flight,
             size: self.size,
             sent_at,
-            first_byte: now.since(sent_at),
+            time_to_first_byte: now.since(sent_at),
             body,
-            _caller: caller,
+            _connection: connection,
         }))
     }
 
     fn attempt_request(
         &self,
         server: &BackendServer,
-        left: Millis,
+        time_left: Millis,
         resume_after: Option<EventId>,
     ) -> Request<Full<Bytes>> {
         let attempt = AttemptMetadata {
             server: server.id.clone(),
-            time_left: left,
+            time_left,
             customer: self.customer.as_ref().map(|c| c.name.clone()),
             model: self.size.map(|size| self.route.sizes[size].clone()),
-            priority: self.urgency(resume_after.is_some() && self.facts.resume_after.is_none()),
+            priority: self.priority(resume_after.is_some() && self.metadata.resume_after.is_none()),
             resume_after,
         };
         let mut req = Request::new(Full::new(self.body.clone()));
@@ -197,18 +199,22 @@
     }
 
     /// Looks at whether a head is an answer to this request at all.
-    fn refusal(&self, head: &http::response::Parts, facts: &ResponseMetadata) -> Option<Attempted> {
-        match facts {
-            f if f.id.as_ref().is_some_and(|id| *id != self.facts.id) => {
-                Some(Attempted::Lost("answer to another request".to_owned()))
+    fn check_response(
+        &self,
+        head: &http::response::Parts,
+        metadata: &ResponseMetadata,
+    ) -> Option<AttemptOutcome> {
+        match metadata {
+            f if f.id.as_ref().is_some_and(|id| *id != self.metadata.id) => {
+                Some(AttemptOutcome::Lost("answer to another request".to_owned()))
             }
-            f if f.is_other_server => Some(Attempted::OtherServer),
-            f if f.is_not_run => Some(Attempted::NotRun(format!("status {}", head.status))),
+            f if f.is_other_server => Some(AttemptOutcome::OtherServer),
+            f if f.is_not_run => Some(AttemptOutcome::NotRun(format!("status {}", head.status))),
             f if head.status.is_success() && !f.is_signed => {
-                Some(Attempted::Lost("unsigned answer".to_owned()))
+                Some(AttemptOutcome::Lost("unsigned answer".to_owned()))
             }
             _ if head.headers.contains_key(CONTENT_ENCODING) => {
-                Some(Attempted::Lost("encoded answer".to_owned()))
+                Some(AttemptOutcome::Lost("encoded answer".to_owned()))
             }
             _ => None,
         }
@@ -224,35 +230,35 @@
         expected: Millis,
     ) -> Option<Result<Response<Incoming>, CallError>> {
         let owed = if self.route.stream.is_some() { Owed::Head(expected) } else { Owed::Plain };
-        let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL);
+        let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL_INTERVAL);
         let mut answered = pin!(answered);
         loop {
-            let left = self.left();
-            if left == Millis(0) {
+            let time_left = self.time_left();
+            if time_left == Millis(0) {
                 return None;
             }
-            if let Some(res) = within(SILENCE_POLL.min(left), &mut answered).await {
+            if let Some(res) = within(SILENCE_POLL_INTERVAL.min(time_left), &mut answered).await {
                 return Some(res);
             }
-            if self.is_silent(&mut watch, server, owed) && self.try_again() {
+            if self.is_server_silent(&mut watch, server, owed) && self.try_retry() {
                 return None;
             }
         }
     }
 
     /// Looks at whether a server that owes this request bytes is to be given up.
-    pub(crate) fn is_silent(
+    pub(crate) fn is_server_silent(
         &self,
         watch: &mut SilenceWatch,
         server: &BackendServer,
         owed: Owed,
     ) -> bool {
-        watch.look(self.gw.now(), self.gw.loads.heard_at(&server.id));
+        watch.look(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
         watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
     }
 
     /// Says whether the request may run more than once.
-    pub(crate) fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_retryable(&self) -> bool {
         match (self.route.repeat, self.route.stream) {
             (_, Some(stream)) => stream.resumable,
             (repeat, None) => repeat == Repeat::Idempotent,
--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -12,19 +12,19 @@
     pub(crate) fn record_leaving(&self, server: &BackendServer) {
         let hash = incarnation_hash(server);
         if self.insert_leaving(hash) {
-            self.loads.tell_leaving(hash, self.now());
+            self.loads.queue_leaving_notices(hash, self.now());
             self.log_leaving(server, "self".to_owned());
         }
     }
 
     /// Records that a server announced in an answer to a peer that it is leaving.
-    pub(crate) fn apply_peer_leaving(&self, from: SocketAddr, hash: u64) {
+    pub(crate) fn apply_peer_leaving(&self, peer: SocketAddr, hash: u64) {
         if !self.insert_leaving(hash) {
             return;
         }
         let registry = self.registry.borrow();
         let found = registry.servers(self.now()).find(|s| incarnation_hash(s) == hash);
-        found.iter().for_each(|server| self.log_leaving(server, from.to_string()));
+        found.iter().for_each(|server| self.log_leaving(server, peer.to_string()));
     }
 
     /// Adds a server to those that are leaving and returns whether it is new among them.
@@ -37,10 +37,10 @@
         is_new
     }
 
-    fn log_leaving(&self, server: &BackendServer, told_by: String) {
+    fn log_leaving(&self, server: &BackendServer, source: String) {
         self.telemetry.info(
             "server_leaving",
-            &[("server", &server.id), ("service", &server.service), ("told_by", &told_by)],
+            &[("server", &server.id), ("service", &server.service), ("told_by", &source)],
         );
     }
 
--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -28,8 +28,8 @@
     }
 
     /// Takes from a server's answer how much longer it is cold.
-    pub(crate) fn heard_cold(&self, server: &BackendServer, left: Millis) {
-        self.with_registry(|r| r.is_cold(&server.id, left, self.now()));
+    pub(crate) fn record_cold(&self, server: &BackendServer, remaining: Millis) {
+        self.with_registry(|r| r.is_cold(&server.id, remaining, self.now()));
     }
 
     /// Shows on the metrics page how many servers are cold.
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -6,9 +6,9 @@
 
 use super::image::Digest;
 use super::servers::{self, List};
-use crate::answer::{GatewayResponse, full_body, text_response};
 use crate::feeds::Feed;
 use crate::gateway::Gateway;
+use crate::response::{GatewayResponse, full_body, text_response};
 
 pub(super) const PATH: &str = "/orders";
 
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -17,9 +17,9 @@
 
 use crate::clock::{Clock, within};
 use crate::exchange::{Orders, WrittenServers};
-use crate::facts::HeaderCodec;
 use crate::feeds::{Feed, Feeds, ServerChange};
 use crate::load::LoadTable;
+use crate::metadata::HeaderCodec;
 use crate::quarantine::TrialClaim;
 use crate::rollouts::Rollouts;
 use crate::session_keepers::SessionKeepers;
--- a/gateway/src/head_watch.rs
+++ b/gateway/src/header_timer.rs
@@ -11,8 +11,8 @@
 use redwingfold_core::Millis;
 use smol::io::{AsyncRead, AsyncWrite};
 
-use crate::answer::ResponseBody;
 use crate::clock::{Clock, sleep};
+use crate::response::ResponseBody;
 
 /// No byte of a further head has come.
 const IDLE: u64 = 0;
@@ -21,7 +21,7 @@
 const BUSY: u64 = 1;
 
 /// Added to the time at which a head began, so that it is neither of the above.
-const BEGUN: u64 = 2;
+const STARTED: u64 = 2;
 
 /// Where a caller's connection stands.
 ///
@@ -29,55 +29,55 @@
 /// now and then keeps its connection for as long as an idle one may be kept, and some thousand such
 /// take all that a gateway has. So the head's own time is watched beside it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct HeadWatch(Arc<AtomicU64>);
+pub(crate) struct HeaderTimer(Arc<AtomicU64>);
 
-impl HeadWatch {
-    fn read(&self, now: Millis) {
-        let begun = now.0.saturating_add(BEGUN);
+impl HeaderTimer {
+    fn record_bytes(&self, now: Millis) {
+        let started_at = now.0.saturating_add(STARTED);
         // Bytes that come while a request is answered belong to it, or to one that has to wait.
-        self.0.compare_exchange(IDLE, begun, Ordering::Relaxed, Ordering::Relaxed).ok();
+        self.0.compare_exchange(IDLE, started_at, Ordering::Relaxed, Ordering::Relaxed).ok();
     }
 
     /// Notes that a head has come whole.
-    pub(crate) fn is_whole(&self) {
+    pub(crate) fn record_complete(&self) {
         self.0.store(BUSY, Ordering::Relaxed);
     }
 
     /// Returns since when a head is on its way.
-    fn begun(&self) -> Option<Millis> {
-        self.0.load(Ordering::Relaxed).checked_sub(BEGUN).map(Millis)
+    fn started_at(&self) -> Option<Millis> {
+        self.0.load(Ordering::Relaxed).checked_sub(STARTED).map(Millis)
     }
 
     /// Waits until a head has taken longer than `limit`, up to twice of it.
-    pub(crate) async fn is_late(&self, limit: Millis) {
+    pub(crate) async fn wait_for_timeout(&self, limit: Millis) {
         loop {
             sleep(limit).await;
-            let begun = self.begun();
-            if begun.is_some_and(|begun| Clock.now().since(begun) >= limit) {
+            let started_at = self.started_at();
+            if started_at.is_some_and(|started_at| Clock.now().since(started_at) >= limit) {
                 return;
             }
         }
     }
 
     /// Watches a connection's bytes.
-    pub(crate) fn stream<S>(&self, inner: S) -> Watched<S> {
-        Watched { inner, watch: self.clone() }
+    pub(crate) fn wrap_stream<S>(&self, inner: S) -> TimedStream<S> {
+        TimedStream { inner, timer: self.clone() }
     }
 
     /// Watches an answer: once it is gone, the next head may come.
-    pub(crate) fn answer(&self, body: ResponseBody) -> WatchedBody {
-        WatchedBody { inner: body, watch: self.clone() }
+    pub(crate) fn wrap_body(&self, body: ResponseBody) -> TimedBody {
+        TimedBody { inner: body, timer: self.clone() }
     }
 }
 
 /// A connection of which it is known when a head begins.
 #[derive(Debug)]
-pub(crate) struct Watched<S> {
+pub(crate) struct TimedStream<S> {
     inner: S,
-    watch: HeadWatch,
+    timer: HeaderTimer,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TimedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -85,13 +85,13 @@
     ) -> Poll<io::Result<usize>> {
         let len = ready!(Pin::new(&mut self.inner).poll_read(cx, buf))?;
         if len > 0 {
-            self.watch.read(Clock.now());
+            self.timer.record_bytes(Clock.now());
         }
         Poll::Ready(Ok(len))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TimedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -110,12 +110,12 @@
 }
 
 /// The body of an answer, after which the connection is idle.
-pub(crate) struct WatchedBody {
+pub(crate) struct TimedBody {
     inner: ResponseBody,
-    watch: HeadWatch,
+    timer: HeaderTimer,
 }
 
-impl Body for WatchedBody {
+impl Body for TimedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -135,8 +135,8 @@
     }
 }
 
-impl Drop for WatchedBody {
+impl Drop for TimedBody {
     fn drop(&mut self) {
-        self.watch.0.store(IDLE, Ordering::Relaxed);
+        self.timer.0.store(IDLE, Ordering::Relaxed);
     }
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -4,24 +4,20 @@
 //! attempt, relay, caller. What a deployment says on its wire comes in through a [`HeaderCodec`], and
 //! what it believes through [`Gateway`]'s methods; decisions are made in `redwingfold-core`.
 
-mod answer;
 mod attempt;
 mod availability;
-mod choice;
 mod clock;
 mod cold;
-mod ends;
 mod evacuation;
 mod exchange;
-mod facts;
 mod feeds;
 mod fingerprint;
-mod flight_log;
 mod gateway;
-mod head_watch;
+mod header_timer;
 mod limits;
 mod load;
 mod meeting;
+mod metadata;
 mod model_choice;
 mod net;
 mod peer_message;
@@ -31,6 +27,8 @@
 mod quarantine;
 mod relay;
 mod request;
+mod request_log;
+mod response;
 #[cfg(test)]
 mod restored_rollouts_tests;
 mod rollout_choice;
@@ -38,26 +36,28 @@
 mod rollout_turns;
 mod rollouts;
 mod serve;
+mod server_choice;
 mod server_list;
+mod server_probe;
 mod session_keepers;
 mod settings;
 mod turns;
 mod upstream;
 
-pub use answer::{GatewayResponse, ResponseBody, text_response};
 pub use clock::Clock;
 pub use exchange::{Fetched, Record, feed_pages, fetch_orders, fetch_servers, watch_orders_age};
-pub use facts::{
-    AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
-    ResponseMetadata, Usage,
-};
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
 pub use gateway::{ConfigSource, Gateway, Standing, StoreCopy};
 pub use meeting::{Directory, meet};
+pub use metadata::{
+    AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
+    ResponseMetadata, Usage,
+};
 pub use net::{bind, connect, with_timeouts};
 pub use peer_table::Peers;
 pub use peers::{hear_peers, tell_peers};
 pub use quarantine::TrialClaim;
+pub use response::{GatewayResponse, ResponseBody, text_response};
 pub use rollout_news::{Recorded, RolloutNews};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -18,33 +18,33 @@
     /// Records the limit in a server's answer and queues it for the peers.
     pub(crate) fn record_limit(&self, server: &BackendServer, limit: Option<RequestRate>) {
         let hash = incarnation_hash(server);
-        let news = LimitUpdate { limit, reported_at: self.now() };
-        let change = self.server_limits.borrow_mut().record(hash, limit, news.reported_at);
+        let update = LimitUpdate { limit, reported_at: self.now() };
+        let change = self.server_limits.borrow_mut().record(hash, limit, update.reported_at);
         // Repeated with every answer, so that gateways that have just started or missed a message learn the limit.
         if self.server_limits.borrow().has(hash) {
-            self.loads.tell_limit(hash, news);
+            self.loads.queue_limit(hash, update);
         }
         self.log_limit(server, change, None);
     }
 
     /// Records the limit in an answer that a peer received.
-    pub(crate) fn apply_peer_limit(&self, from: SocketAddr, hash: u64, news: LimitUpdate) {
-        let change = self.server_limits.borrow_mut().record(hash, news.limit, news.reported_at);
+    pub(crate) fn apply_peer_limit(&self, peer: SocketAddr, hash: u64, update: LimitUpdate) {
+        let change = self.server_limits.borrow_mut().record(hash, update.limit, update.reported_at);
         if change.is_none() {
             return;
         }
         let registry = self.registry.borrow();
         let found = registry.servers(self.now()).find(|s| incarnation_hash(s) == hash);
-        found.iter().for_each(|server| self.log_limit(server, change, Some(from)));
+        found.iter().for_each(|server| self.log_limit(server, change, Some(peer)));
     }
 
     fn log_limit(
         &self,
         server: &BackendServer,
         change: Option<LimitChange>,
-        told_by: Option<SocketAddr>,
+        source: Option<SocketAddr>,
     ) {
-        let told_by = told_by.map_or_else(|| "self".to_owned(), |peer| peer.to_string());
+        let source = source.map_or_else(|| "self".to_owned(), |addr| addr.to_string());
         match change {
             None => {}
             Some(LimitChange::Set(rate)) => self.telemetry.info(
@@ -53,12 +53,12 @@
                     ("server", &server.id),
                     ("service", &server.service),
                     ("per_s", &rate),
-                    ("told_by", &told_by),
+                    ("told_by", &source),
                 ],
             ),
             Some(LimitChange::Cleared) => self.telemetry.info(
                 "server_unlimited",
-                &[("server", &server.id), ("service", &server.service), ("told_by", &told_by)],
+                &[("server", &server.id), ("service", &server.service), ("told_by", &source)],
             ),
         }
     }
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -12,23 +12,23 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
-use crate::facts::ReportedLoad;
+use crate::metadata::ReportedLoad;
 
 /// Age at which a report of load says nothing any more: requests last a few seconds.
 const MAX_REPORT_AGE: Millis = Millis(3_000);
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct ServerLoad {
     reported: ReportedLoad,
     reported_at: Millis,
-    sent_since: u32,
-    ended_since: u32,
-    under_way: u32,
-    unread: Millis,
-    heard_at: Millis,
+    sent_since_report: u32,
+    ended_since_report: u32,
+    in_flight: u32,
+    prefill_wait: Millis,
+    last_activity_at: Millis,
     health: ServerHealth,
     /// The start of the server to which all of this belongs.
-    born: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
 }
 
 /// The table of all servers.
@@ -37,11 +37,11 @@
 
 #[derive(Debug, Default)]
 struct Tables {
-    own: HashMap<BackendId, Known>,
+    own: HashMap<BackendId, ServerLoad>,
     peers: PeerLoads,
-    unreached: Unreached<Voice>,
+    unreached: Unreached<Observer>,
     /// What the peers have not been told yet.
-    untold: LoadUpdate,
+    pending: LoadUpdate,
     /// Pending notices to the peers about leaving servers, keyed by incarnation hash.
     leaving_notices: HashMap<u64, NoticeSchedule>,
 }
@@ -86,23 +86,23 @@
 
 /// Who could not reach a server.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Voice {
+enum Observer {
     Own,
     Peer(SocketAddr),
 }
 
 /// Reading time below which a prompt is not worth a message.
-const MIN_TOLD: Millis = Millis(30);
+const MIN_SHARED_PREFILL: Millis = Millis(30);
 
 /// Messages that wait for the next turn at most.
-const MAX_UNTOLD: usize = 64;
+const MAX_PENDING_UPDATES: usize = 64;
 
 /// A request under way at a server; it counts until this is dropped.
 #[derive(Debug)]
-pub(crate) struct UnderWay {
+pub(crate) struct InFlightGuard {
     table: LoadTable,
-    server: ServerStart,
-    unread: Millis,
+    server: ServerInstance,
+    prefill_wait: Millis,
     run: EndedRun,
     ends: Rc<RefCell<ServerEnds>>,
     /// Whether it ended otherwise than by being given up.
@@ -111,33 +111,33 @@
 
 /// One start of a server.
 #[derive(Clone, Debug)]
-struct ServerStart {
+struct ServerInstance {
     id: BackendId,
-    born: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
 }
 
-impl From<&BackendServer> for ServerStart {
+impl From<&BackendServer> for ServerInstance {
     fn from(server: &BackendServer) -> Self {
-        Self { id: server.id.clone(), born: server.born }
+        Self { id: server.id.clone(), incarnation: server.born }
     }
 }
 
 /// Returns the name by which gateways tell each other of a server. Two servers in a fleet of
 /// thousands may share one; each then looks as loaded as both.
-pub(crate) fn short_id(id: &BackendId) -> u32 {
+pub(crate) fn id_hash(id: &BackendId) -> u32 {
     xxh3_64(id.as_str().as_bytes()) as u32
 }
 
 impl Tables {
     /// Returns what is known of a start of a server, with room for a new one; `None` if a later start is
     /// known already.
-    fn known(&mut self, server: &BackendServer) -> Option<&mut Known> {
+    fn entry(&mut self, server: &BackendServer) -> Option<&mut ServerLoad> {
         let born = server.born;
-        let known = self.own.entry(server.id.clone()).or_default();
-        if known.born < born {
-            *known = Known { born, ..Known::default() };
+        let load = self.own.entry(server.id.clone()).or_default();
+        if load.incarnation < born {
+            *load = ServerLoad { incarnation: born, ..ServerLoad::default() };
         }
-        (known.born == born).then_some(known)
+        (load.incarnation == born).then_some(load)
     }
 }
 
@@ -145,114 +145,120 @@
     /// Describes a server for placement.
     pub(crate) fn place(&self, server: &BackendServer, now: Millis) -> Place {
         let tables = self.0.borrow();
-        let known = tables.own.get(&server.id).cloned().unwrap_or_default();
-        let short = short_id(&server.id);
-        let told = tables.peers.at(short).report.filter(|(_, at)| *at > known.reported_at);
-        let since = f64::from(known.sent_since) - f64::from(known.ended_since);
-        let own = (f64::from(known.reported.running) + since, known.reported.waiting);
-        let (reported, waiting, at) = match told {
+        let load = tables.own.get(&server.id).cloned().unwrap_or_default();
+        let hash = id_hash(&server.id);
+        let peer_report = tables.peers.at(hash).report.filter(|(_, at)| *at > load.reported_at);
+        let since = f64::from(load.sent_since_report) - f64::from(load.ended_since_report);
+        let own = (f64::from(load.reported.running) + since, load.reported.waiting);
+        let (reported, waiting, at) = match peer_report {
             Some((report, at)) => (f64::from(report.running), report.waiting, at),
-            None => (own.0, own.1, known.reported_at),
+            None => (own.0, own.1, load.reported_at),
         };
         let is_fresh = now.since(at) < MAX_REPORT_AGE;
         let (reported, waiting) = if is_fresh { (reported, waiting) } else { (0.0, 0) };
         Place {
             id: server.id.clone(),
-            running: reported.max(f64::from(known.under_way)),
+            running: reported.max(f64::from(load.in_flight)),
             waiting: f64::from(waiting),
-            unread: known.unread.after(tables.peers.backlog(short, now)),
+            unread: load.prefill_wait.after(tables.peers.backlog(hash, now)),
             slots: server.slots,
-            is_out: known.health.is_out(now) || tables.unreached.is_out(short, now),
+            is_out: load.health.is_out(now) || tables.unreached.is_out(hash, now),
         }
     }
 
     /// Counts a request that is sent to a server, with the time that its prompt will take; `ends` is told when it ends
     /// there.
-    pub(crate) fn send(
+    pub(crate) fn record_send(
         &self,
         server: &BackendServer,
-        unread: Millis,
+        prefill_wait: Millis,
         run: EndedRun,
         ends: Rc<RefCell<ServerEnds>>,
-    ) -> UnderWay {
+    ) -> InFlightGuard {
         let mut tables = self.0.borrow_mut();
-        if unread >= MIN_TOLD && tables.untold.sent.len() < MAX_UNTOLD {
-            tables.untold.sent.push((short_id(&server.id), unread));
+        if prefill_wait >= MIN_SHARED_PREFILL && tables.pending.sent.len() < MAX_PENDING_UPDATES {
+            tables.pending.sent.push((id_hash(&server.id), prefill_wait));
         }
-        if let Some(known) = tables.known(server) {
-            known.under_way += 1;
-            known.sent_since += 1;
-            known.unread = known.unread.after(unread);
+        if let Some(load) = tables.entry(server) {
+            load.in_flight += 1;
+            load.sent_since_report += 1;
+            load.prefill_wait = load.prefill_wait.after(prefill_wait);
         }
         let server = server.into();
-        UnderWay { table: self.clone(), server, unread, run, ends, is_settled: false }
+        InFlightGuard { table: self.clone(), server, prefill_wait, run, ends, is_settled: false }
     }
 
     /// Takes a report of load.
-    pub(crate) fn reported(&self, server: &BackendServer, load: ReportedLoad, now: Millis) {
-        self.change(&server.into(), |known| {
-            known.reported = load;
-            known.reported_at = now;
-            known.sent_since = 0;
-            known.ended_since = 0;
+    pub(crate) fn record_report(&self, server: &BackendServer, report: ReportedLoad, now: Millis) {
+        self.update(&server.into(), |load| {
+            load.reported = report;
+            load.reported_at = now;
+            load.sent_since_report = 0;
+            load.ended_since_report = 0;
         });
-        let report = ServerReport { running: load.running, waiting: load.waiting };
-        self.0.borrow_mut().untold.reports.insert(short_id(&server.id), report);
+        let report = ServerReport { running: report.running, waiting: report.waiting };
+        self.0.borrow_mut().pending.reports.insert(id_hash(&server.id), report);
     }
 
     /// Takes what a peer has told; returns the servers that are left out from now on, by their short names.
     pub(crate) fn apply_peer_update(
         &self,
-        from: SocketAddr,
-        news: LoadUpdate,
+        peer: SocketAddr,
+        update: LoadUpdate,
         fleet: usize,
         now: Millis,
     ) -> Vec<u32> {
         let Tables { peers, unreached, .. } = &mut *self.0.borrow_mut();
-        news.sent.into_iter().for_each(|(server, takes)| peers.sent(server, takes, now));
-        for (server, report) in news.reports {
+        update.sent.into_iter().for_each(|(server, takes)| peers.sent(server, takes, now));
+        for (server, report) in update.reports {
             peers.reported(server, report, now);
             unreached.answered(server);
         }
-        for server in news.answered {
+        for server in update.answered {
             unreached.answered(server);
         }
-        let voice = Voice::Peer(from);
-        let is_out = |server: &u32| unreached.failed(*server, voice, fleet, now, fastrand::u64(..));
-        news.unreached.iter().copied().filter(is_out).collect()
+        let observer = Observer::Peer(peer);
+        let is_out =
+            |server: &u32| unreached.failed(*server, observer, fleet, now, fastrand::u64(..));
+        update.unreached.iter().copied().filter(is_out).collect()
     }
 
     /// Notes that a server is tried.
-    pub(crate) fn tries(&self, server: &BackendServer, now: Millis) {
-        self.0.borrow_mut().unreached.tried(short_id(&server.id), now);
+    pub(crate) fn record_connect_attempt(&self, server: &BackendServer, now: Millis) {
+        self.0.borrow_mut().unreached.tried(id_hash(&server.id), now);
     }
 
     /// Takes that no connection to a server could be made; `true` if it is left out from now on.
-    pub(crate) fn unreached(&self, server: &BackendServer, fleet: usize, now: Millis) -> bool {
+    pub(crate) fn record_connect_failure(
+        &self,
+        server: &BackendServer,
+        fleet: usize,
+        now: Millis,
+    ) -> bool {
         let mut tables = self.0.borrow_mut();
         if tables.unreached.is_cut_off(now) {
             return false;
         }
-        let short = short_id(&server.id);
-        tables.untold.reports.remove(&short);
-        tables.untold.unreached.insert(short);
-        tables.unreached.failed(short, Voice::Own, fleet, now, fastrand::u64(..))
+        let hash = id_hash(&server.id);
+        tables.pending.reports.remove(&hash);
+        tables.pending.unreached.insert(hash);
+        tables.unreached.failed(hash, Observer::Own, fleet, now, fastrand::u64(..))
     }
 
     /// Queues a limit for the peers; drops it if the queue is full.
-    pub(crate) fn tell_limit(&self, server: u64, news: LimitUpdate) {
-        let limits = &mut self.0.borrow_mut().untold.limits;
-        if limits.len() < MAX_UNTOLD / 2 || limits.contains_key(&server) {
-            limits.insert(server, news);
+    pub(crate) fn queue_limit(&self, server: u64, update: LimitUpdate) {
+        let limits = &mut self.0.borrow_mut().pending.limits;
+        if limits.len() < MAX_PENDING_UPDATES / 2 || limits.contains_key(&server) {
+            limits.insert(server, update);
         }
     }
 
     /// Queues notices to the peers that a server is leaving; drops them if the queue is full.
     ///
     /// They are repeated because a message may be lost, and no further answer from the server triggers another one.
-    pub(crate) fn tell_leaving(&self, server: u64, now: Millis) {
+    pub(crate) fn queue_leaving_notices(&self, server: u64, now: Millis) {
         let notices = &mut self.0.borrow_mut().leaving_notices;
-        if notices.len() < MAX_UNTOLD / 2 {
+        if notices.len() < MAX_PENDING_UPDATES / 2 {
             let (next_at, until) = (now, now.after(LEAVING_NOTICE_DURATION));
             notices.entry(server).or_insert(NoticeSchedule { next_at, until });
         }
@@ -260,39 +266,39 @@
 
     /// Takes what the peers have not been told yet.
     pub(crate) fn take_pending_updates(&self, now: Millis) -> LoadUpdate {
-        let Tables { untold, leaving_notices, .. } = &mut *self.0.borrow_mut();
+        let Tables { pending, leaving_notices, .. } = &mut *self.0.borrow_mut();
         for (server, schedule) in leaving_notices.iter_mut().filter(|(_, s)| s.next_at <= now) {
-            untold.leaving.insert(*server);
+            pending.leaving.insert(*server);
             schedule.next_at = now.after(LEAVING_NOTICE_INTERVAL);
         }
         leaving_notices.retain(|_, schedule| now < schedule.until);
-        std::mem::take(untold)
+        std::mem::take(pending)
     }
 
     /// Notes that bytes came from a server.
-    pub(crate) fn heard(&self, server: &BackendServer, now: Millis) {
-        self.change(&server.into(), |known| known.heard_at = now);
-        let Tables { unreached, untold, .. } = &mut *self.0.borrow_mut();
+    pub(crate) fn record_activity(&self, server: &BackendServer, now: Millis) {
+        self.update(&server.into(), |load| load.last_activity_at = now);
+        let Tables { unreached, pending, .. } = &mut *self.0.borrow_mut();
         unreached.heard(now);
-        let short = short_id(&server.id);
-        if unreached.answered(short) {
-            untold.unreached.remove(&short);
-            untold.answered.insert(short);
+        let hash = id_hash(&server.id);
+        if unreached.answered(hash) {
+            pending.unreached.remove(&hash);
+            pending.answered.insert(hash);
         }
     }
 
     /// Returns when bytes last came from a server.
-    pub(crate) fn heard_at(&self, id: &BackendId) -> Millis {
-        self.0.borrow().own.get(id).map_or(Millis(0), |known| known.heard_at)
+    pub(crate) fn last_activity_at(&self, id: &BackendId) -> Millis {
+        self.0.borrow().own.get(id).map_or(Millis(0), |load| load.last_activity_at)
     }
 
     /// Counts a good answer.
-    pub(crate) fn good(&self, server: &BackendServer) {
-        self.change(&server.into(), |known| known.health.good());
+    pub(crate) fn record_success(&self, server: &BackendServer) {
+        self.update(&server.into(), |load| load.health.good());
     }
 
     /// Counts a failure; `true` if the server is left out from now on.
-    pub(crate) fn bad(
+    pub(crate) fn record_failure(
         &self,
         server: &BackendServer,
         fault: Fault,
@@ -300,55 +306,56 @@
         now: Millis,
     ) -> bool {
         let mut tables = self.0.borrow_mut();
-        tables.known(server).is_some_and(|known| known.health.bad(fault, policy, now))
+        tables.entry(server).is_some_and(|load| load.health.bad(fault, policy, now))
     }
 
     /// Forgets a server that is gone, or has started again.
     pub(crate) fn forget(&self, id: &BackendId) {
         let mut tables = self.0.borrow_mut();
         tables.own.remove(id);
-        tables.peers.forget(short_id(id));
-        tables.unreached.answered(short_id(id));
+        tables.peers.forget(id_hash(id));
+        tables.unreached.answered(id_hash(id));
     }
 
     /// Changes what is known of a start of a server. What its earlier starts answered, or how they
     /// ended, says nothing of the present one.
-    fn change(&self, server: &ServerStart, change: impl FnOnce(&mut Known)) {
+    fn update(&self, server: &ServerInstance, change: impl FnOnce(&mut ServerLoad)) {
         match self.0.borrow_mut().own.get_mut(&server.id) {
-            Some(known) if known.born == server.born => change(known),
+            Some(load) if load.incarnation == server.incarnation => change(load),
             _ => {}
         }
     }
 }
 
-impl UnderWay {
+impl InFlightGuard {
     /// Notes that the server has read the prompt.
-    pub(crate) fn is_read(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
-        self.table.change(&self.server, |known| known.unread = known.unread.since(unread));
+    pub(crate) fn record_prefill_done(&mut self) {
+        let prefill_wait = std::mem::take(&mut self.prefill_wait);
+        self.table
+            .update(&self.server, |load| load.prefill_wait = load.prefill_wait.since(prefill_wait));
     }
 
     /// Notes that the server has answered the request to its end.
-    pub(crate) fn is_answered(&mut self) {
+    pub(crate) fn record_completion(&mut self) {
         self.is_settled = true;
         self.ends.borrow_mut().answered(&self.server.id, Clock.now());
     }
 
     /// Notes that the server did not run the request: it cannot end under it.
-    pub(crate) fn was_not_run(&mut self) {
+    pub(crate) fn record_not_run(&mut self) {
         self.is_settled = true;
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.is_read();
+        self.record_prefill_done();
         if !self.is_settled {
             self.ends.borrow_mut().left(&self.server.id, self.run, Clock.now());
         }
-        self.table.change(&self.server, |known| {
-            known.under_way = known.under_way.saturating_sub(1);
-            known.ended_since += 1;
+        self.table.update(&self.server, |load| {
+            load.in_flight = load.in_flight.saturating_sub(1);
+            load.ended_since_report += 1;
         });
     }
 }
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -9,51 +9,54 @@
 use hyper::body::{Body, Incoming};
 use redwingfold_core::{CallLimits, Catalog, Customer, ErrorKind, Millis, Route};
 
-use crate::answer::{Failed, GatewayResponse, close_after, error_response};
 use crate::clock::within;
-use crate::facts::RequestMetadata;
 use crate::fingerprint::fingerprint;
 use crate::gateway::{Gateway, Standing};
-use crate::request::{Asked, Flight};
+use crate::metadata::RequestMetadata;
+use crate::request::{InFlightRequest, RequestParts};
+use crate::response::{GatewayResponse, RequestError, error_response, set_connection_close};
 
 /// How long a caller is taken to wait that does not say so.
-const DEFAULT_PATIENCE: Millis = Millis(10_000);
+const DEFAULT_TIMEOUT: Millis = Millis(10_000);
 
 /// Part of a caller's patience, as a divisor, for which it waits for the first configuration: the
 /// rest is left for a repeat elsewhere.
-const KNOWLEDGE_PART: u64 = 5;
+const CONFIG_WAIT_DIVISOR: u64 = 5;
 
 /// Longest wait for the first configuration: a process that has none for longer is cut off, and
 /// its callers are better off elsewhere.
-const MAX_KNOWLEDGE_WAIT: Millis = Millis(4_000);
+const MAX_CONFIG_WAIT: Millis = Millis(4_000);
 
 /// Shortest time until a refused caller should come back; up to twice of it, so that callers do not
 /// return together.
-const COME_BACK: Millis = Millis(1_000);
+const MIN_RETRY_AFTER: Millis = Millis(1_000);
 
 /// Answers a caller's request.
-pub(crate) async fn handle(gw: Rc<Gateway>, req: Request<Incoming>) -> GatewayResponse {
-    let answered = Box::pin(answer(&gw, req)).await;
+pub(crate) async fn handle_request(gw: Rc<Gateway>, req: Request<Incoming>) -> GatewayResponse {
+    let answered = Box::pin(process_request(&gw, req)).await;
     let mut res = match answered {
         Ok(res) => res,
         Err(failed) => {
             let mut res = error_response(&failed);
             if matches!(failed.kind, ErrorKind::BadRequest | ErrorKind::BodyTooLarge) {
-                close_after(&mut res);
+                set_connection_close(&mut res);
             }
             res
         }
     };
     if gw.standing() != Standing::Serving {
-        close_after(&mut res);
+        set_connection_close(&mut res);
     }
     res
 }
 
-async fn answer(gw: &Rc<Gateway>, req: Request<Incoming>) -> Result<GatewayResponse, Failed> {
-    let begun = gw.now();
+async fn process_request(
+    gw: &Rc<Gateway>,
+    req: Request<Incoming>,
+) -> Result<GatewayResponse, RequestError> {
+    let received_at = gw.now();
     let mut id = String::new();
-    let (catalog, route, customer, facts, asked) = match admit(gw, req, &mut id).await {
+    let (catalog, route, customer, metadata, parts) = match admit(gw, req, &mut id).await {
         Ok(admitted) => admitted,
         Err(failed) => {
             gw.telemetry.count("request.refused", 1);
@@ -65,25 +68,27 @@
                     ("kind", &failed.kind),
                     ("why", &failed.why),
                     ("config", &config),
-                    ("took_ms", &gw.now().since(begun)),
+                    ("took_ms", &gw.now().since(received_at)),
                 ],
             );
             return Err(failed);
         }
     };
-    let flight = Flight::new(gw.clone(), catalog, route, customer, facts, asked, begun);
-    match Box::pin(flight.answer()).await {
+    let request =
+        InFlightRequest::new(gw.clone(), catalog, route, customer, metadata, parts, received_at);
+    match Box::pin(request.execute()).await {
         Ok(res) => Ok(res),
-        Err((mut flight, failed)) => {
-            let failed = Failed { run: failed.run.and(flight.run), ..failed };
-            flight.outcome = format!("{} ({}): {}", failed.kind, failed.run, failed.why);
+        Err((mut request, failed)) => {
+            let failed =
+                RequestError { run_state: failed.run_state.and(request.run_state), ..failed };
+            request.outcome = format!("{} ({}): {}", failed.kind, failed.run_state, failed.why);
             gw.telemetry.count(&format!("request.failed.{}", failed.kind), 1);
             Err(failed)
         }
     }
 }
 
-type Admitted = (Rc<Catalog>, Rc<Route>, Option<Customer>, RequestMetadata, Asked);
+type Admitted = (Rc<Catalog>, Rc<Route>, Option<Customer>, RequestMetadata, RequestParts);
 
 /// Reads a request and looks at whether it is well-formed and allowed; `id` is set as soon as it is
 /// known.
@@ -91,30 +96,35 @@
     gw: &Rc<Gateway>,
     req: Request<Incoming>,
     id: &mut String,
-) -> Result<Admitted, Failed> {
+) -> Result<Admitted, RequestError> {
     let (head, body) = req.into_parts();
-    let early = gw.catalog();
-    let limits = early.as_ref().map_or_else(CallLimits::default, |c| c.limits);
+    let early_catalog = gw.catalog();
+    let limits = early_catalog.as_ref().map_or_else(CallLimits::default, |c| c.limits);
     check_framing(&head.headers)?;
     let body = read_body(gw, &limits, body).await?;
-    let facts = (gw.header_codec.decode_request)(&head.headers)
-        .map_err(|why| Failed::new(ErrorKind::BadRequest, why))?;
-    id.clone_from(&facts.id);
+    let metadata = (gw.header_codec.decode_request)(&head.headers)
+        .map_err(|why| RequestError::new(ErrorKind::BadRequest, why))?;
+    id.clone_from(&metadata.id);
     // Taken anew after the body: a slow sender must not be answered by an old configuration.
-    let catalog = known_catalog(gw, &facts).await?;
+    let catalog = wait_for_catalog(gw, &metadata).await?;
     let host = head.headers.get(HOST).and_then(|v| v.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
     let path = head.uri.path();
     let route = catalog.route(host, path).cloned().ok_or_else(|| {
         let why = format!("no route for {host}{path} in version {}", catalog.version);
-        Failed::new(ErrorKind::UnknownPath, why)
+        RequestError::new(ErrorKind::UnknownPath, why)
     })?;
-    let customer = customer(&catalog, &route, &facts)?;
-    check_ending(gw, &route, &facts)?;
+    let customer = find_customer(&catalog, &route, &metadata)?;
+    check_shutdown(gw, &route, &metadata)?;
     let fingerprint = fingerprint(&head, host, customer.as_ref(), &body);
-    let asked =
-        Asked { method: head.method, uri: head.uri, headers: head.headers, body, fingerprint };
-    Ok((catalog, route, customer, facts, asked))
+    let parts = RequestParts {
+        method: head.method,
+        uri: head.uri,
+        headers: head.headers,
+        body,
+        fingerprint,
+    };
+    Ok((catalog, route, customer, metadata, parts))
 }
 
 /// Refuses what might still run when this process ends.
@@ -122,19 +132,23 @@
 /// Load pattern: the entries are restarted one after the other, faster than each ends, and callers
 /// reach only ones that stop. A closed listener would take the one repeat that a caller has; told
 /// when to come back, it meets one that is up again.
-fn check_ending(gw: &Gateway, route: &Route, facts: &RequestMetadata) -> Result<(), Failed> {
+fn check_shutdown(
+    gw: &Gateway,
+    route: &Route,
+    metadata: &RequestMetadata,
+) -> Result<(), RequestError> {
     let longest = route.timeout.unwrap_or(Millis(u64::MAX));
-    let takes = facts.timeout.unwrap_or(longest).min(longest);
+    let takes = metadata.timeout.unwrap_or(longest).min(longest);
     if gw.standing() != Standing::Ending || gw.now().after(takes) < gw.ends_at() {
         return Ok(());
     }
-    let failed = Failed::new(ErrorKind::Stopping, "this process stops");
-    Err(Failed { retry_after: Some(come_back()), ..failed })
+    let failed = RequestError::new(ErrorKind::Stopping, "this process stops");
+    Err(RequestError { retry_after: Some(random_retry_after()), ..failed })
 }
 
 /// Returns a time to come back that spreads callers.
-fn come_back() -> Millis {
-    COME_BACK.after(Millis(fastrand::u64(0..COME_BACK.0)))
+fn random_retry_after() -> Millis {
+    MIN_RETRY_AFTER.after(Millis(fastrand::u64(0..MIN_RETRY_AFTER.0)))
 }
 
 /// Returns the configuration in force; waits for the first one.
@@ -142,30 +156,33 @@
 /// Load pattern: all processes are killed at once, and their callers come back before the store has
 /// answered. Refused at once, each would spend the one repeat that it has on a process that knows
 /// nothing; most are served if they wait a moment.
-async fn known_catalog(gw: &Gateway, facts: &RequestMetadata) -> Result<Rc<Catalog>, Failed> {
-    let timeout = facts.timeout.unwrap_or(DEFAULT_PATIENCE);
-    let limit = Millis(timeout.0 / KNOWLEDGE_PART).min(MAX_KNOWLEDGE_WAIT);
+async fn wait_for_catalog(
+    gw: &Gateway,
+    metadata: &RequestMetadata,
+) -> Result<Rc<Catalog>, RequestError> {
+    let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let limit = Millis(timeout.0 / CONFIG_WAIT_DIVISOR).min(MAX_CONFIG_WAIT);
     within(limit, async {
         gw.known().await;
         gw.marks_known().await;
     })
     .await;
     gw.catalog().ok_or_else(|| {
-        let failed = Failed::new(ErrorKind::NoConfig, "no configuration has been read yet");
-        Failed { retry_after: Some(come_back()), ..failed }
+        let failed = RequestError::new(ErrorKind::NoConfig, "no configuration has been read yet");
+        RequestError { retry_after: Some(random_retry_after()), ..failed }
     })
 }
 
-fn customer(
+fn find_customer(
     catalog: &Catalog,
     route: &Route,
-    facts: &RequestMetadata,
-) -> Result<Option<Customer>, Failed> {
+    metadata: &RequestMetadata,
+) -> Result<Option<Customer>, RequestError> {
     if route.is_public || !catalog.has_customers() {
         return Ok(None);
     }
-    let found = facts.key.as_deref().and_then(|key| catalog.customer(key));
-    let none = || Failed::new(ErrorKind::BadKey, "no customer holds the key");
+    let found = metadata.key.as_deref().and_then(|key| catalog.customer(key));
+    let none = || RequestError::new(ErrorKind::BadKey, "no customer holds the key");
     found.cloned().map(Some).ok_or_else(none)
 }
 
@@ -173,8 +190,8 @@
 ///
 /// A request that hides in the body of another would run without its customer's key being looked
 /// at. The parser below refuses most such heads; a length together with chunks it lets pass.
-fn check_framing(headers: &HeaderMap) -> Result<(), Failed> {
-    let bad = |why: &str| Err(Failed::new(ErrorKind::BadRequest, why));
+fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
+    let bad = |why: &str| Err(RequestError::new(ErrorKind::BadRequest, why));
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let is_chunked = headers.contains_key(TRANSFER_ENCODING);
     let hosts = headers.get_all(HOST).iter().count();
@@ -186,25 +203,32 @@
     }
 }
 
-async fn read_body(gw: &Gateway, limits: &CallLimits, body: Incoming) -> Result<Bytes, Failed> {
+async fn read_body(
+    gw: &Gateway,
+    limits: &CallLimits,
+    body: Incoming,
+) -> Result<Bytes, RequestError> {
     let too_large = || {
         let why = format!("at most {} bytes", limits.body_bytes);
-        Failed::new(ErrorKind::BodyTooLarge, why)
+        RequestError::new(ErrorKind::BodyTooLarge, why)
     };
     let announced = body.size_hint().lower() as usize;
     match announced {
         n if n > limits.body_bytes => return Err(too_large()),
         n if gw.held_bytes.get() + n > gw.settings.max_request_body_bytes => {
-            return Err(Failed::new(ErrorKind::TooManyOpen, "request bodies fill their memory"));
+            return Err(RequestError::new(
+                ErrorKind::TooManyOpen,
+                "request bodies fill their memory",
+            ));
         }
         0 if body.is_end_stream() => return Ok(Bytes::new()),
         _ => {}
     }
     let read = Limited::new(body, limits.body_bytes).collect();
     match within(limits.idle_timeout, read).await {
-        None => Err(Failed::new(ErrorKind::SlowSender, "the body took too long")),
+        None => Err(RequestError::new(ErrorKind::SlowSender, "the body took too long")),
         Some(Ok(body)) => Ok(body.to_bytes()),
         Some(Err(e)) if e.is::<LengthLimitError>() => Err(too_large()),
-        Some(Err(e)) => Err(Failed::new(ErrorKind::BadRequest, format!("body: {e}"))),
+        Some(Err(e)) => Err(RequestError::new(ErrorKind::BadRequest, format!("body: {e}"))),
     }
 }
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -7,22 +7,22 @@
     Admission, BackendId, EndedRun, ErrorKind, Fingerprint, MarkChange, Millis, Quarantine,
 };
 
-use crate::answer::Failed;
-use crate::choice::Choice;
 use crate::clock::within;
 use crate::feeds::Feed;
 use crate::gateway::{Gateway, StoreCopy};
-use crate::request::Flight;
+use crate::request::InFlightRequest;
+use crate::response::RequestError;
+use crate::server_choice::ServerChoice;
 
 /// Longest wait for the store to grant a trial: covers a call under way that is not answered, the pause after it and the
 /// call for the trial. With less, each claim is given up just before its turn for as long as the store is away.
-const CLAIM_LIMIT: Millis = Millis(4_000);
+const CLAIM_TIMEOUT: Millis = Millis(4_000);
 
 /// Trials that wait to be granted at a time; with more, requests are refused at once.
-const MAX_CLAIMS: usize = 64;
+const MAX_PENDING_CLAIMS: usize = 64;
 
 /// Time after which a caller should come back whose request may not be tried now, for a reason that ends soon.
-const SOON: Millis = Millis(2_000);
+const SHORT_RETRY_AFTER: Millis = Millis(2_000);
 
 /// A trial that a request asks for. Of all gateways, the one that writes its mark first gets it.
 #[derive(Debug)]
@@ -31,13 +31,13 @@
     pub request: Fingerprint,
     /// Number of the trial.
     pub trial: u8,
-    granted: Sender<bool>,
+    result_tx: Sender<bool>,
 }
 
 impl TrialClaim {
     /// Tells the request whether it may be sent; `false` if it does not wait any longer.
     pub fn resolve(self, is_granted: bool) -> bool {
-        self.granted.try_send(is_granted).is_ok()
+        self.result_tx.try_send(is_granted).is_ok()
     }
 }
 
@@ -47,20 +47,20 @@
     number: u8,
     sends: u32,
     /// Whether no more may be sent.
-    is_over: bool,
+    is_exhausted: bool,
 }
 
 impl Trial {
     /// Counts a send.
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn record_send(&mut self) {
         self.sends += 1;
-        self.is_over = true;
+        self.is_exhausted = true;
     }
 
     /// Takes that the server says that it did not run the request. The first trial may then be sent once more: a server
     /// that is full or has just started anew says nothing of the request.
-    pub(crate) fn was_not_run(&mut self) {
-        self.is_over = self.number > 1 || self.sends > 1;
+    pub(crate) fn record_not_run(&mut self) {
+        self.is_exhausted = self.number > 1 || self.sends > 1;
     }
 }
 
@@ -114,29 +114,29 @@
     ) {
         let now = self.now();
         let fleet = self.with_feeds(|feeds| feeds.fleet());
-        let kept = self.with_quarantine(|q| match all_of {
+        let quarantined = self.with_quarantine(|q| match all_of {
             None => q.hear(&marks, now),
             Some(StoreCopy::Present) => q.hear_all(&marks, now),
             Some(StoreCopy::Older) => q.hear_older_copy(&marks, fleet, now, fastrand::u64(..)),
         });
-        self.log_kept(&kept, None);
-        let told = if all_of.is_some() { Vec::new() } else { marks };
-        self.with_feeds(|feeds| feeds.read_marks(began, next, told));
+        self.log_quarantined(&quarantined, None);
+        let forwarded = if all_of.is_some() { Vec::new() } else { marks };
+        self.with_feeds(|feeds| feeds.read_marks(began, next, forwarded));
         self.moved.notify(usize::MAX);
         self.news.notify(usize::MAX);
     }
 
     /// Takes marks of which another gateway told.
-    pub(crate) fn apply_peer_marks(&self, from: SocketAddr, marks: &[MarkChange]) {
-        let kept = self.with_quarantine(|q| q.hear(marks, self.now()));
-        self.log_kept(&kept, Some(from));
+    pub(crate) fn apply_peer_marks(&self, peer: SocketAddr, marks: &[MarkChange]) {
+        let quarantined = self.with_quarantine(|q| q.hear(marks, self.now()));
+        self.log_quarantined(&quarantined, Some(peer));
         if self.with_quarantine(|q| q.is_urgent()) {
             self.marks_moved.notify(usize::MAX);
         }
     }
 
     /// Takes that a server has ended while it ran requests.
-    pub(crate) fn ended_under(&self, server: &BackendId, runs: &[EndedRun]) {
+    pub(crate) fn record_ended_runs(&self, server: &BackendId, runs: &[EndedRun]) {
         for run in runs {
             let ends = self.with_quarantine(|q| q.ended(server, *run, self.now()));
             let counted = ends.map_or_else(|| "no".to_owned(), |ends| ends.to_string());
@@ -146,14 +146,14 @@
                 &[("server", server), ("content", &run.request), ("ends", &counted)],
             );
             if ends == Some(self.settings.quarantine.ends) {
-                self.log_kept(&[run.request], None);
+                self.log_quarantined(&[run.request], None);
             }
         }
         self.marks_moved.notify(usize::MAX);
     }
 
     /// Takes that a server has answered a request to its end.
-    pub(crate) fn completed(&self, request: Fingerprint) {
+    pub(crate) fn record_completion(&self, request: Fingerprint) {
         if self.with_quarantine(|q| q.completed(request, self.now())) {
             self.telemetry.count("quarantine.lifted", 1);
             self.telemetry.info("request_cleared", &[("content", &request)]);
@@ -161,26 +161,26 @@
         }
     }
 
-    fn log_kept(&self, requests: &[Fingerprint], told_by: Option<SocketAddr>) {
-        let told_by = told_by.map_or_else(|| "self".to_owned(), |peer| peer.to_string());
+    fn log_quarantined(&self, requests: &[Fingerprint], source: Option<SocketAddr>) {
+        let source = source.map_or_else(|| "self".to_owned(), |addr| addr.to_string());
         for request in requests {
             self.telemetry.count("quarantine.begun", 1);
             self.telemetry
-                .info("request_quarantined", &[("content", request), ("told_by", &told_by)]);
+                .info("request_quarantined", &[("content", request), ("told_by", &source)]);
         }
     }
 
     /// Asks the store for a trial, which it grants to one gateway of all.
     async fn claim_trial(&self, request: Fingerprint, trial: u8, patience: Millis) -> bool {
-        if self.claims.borrow().len() >= MAX_CLAIMS {
+        if self.claims.borrow().len() >= MAX_PENDING_CLAIMS {
             return false;
         }
-        let (granted, answer): (_, Receiver<bool>) = bounded(1);
+        let (result_tx, result_rx): (_, Receiver<bool>) = bounded(1);
         self.with_quarantine(|q| q.claims(request, self.now()));
-        self.claims.borrow_mut().push_back(TrialClaim { request, trial, granted });
+        self.claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
         self.marks_moved.notify(usize::MAX);
         let is_granted =
-            matches!(within(CLAIM_LIMIT.min(patience), answer.recv()).await, Some(Ok(true)));
+            matches!(within(CLAIM_TIMEOUT.min(patience), result_rx.recv()).await, Some(Ok(true)));
         self.telemetry.info(
             "trial_claimed",
             &[("content", &request), ("trial", &trial), ("granted", &is_granted)],
@@ -189,32 +189,34 @@
     }
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Looks at whether the request may be sent to a server now: refuses it if servers have ended under it, or makes it
     /// the trial of one. More may be known than at its last send.
-    pub(crate) async fn pass_quarantine(&mut self) -> Result<(), Failed> {
+    pub(crate) async fn check_quarantine(&mut self) -> Result<(), RequestError> {
         match (self.trial, self.admission()) {
-            (Some(trial), _) if trial.is_over => Err(self.quarantined(SOON)),
+            (Some(trial), _) if trial.is_exhausted => {
+                Err(self.quarantined_error(SHORT_RETRY_AFTER))
+            }
             (Some(_), _) | (None, Admission::Free) => Ok(()),
-            (None, Admission::Refused(left)) => Err(self.quarantined(left)),
+            (None, Admission::Refused(left)) => Err(self.quarantined_error(left)),
             (None, Admission::Trial(number)) => {
                 // One that finds no server would be used up for nothing.
-                if let Choice::RetryAfter(left) = self.pick()? {
-                    return Err(self.quarantined(left));
+                if let ServerChoice::RetryAfter(left) = self.choose_server()? {
+                    return Err(self.quarantined_error(left));
                 }
-                if !self.gw.claim_trial(self.fingerprint, number, self.left()).await {
-                    return Err(self.quarantined(SOON));
+                if !self.gw.claim_trial(self.fingerprint, number, self.time_left()).await {
+                    return Err(self.quarantined_error(SHORT_RETRY_AFTER));
                 }
-                self.trial = Some(Trial { number, sends: 0, is_over: false });
+                self.trial = Some(Trial { number, sends: 0, is_exhausted: false });
                 Ok(())
             }
         }
     }
 
     /// Says whether the request may go to a server once more, as far as its quarantine is concerned.
-    pub(crate) fn may_go_on(&self) -> bool {
+    pub(crate) fn is_retry_admitted(&self) -> bool {
         match self.trial {
-            Some(trial) => !trial.is_over,
+            Some(trial) => !trial.is_exhausted,
             None => !matches!(self.admission(), Admission::Refused(_)),
         }
     }
@@ -228,14 +230,14 @@
         self.gw.with_quarantine(|q| q.admission(self.fingerprint, self.gw.now()))
     }
 
-    fn quarantined(&self, left: Millis) -> Failed {
+    fn quarantined_error(&self, left: Millis) -> RequestError {
         let why = format!("servers have ended under {}", self.fingerprint);
-        let failed = Failed::new(ErrorKind::Quarantined, why);
-        Failed { run: self.run, retry_after: Some(left), ..failed }
+        let error = RequestError::new(ErrorKind::Quarantined, why);
+        RequestError { run_state: self.run_state, retry_after: Some(left), ..error }
     }
 
     /// Gives back a trial of which nothing was sent, and lets others know of a request that had no answer.
-    pub(crate) fn leave_quarantine(&self) {
+    pub(crate) fn settle_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
             Some(trial) if trial.sends == 0 => q.unused(self.fingerprint, trial.number, now),
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -10,44 +10,45 @@
 use http_body::Frame;
 use redwingfold_core::{EventSplitter, Millis, Owed, SilenceWatch};
 
-use crate::answer::{GatewayResponse, boxed, passed_on};
-use crate::attempt::{Begun, Next, SILENCE_POLL};
+use crate::attempt::{BodyRead, SILENCE_POLL_INTERVAL, UpstreamResponse};
 use crate::clock::sleep;
-use crate::request::Flight;
+use crate::request::InFlightRequest;
+use crate::response::{GatewayResponse, boxed_body, forwarded_response};
 use crate::rollouts::Sight;
 
 /// Chunks between a server and a caller; a slow caller holds its server back.
-const CHUNKS_IN_FLIGHT: usize = 4;
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
 /// Time after which a stream has run on: servers that end under a request do so within a few tenths of a second.
-const RUNS_ON: Millis = Millis(500);
+const SURVIVAL_TIME: Millis = Millis(500);
 
 /// Begins to pass a stream on; the rest goes on in a task of its own.
-pub(crate) fn start(flight: Flight, begun: Box<Begun>) -> GatewayResponse {
-    let (tx, rx) = bounded(CHUNKS_IN_FLIGHT);
-    let res = passed_on(&begun, boxed(ChannelBody { rx: Box::pin(rx) }));
-    let gw = flight.gw.clone();
+pub(crate) fn start(request: InFlightRequest, response: Box<UpstreamResponse>) -> GatewayResponse {
+    let (tx, rx) = bounded(MAX_BUFFERED_CHUNKS);
+    let res = forwarded_response(&response, boxed_body(ChannelBody { rx: Box::pin(rx) }));
+    let gw = request.gw.clone();
     gw.spawn(async move {
-        let events = EventSplitter::after(flight.facts.resume_after);
-        let mut relay = Relay { flight, events, tx, is_paid: false, event_at: None };
-        let outcome = Box::pin(relay.run(begun)).await;
+        let events = EventSplitter::after(request.metadata.resume_after);
+        let mut relay =
+            Relay { request, events, tx, is_retry_budgeted: false, last_event_at: None };
+        let outcome = Box::pin(relay.run(response)).await;
         relay.finish(outcome).await;
     });
     res
 }
 
 struct Relay {
-    flight: Flight,
+    request: InFlightRequest,
     events: EventSplitter,
     tx: Sender<io::Result<Bytes>>,
     /// Whether going on at another server is paid for already.
-    is_paid: bool,
+    is_retry_budgeted: bool,
     /// When the last event was passed on.
-    event_at: Option<Millis>,
+    last_event_at: Option<Millis>,
 }
 
 /// How a stream ended.
-enum Ended {
+enum StreamEnd {
     /// The caller has gone.
     CallerGone,
     /// All of it was passed on.
@@ -57,154 +58,160 @@
 }
 
 /// What happens next in a stream.
-enum Step {
+enum RelayStep {
     CallerGone,
     Deadline,
-    Next(Next),
+    Body(BodyRead),
     Silent,
 }
 
 impl Relay {
-    async fn run(&mut self, mut begun: Box<Begun>) -> Ended {
+    async fn run(&mut self, mut response: Box<UpstreamResponse>) -> StreamEnd {
         loop {
-            let why = match self.pass_on(&mut begun).await {
+            let why = match self.forward(&mut response).await {
                 Ok(ended) => return ended,
                 Err(why) => why,
             };
-            self.flight.broke_at(&begun, &why).await;
+            self.request.record_broken_response(&response, &why).await;
             // Dropped first: two servers must not work on one stream.
-            drop(begun);
+            drop(response);
             self.events.drop_piece();
-            if !std::mem::take(&mut self.is_paid) && !self.flight.try_again() {
-                return Ended::Cut(why);
+            if !std::mem::take(&mut self.is_retry_budgeted) && !self.request.try_retry() {
+                return StreamEnd::Cut(why);
             }
-            self.flight.gw.telemetry.info(
+            self.request.gw.telemetry.info(
                 "stream_goes_on",
                 &[
-                    ("request", &self.flight.facts.id),
+                    ("request", &self.request.metadata.id),
                     ("why", &why),
                     ("after", &self.events.last().map_or(0, |id| id.0)),
                 ],
             );
-            let last = self.events.last().or(self.flight.facts.resume_after);
-            let next =
-                smol::future::or(async { Some(Box::pin(self.flight.begin(last)).await) }, async {
+            let last = self.events.last().or(self.request.metadata.resume_after);
+            let next = smol::future::or(
+                async { Some(Box::pin(self.request.obtain_response(last)).await) },
+                async {
                     self.tx.closed().await;
                     None
-                });
-            begun = match next.await {
-                None => return Ended::CallerGone,
-                Some(Ok(begun)) if begun.head.status.is_success() => begun,
-                Some(Ok(begun)) => return Ended::Cut(format!("status {}", begun.head.status)),
-                Some(Err(failed)) => return Ended::Cut(failed.why),
+                },
+            );
+            response = match next.await {
+                None => return StreamEnd::CallerGone,
+                Some(Ok(response)) if response.head.status.is_success() => response,
+                Some(Ok(response)) => {
+                    return StreamEnd::Cut(format!("status {}", response.head.status));
+                }
+                Some(Err(failed)) => return StreamEnd::Cut(failed.why),
             };
         }
     }
 
     /// Passes on what one server sends; `Err` if it broke off and another may go on.
-    async fn pass_on(&mut self, begun: &mut Begun) -> Result<Ended, String> {
-        let is_resumable = self.flight.route.stream.is_some_and(|s| s.resumable);
+    async fn forward(&mut self, response: &mut UpstreamResponse) -> Result<StreamEnd, String> {
+        let is_resumable = self.request.route.stream.is_some_and(|s| s.resumable);
         let mut pace = Pace::default();
         loop {
-            let chunk = match self.step(begun).await {
-                Step::CallerGone => return Ok(Ended::CallerGone),
-                Step::Deadline => return Ok(Ended::Cut("deadline".to_owned())),
+            let chunk = match self.next_step(response).await {
+                RelayStep::CallerGone => return Ok(StreamEnd::CallerGone),
+                RelayStep::Deadline => return Ok(StreamEnd::Cut("deadline".to_owned())),
                 // Silence alone ends nothing: only if another server may be asked.
-                Step::Silent if self.flight.try_again() => {
-                    self.is_paid = true;
+                RelayStep::Silent if self.request.try_retry() => {
+                    self.is_retry_budgeted = true;
                     return Err("silent".to_owned());
                 }
-                Step::Silent => continue,
-                Step::Next(Next::Broken(why)) => return Err(why),
-                Step::Next(Next::End) if self.events.is_inside_event() => {
+                RelayStep::Silent => continue,
+                RelayStep::Body(BodyRead::Broken(why)) => return Err(why),
+                RelayStep::Body(BodyRead::End) if self.events.is_inside_event() => {
                     return Err("ended inside an event".to_owned());
                 }
-                Step::Next(Next::End) => {
-                    begun.under_way.is_answered();
-                    return Ok(Ended::Complete);
+                RelayStep::Body(BodyRead::End) => {
+                    response.in_flight.record_completion();
+                    return Ok(StreamEnd::Complete);
                 }
-                Step::Next(Next::Chunk(chunk)) => chunk,
+                RelayStep::Body(BodyRead::Chunk(chunk)) => chunk,
             };
-            self.flight.gw.loads.heard(&begun.server, self.flight.gw.now());
+            self.request.gw.loads.record_activity(&response.server, self.request.gw.now());
             let whole = self.events.push(&chunk);
             if whole.count > 0 {
-                self.count_events(whole.count);
-                begun.under_way.is_read();
-                self.runs_on(begun);
-                if let Some(pause) = pace.events(whole.count, self.flight.gw.now()) {
-                    self.flight.saw(begun, Sight::Pace(pause));
+                self.record_events(whole.count);
+                response.in_flight.record_prefill_done();
+                self.record_survival(response);
+                if let Some(pause) = pace.record_events(whole.count, self.request.gw.now()) {
+                    self.request.record_observation(response, Sight::Pace(pause));
                 }
             }
             let bytes = if is_resumable { whole.bytes.into() } else { chunk };
             if !bytes.is_empty() && self.tx.send(Ok(bytes)).await.is_err() {
-                return Ok(Ended::CallerGone);
+                return Ok(StreamEnd::CallerGone);
             }
         }
     }
 
     /// Notes that a server has run the request for so long that it is most likely not one under which servers end.
-    fn runs_on(&self, begun: &Begun) {
-        let (flight, now) = (&self.flight, self.flight.gw.now());
-        if now.since(begun.sent_at.after(begun.first_byte)) >= RUNS_ON {
-            flight.gw.with_quarantine(|q| q.runs_on(flight.fingerprint, now));
+    fn record_survival(&self, response: &UpstreamResponse) {
+        let (request, now) = (&self.request, self.request.gw.now());
+        if now.since(response.sent_at.after(response.time_to_first_byte)) >= SURVIVAL_TIME {
+            request.gw.with_quarantine(|q| q.runs_on(request.fingerprint, now));
         }
     }
 
     /// Counts events for the request's log line: a pause is what makes a stream late that began in time.
-    fn count_events(&mut self, count: usize) {
-        let now = self.flight.gw.now();
-        let pause = self.event_at.map_or(Millis(0), |at| now.since(at));
-        self.event_at = Some(now);
-        self.flight.events += count;
-        self.flight.longest_pause = self.flight.longest_pause.max(pause);
+    fn record_events(&mut self, count: usize) {
+        let now = self.request.gw.now();
+        let pause = self.last_event_at.map_or(Millis(0), |at| now.since(at));
+        self.last_event_at = Some(now);
+        self.request.event_count += count;
+        self.request.longest_pause = self.request.longest_pause.max(pause);
     }
 
-    async fn step(&self, begun: &mut Begun) -> Step {
-        let server = begun.server.clone();
-        let next = async { Step::Next(begun.next().await) };
-        let gone = async {
+    async fn next_step(&self, response: &mut UpstreamResponse) -> RelayStep {
+        let server = response.server.clone();
+        let next = async { RelayStep::Body(response.read_next().await) };
+        let caller_gone = async {
             self.tx.closed().await;
-            Step::CallerGone
+            RelayStep::CallerGone
         };
-        let late = async {
-            sleep(self.flight.left()).await;
-            Step::Deadline
+        let deadline = async {
+            sleep(self.request.time_left()).await;
+            RelayStep::Deadline
         };
         let silent = async {
-            let mut watch = SilenceWatch::new(self.flight.gw.now(), SILENCE_POLL);
-            let gap = self.flight.route.stream.map_or(Millis(0), |stream| stream.gap);
+            let mut watch = SilenceWatch::new(self.request.gw.now(), SILENCE_POLL_INTERVAL);
+            let gap = self.request.route.stream.map_or(Millis(0), |stream| stream.gap);
             loop {
-                sleep(SILENCE_POLL).await;
-                let is_silent = self.flight.is_silent(&mut watch, &server, Owed::Event(gap));
-                if is_silent && self.flight.is_repeatable() {
-                    return Step::Silent;
+                sleep(SILENCE_POLL_INTERVAL).await;
+                let is_silent =
+                    self.request.is_server_silent(&mut watch, &server, Owed::Event(gap));
+                if is_silent && self.request.is_retryable() {
+                    return RelayStep::Silent;
                 }
             }
         };
-        smol::future::or(next, smol::future::or(gone, smol::future::or(late, silent))).await
+        smol::future::or(next, smol::future::or(caller_gone, smol::future::or(deadline, silent)))
+            .await
     }
 
     /// Learns how long a stream takes that ran without a break from its first event on.
-    fn learn_time(&self) {
-        let flight = &self.flight;
-        let first = match flight.first_byte {
-            Some(first) if flight.facts.resume_after.is_none() => first,
+    fn record_stream_duration(&self) {
+        let request = &self.request;
+        let first = match request.time_to_first_byte {
+            Some(first) if request.metadata.resume_after.is_none() => first,
             _ => return,
         };
-        let took = flight.gw.now().since(flight.begun.after(first));
-        let mut times = flight.gw.stream_times.borrow_mut();
-        times.learn(&flight.service, flight.facts.usage.max_output, took);
+        let took = request.gw.now().since(request.received_at.after(first));
+        let mut times = request.gw.stream_times.borrow_mut();
+        times.learn(&request.service, request.metadata.usage.max_output, took);
     }
 
-    async fn finish(mut self, ended: Ended) {
-        self.flight.outcome = match ended {
-            Ended::CallerGone => "caller_gone".to_owned(),
-            Ended::Complete => {
-                self.learn_time();
-                self.flight.gw.completed(self.flight.fingerprint);
+    async fn finish(mut self, ended: StreamEnd) {
+        self.request.outcome = match ended {
+            StreamEnd::CallerGone => "caller_gone".to_owned(),
+            StreamEnd::Complete => {
+                self.record_stream_duration();
+                self.request.gw.record_completion(self.request.fingerprint);
                 "stream_complete".to_owned()
             }
-            Ended::Cut(why) => {
+            StreamEnd::Cut(why) => {
                 let error = io::Error::new(io::ErrorKind::ConnectionAborted, why.clone());
                 self.tx.send(Err(error)).await.ok();
                 format!("stream_cut: {why}")
@@ -222,18 +229,18 @@
 struct Pace {
     first: Option<Millis>,
     count: usize,
-    is_known: bool,
+    is_reported: bool,
 }
 
 impl Pace {
     /// Counts events, and returns the mean pause once enough have come.
-    fn events(&mut self, count: usize, now: Millis) -> Option<Millis> {
+    fn record_events(&mut self, count: usize, now: Millis) -> Option<Millis> {
         let first = *self.first.get_or_insert(now);
         self.count += count;
-        if self.is_known || self.count < PACE_EVENTS {
+        if self.is_reported || self.count < PACE_EVENTS {
             return None;
         }
-        self.is_known = true;
+        self.is_reported = true;
         Some(Millis(now.since(first).0 / (self.count as u64 - 1)))
     }
 }
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -10,52 +10,52 @@
     is_in_first_half,
 };
 
-use crate::answer::{Failed, GatewayResponse, full_body, passed_on};
-use crate::attempt::{Attempted, Begun, Next};
+use crate::attempt::{AttemptOutcome, BodyRead, UpstreamResponse};
 use crate::clock::within;
-use crate::facts::{RequestMetadata, RequestedModel};
 use crate::gateway::Gateway;
-use crate::load::short_id;
+use crate::load::id_hash;
+use crate::metadata::{RequestMetadata, RequestedModel};
 use crate::quarantine::Trial;
+use crate::response::{GatewayResponse, RequestError, forwarded_response, full_body};
 use crate::rollout_choice::BoundBy;
 use crate::rollouts::{Rollouts, Seen, Sight};
 use crate::session_keepers::KeepersAnswer;
 
 /// Connections that are tried in vain before a request is given up.
-const MAX_UNREACHABLE: u32 = 6;
+const MAX_CONNECT_FAILURES: u32 = 6;
 
 /// Servers that refuse a request, or turn out to be others, before it is given up.
 const MAX_REFUSALS: u32 = 4;
 
 /// A request on its way.
-pub(crate) struct Flight {
+pub(crate) struct InFlightRequest {
     pub(crate) gw: Rc<Gateway>,
     pub(crate) catalog: Rc<Catalog>,
     pub(crate) route: Rc<Route>,
     pub(crate) service: ServiceName,
     pub(crate) customer: Option<Customer>,
-    pub(crate) facts: RequestMetadata,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) begun: Millis,
-    pub(crate) until: Millis,
+    pub(crate) received_at: Millis,
+    pub(crate) deadline: Millis,
     /// Index of the model among the route's sizes, if the gateway chooses it.
     pub(crate) size: Option<usize>,
-    pub(crate) run: RunState,
+    pub(crate) run_state: RunState,
     /// Sends to servers, the one under way included: one that is waited for is as good as run.
     pub(crate) sends: u32,
     /// The version that it was sent to; the one on trial if it was ever sent there.
-    pub(crate) reached: Option<Arm>,
+    pub(crate) sent_arm: Option<Arm>,
     /// What the keepers of its session answered, if they were asked.
     pub(crate) keepers_answer: Option<KeepersAnswer>,
     /// The version of its first send, and what decided it, for the log.
-    pub(crate) first_version: Option<(VersionName, BoundBy)>,
+    pub(crate) first_send: Option<(VersionName, BoundBy)>,
     /// Servers that are passed over.
-    pub(crate) avoid: Vec<BackendId>,
-    unreachable: u32,
+    pub(crate) excluded_servers: Vec<BackendId>,
+    connect_failures: u32,
     refusals: u32,
     /// Set if it is sent once more to a server, though servers have ended under it.
     pub(crate) trial: Option<Trial>,
@@ -64,15 +64,15 @@
     pub(crate) server: Option<BackendServer>,
     pub(crate) confidence: Option<u8>,
     /// The model that was asked last, and its confidence.
-    pub(crate) opinion: Option<(usize, u8)>,
-    pub(crate) first_byte: Option<Millis>,
+    pub(crate) last_confidence: Option<(usize, u8)>,
+    pub(crate) time_to_first_byte: Option<Millis>,
     /// Events passed on, and the longest pause before one of them.
-    pub(crate) events: usize,
+    pub(crate) event_count: usize,
     pub(crate) longest_pause: Millis,
 }
 
 /// What is asked of a new flight.
-pub(crate) struct Asked {
+pub(crate) struct RequestParts {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
@@ -80,27 +80,27 @@
     pub(crate) fingerprint: Fingerprint,
 }
 
-impl Flight {
+impl InFlightRequest {
     pub(crate) fn new(
         gw: Rc<Gateway>,
         catalog: Rc<Catalog>,
         route: Rc<Route>,
         customer: Option<Customer>,
-        facts: RequestMetadata,
-        asked: Asked,
-        begun: Millis,
+        metadata: RequestMetadata,
+        parts: RequestParts,
+        received_at: Millis,
     ) -> Self {
         let service = route.target(fastrand::u64(..)).cloned().unwrap_or_default();
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
-        let until = begun.after(facts.timeout.unwrap_or(longest).min(longest));
-        let is_chosen_here = facts.model == RequestedModel::Any && !route.sizes.is_empty();
+        let deadline = received_at.after(metadata.timeout.unwrap_or(longest).min(longest));
+        let is_chosen_here = metadata.model == RequestedModel::Any && !route.sizes.is_empty();
         // The smallest goes first, also where a caller takes up a broken answer: which model began
         // it is not known, but the small one says again whether it is up to the request. After a
         // restart of all processes, hundreds come back at once; with the largest for all of them,
         // engines were full for ten seconds.
         let size = is_chosen_here.then_some(0);
         gw.under_way.set(gw.under_way.get() + 1);
-        gw.held_bytes.set(gw.held_bytes.get() + asked.body.len());
+        gw.held_bytes.set(gw.held_bytes.get() + parts.body.len());
         gw.count_request(&service);
         Self {
             gw,
@@ -108,37 +108,37 @@
             route,
             service,
             customer,
-            facts,
-            fingerprint: asked.fingerprint,
-            method: asked.method,
-            uri: asked.uri,
-            headers: asked.headers,
-            body: asked.body,
-            begun,
-            until,
+            metadata,
+            fingerprint: parts.fingerprint,
+            method: parts.method,
+            uri: parts.uri,
+            headers: parts.headers,
+            body: parts.body,
+            received_at,
+            deadline,
             size,
-            run: RunState::NotRun,
+            run_state: RunState::NotRun,
             sends: 0,
-            reached: None,
+            sent_arm: None,
             keepers_answer: None,
-            first_version: None,
-            avoid: Vec::new(),
-            unreachable: 0,
+            first_send: None,
+            excluded_servers: Vec::new(),
+            connect_failures: 0,
             refusals: 0,
             trial: None,
             outcome: "caller_gone".to_owned(),
             server: None,
             confidence: None,
-            opinion: None,
-            first_byte: None,
-            events: 0,
+            last_confidence: None,
+            time_to_first_byte: None,
+            event_count: 0,
             longest_pause: Millis(0),
         }
     }
 
     /// Returns the time left.
-    pub(crate) fn left(&self) -> Millis {
-        self.until.since(self.gw.now())
+    pub(crate) fn time_left(&self) -> Millis {
+        self.deadline.since(self.gw.now())
     }
 
     /// Ranks the request; `is_resumed` if the gateway itself goes on with a stream that its caller reads.
@@ -147,26 +147,26 @@
     /// These are late already; ranked before all others, they made hundreds of new ones late as well. Ranked
     /// as others, and without steps up that cannot end in time, worth was higher by 0.009 +- 0.003 on
     /// envol-routage-grown (five days with faults, two seeds, without processor time).
-    pub(crate) fn urgency(&self, is_resumed: bool) -> Priority {
+    pub(crate) fn priority(&self, is_resumed: bool) -> Priority {
         let own = self.customer.as_ref().and_then(|c| c.priority).unwrap_or(self.route.priority);
-        self.gw.settings.urgency.rank(self.own_tokens(), own, is_resumed)
+        self.gw.settings.urgency.rank(self.unshared_tokens(), own, is_resumed)
     }
 
     /// Counts a send to a server for the service's roll-out.
-    pub(crate) fn count_send(&mut self, server: &BackendServer) {
-        self.trial.iter_mut().for_each(Trial::sent);
-        let (bound, reached, now) = (self.bound(), self.reached, self.gw.now());
+    pub(crate) fn record_send(&mut self, server: &BackendServer) {
+        self.trial.iter_mut().for_each(Trial::record_send);
+        let (bound, sent_arm, now) = (self.bound(), self.sent_arm, self.gw.now());
         let bound_by = self.gw.with_rollouts(|r| r.bound_by(bound, now));
-        self.first_version.get_or_insert_with(|| (server.version.clone(), bound_by));
-        self.record_session(server, now);
-        let sent = |r: &mut Rollouts| r.sent(&server.service, &server.version, reached, now);
-        self.reached = self.gw.with_rollouts(sent).or(reached);
+        self.first_send.get_or_insert_with(|| (server.version.clone(), bound_by));
+        self.record_session_move(server, now);
+        let sent = |r: &mut Rollouts| r.sent(&server.service, &server.version, sent_arm, now);
+        self.sent_arm = self.gw.with_rollouts(sent).or(sent_arm);
     }
 
     /// Records that the session moves with a request that is sent to a server, if it does.
     ///
     /// At the send and not at the answer: another request of the session may be on its way already.
-    pub(crate) fn record_session(&self, server: &BackendServer, now: Millis) {
+    pub(crate) fn record_session_move(&self, server: &BackendServer, now: Millis) {
         let moves =
             self.gw.with_rollouts(|r| r.moves_session(&server.service, &server.version, now));
         if let (true, Some(session)) = (moves, self.bound().session) {
@@ -175,65 +175,65 @@
     }
 
     /// Answers the request.
-    pub(crate) async fn answer(mut self) -> Result<GatewayResponse, (Box<Self>, Failed)> {
-        let begun = match Box::pin(self.begin(self.facts.resume_after)).await {
-            Ok(begun) => begun,
+    pub(crate) async fn execute(mut self) -> Result<GatewayResponse, (Box<Self>, RequestError)> {
+        let response = match Box::pin(self.obtain_response(self.metadata.resume_after)).await {
+            Ok(response) => response,
             Err(failed) => return Err((Box::new(self), failed)),
         };
-        if self.route.stream.is_some() && begun.head.status.is_success() {
-            return Ok(crate::relay::start(self, begun));
+        if self.route.stream.is_some() && response.head.status.is_success() {
+            return Ok(crate::relay::start(self, response));
         }
-        match Box::pin(self.whole(begun)).await {
+        match Box::pin(self.relay_whole(response)).await {
             Ok(answer) => Ok(answer),
             Err(failed) => Err((Box::new(self), failed)),
         }
     }
 
     /// Finds a server whose answer has begun and is worth having.
-    pub(crate) async fn begin(
+    pub(crate) async fn obtain_response(
         &mut self,
         resume_after: Option<EventId>,
-    ) -> Result<Box<Begun>, Failed> {
+    ) -> Result<Box<UpstreamResponse>, RequestError> {
         loop {
-            self.check_time()?;
-            Box::pin(self.pass_quarantine()).await?;
-            let (server, unread) = self.pick_in_turn().await?;
-            let run_before = self.run;
-            let attempted = Box::pin(self.attempt(&server, unread, resume_after)).await;
-            self.log_attempt(&server, &attempted);
-            match attempted {
-                Attempted::Begun(begun) => {
-                    if self.is_kept(&begun) {
-                        return Ok(begun);
+            self.check_deadline()?;
+            Box::pin(self.check_quarantine()).await?;
+            let (server, prefill_wait) = self.choose_server_in_turn().await?;
+            let run_before = self.run_state;
+            let outcome = Box::pin(self.attempt(&server, prefill_wait, resume_after)).await;
+            self.log_attempt(&server, &outcome);
+            match outcome {
+                AttemptOutcome::Started(response) => {
+                    if self.accept_response(&response) {
+                        return Ok(response);
                     }
                 }
-                Attempted::Unreachable(why) => self.unreachable(&server, why)?,
-                Attempted::OtherServer => {
-                    self.gw.server_is_gone(&server.id);
-                    self.run = run_before;
+                AttemptOutcome::Unreachable(why) => self.record_unreachable(&server, why)?,
+                AttemptOutcome::OtherServer => {
+                    self.gw.record_server_gone(&server.id);
+                    self.run_state = run_before;
                     // It reached none of the servers that it was meant for.
                     self.sends -= 1;
                     self.gw.with_registry(|r| r.forget(&server.id));
-                    self.refused(&server, "the address has another server now")?;
+                    self.record_refusal(&server, "the address has another server now")?;
                 }
-                Attempted::NotRun(why) => {
-                    self.run = run_before;
-                    self.refused(&server, &why)?;
+                AttemptOutcome::NotRun(why) => {
+                    self.run_state = run_before;
+                    self.record_refusal(&server, &why)?;
                     if self.sends >= self.route.max_attempts
-                        || !self.may_go_on()
-                        || !self.pay_repeat()
+                        || !self.is_retry_admitted()
+                        || !self.take_retry_budget()
                     {
-                        return Err(self.overloaded(why));
+                        return Err(self.overloaded_error(why));
                     }
                 }
-                Attempted::Silent => {
-                    self.failed_at(&server, Fault::Lost);
+                AttemptOutcome::Silent => {
+                    self.record_failure(&server, Fault::Lost);
                 }
-                Attempted::Lost(why) => {
-                    self.failed_at(&server, Fault::Lost);
-                    self.check_time()?;
-                    if !self.try_again() {
-                        return Err(Failed::new(ErrorKind::BackendLost, why));
+                AttemptOutcome::Lost(why) => {
+                    self.record_failure(&server, Fault::Lost);
+                    self.check_deadline()?;
+                    if !self.try_retry() {
+                        return Err(RequestError::new(ErrorKind::BackendLost, why));
                     }
                 }
             }
@@ -241,44 +241,47 @@
     }
 
     /// Says whether an answer is kept, or dropped for a better one.
-    fn is_kept(&mut self, begun: &Begun) -> bool {
-        let is_failure = begun.head.status.is_server_error();
-        let expected = self.reading_time(begun.size.unwrap_or(0));
-        let first = Sight::FirstByte { took: begun.first_byte, expected };
-        self.saw(begun, if is_failure { Sight::Failed } else { first });
-        (self.server, self.confidence) = (Some(begun.server.clone()), begun.facts.confidence);
-        self.first_byte = Some(self.gw.now().since(self.begun));
+    fn accept_response(&mut self, response: &UpstreamResponse) -> bool {
+        let is_failure = response.head.status.is_server_error();
+        let expected = self.prefill_time(response.size.unwrap_or(0));
+        let first = Sight::FirstByte { took: response.time_to_first_byte, expected };
+        self.record_observation(response, if is_failure { Sight::Failed } else { first });
+        (self.server, self.confidence) =
+            (Some(response.server.clone()), response.metadata.confidence);
+        self.time_to_first_byte = Some(self.gw.now().since(self.received_at));
         if is_failure {
-            self.log_failure(begun);
-            self.failed_at(&begun.server, Fault::Answered);
-            return !self.try_again();
+            self.log_failure(response);
+            self.record_failure(&response.server, Fault::Answered);
+            return !self.try_retry();
         }
-        self.gw.loads.good(&begun.server);
-        let (Some(size), true) = (self.size, begun.head.status.is_success()) else { return true };
+        self.gw.loads.record_success(&response.server);
+        let (Some(size), true) = (self.size, response.head.status.is_success()) else {
+            return true;
+        };
         if size == 0 {
-            self.gw.first_try(begun.first_byte, self.route.aim);
+            self.gw.first_try(response.time_to_first_byte, self.route.aim);
         }
-        let own = self.own_tokens();
-        self.gw.rates.borrow_mut().learn(&self.service, size, own, begun.first_byte);
-        match begun.facts.confidence {
-            Some(confidence) => self.is_sure_enough(size, confidence),
+        let own = self.unshared_tokens();
+        self.gw.rates.borrow_mut().learn(&self.service, size, own, response.time_to_first_byte);
+        match response.metadata.confidence {
+            Some(confidence) => self.accept_confidence(size, confidence),
             None => true,
         }
     }
 
     /// Estimates how long a server takes for the prompt; shared parts are mostly cached.
-    pub(crate) fn reading_time(&self, size: usize) -> Millis {
-        self.gw.rates.borrow().estimate(&self.service, size, self.own_tokens())
+    pub(crate) fn prefill_time(&self, size: usize) -> Millis {
+        self.gw.rates.borrow().estimate(&self.service, size, self.unshared_tokens())
     }
 
     /// Returns the tokens of the prompt that no other request shares.
-    fn own_tokens(&self) -> u64 {
-        let shared: u64 = self.facts.shared_parts().iter().map(|part| part.tokens).sum();
-        self.facts.usage.prompt.saturating_sub(shared)
+    fn unshared_tokens(&self) -> u64 {
+        let shared: u64 = self.metadata.shared_parts().iter().map(|part| part.tokens).sum();
+        self.metadata.usage.prompt.saturating_sub(shared)
     }
 
-    pub(crate) fn work(&self, size: Option<usize>) -> Work {
-        let shared = self.facts.shared_parts();
+    pub(crate) fn prefill_work(&self, size: Option<usize>) -> Work {
+        let shared = self.metadata.shared_parts();
         let tokens = shared.iter().map(|part| part.tokens).sum();
         let size = size.unwrap_or(0);
         Work {
@@ -288,110 +291,124 @@
         }
     }
 
-    pub(crate) fn saw(&self, begun: &Begun, sight: Sight) {
+    pub(crate) fn record_observation(&self, response: &UpstreamResponse, sight: Sight) {
         let seen = Seen {
             service: &self.service,
-            version: &begun.server.version,
+            version: &response.server.version,
             route: &self.route.name,
-            size: begun.size.unwrap_or(0),
-            load: begun.load(),
-            is_first_half: is_in_first_half(&begun.server.id),
+            size: response.size.unwrap_or(0),
+            load: response.load(),
+            is_first_half: is_in_first_half(&response.server.id),
             sight,
         };
         self.gw.with_rollouts(|r| r.saw_answer(&seen, self.gw.now()));
     }
 
     /// Reads a whole answer and passes it on; one that breaks is had again elsewhere if it may.
-    async fn whole(&mut self, mut begun: Box<Begun>) -> Result<GatewayResponse, Failed> {
+    async fn relay_whole(
+        &mut self,
+        mut response: Box<UpstreamResponse>,
+    ) -> Result<GatewayResponse, RequestError> {
         loop {
-            let why = match self.read_whole(&mut begun).await {
+            let why = match self.read_whole_body(&mut response).await {
                 Ok(bytes) => {
-                    begun.under_way.is_answered();
-                    self.outcome = format!("status_{}", begun.head.status.as_u16());
-                    if is_answered(begun.head.status) {
-                        self.gw.completed(self.fingerprint);
+                    response.in_flight.record_completion();
+                    self.outcome = format!("status_{}", response.head.status.as_u16());
+                    if proves_completion(response.head.status) {
+                        self.gw.record_completion(self.fingerprint);
                     }
-                    return Ok(passed_on(&begun, full_body(bytes)));
+                    return Ok(forwarded_response(&response, full_body(bytes)));
                 }
                 Err(why) => why,
             };
-            self.broke_at(&begun, &why).await;
-            drop(begun);
-            self.check_time()?;
-            if !self.try_again() {
-                return Err(Failed::new(ErrorKind::BackendLost, why));
+            self.record_broken_response(&response, &why).await;
+            drop(response);
+            self.check_deadline()?;
+            if !self.try_retry() {
+                return Err(RequestError::new(ErrorKind::BackendLost, why));
             }
-            begun = Box::pin(self.begin(None)).await?;
+            response = Box::pin(self.obtain_response(None)).await?;
         }
     }
 
-    async fn read_whole(&self, begun: &mut Begun) -> Result<Bytes, String> {
+    async fn read_whole_body(&self, response: &mut UpstreamResponse) -> Result<Bytes, String> {
         let max = self.gw.settings.max_buffered_response_bytes.max(self.catalog.limits.body_bytes);
         let mut bytes = Vec::new();
         loop {
-            match within(self.left(), begun.next()).await {
+            match within(self.time_left(), response.read_next()).await {
                 None => return Err("deadline".to_owned()),
-                Some(Next::End) => return Ok(bytes.into()),
-                Some(Next::Broken(why)) => return Err(why),
-                Some(Next::Chunk(chunk)) if bytes.len() + chunk.len() > max => {
+                Some(BodyRead::End) => return Ok(bytes.into()),
+                Some(BodyRead::Broken(why)) => return Err(why),
+                Some(BodyRead::Chunk(chunk)) if bytes.len() + chunk.len() > max => {
                     return Err(format!("an answer of more than {max} bytes"));
                 }
-                Some(Next::Chunk(chunk)) => bytes.extend_from_slice(&chunk),
+                Some(BodyRead::Chunk(chunk)) => bytes.extend_from_slice(&chunk),
             }
         }
     }
 
-    fn check_time(&self) -> Result<(), Failed> {
-        let kind = match self.run {
-            _ if self.left() > Millis(0) => return Ok(()),
+    fn check_deadline(&self) -> Result<(), RequestError> {
+        let kind = match self.run_state {
+            _ if self.time_left() > Millis(0) => return Ok(()),
             RunState::NotRun => ErrorKind::DeadlinePassed,
             _ => ErrorKind::DeadlineInRun,
         };
-        Err(Failed::new(kind, format!("after {} ms", self.until.since(self.begun))))
+        Err(RequestError::new(kind, format!("after {} ms", self.deadline.since(self.received_at))))
     }
 
     /// Says whether the request may be sent once more after a failure, and pays for it.
-    pub(crate) fn try_again(&mut self) -> bool {
-        let may = self.is_repeatable()
+    pub(crate) fn try_retry(&mut self) -> bool {
+        let may = self.is_retryable()
             && self.sends < self.route.max_attempts
-            && self.left() > Millis(0)
-            && self.may_go_on();
-        may && self.pay_repeat()
+            && self.time_left() > Millis(0)
+            && self.is_retry_admitted();
+        may && self.take_retry_budget()
     }
 
-    fn pay_repeat(&mut self) -> bool {
+    fn take_retry_budget(&mut self) -> bool {
         self.gw.try_repeat(&self.service, RepeatUse::Failure)
     }
 
-    fn unreachable(&mut self, server: &BackendServer, why: String) -> Result<(), Failed> {
-        self.unreachable += 1;
-        self.failed_at(server, Fault::Lost);
+    fn record_unreachable(
+        &mut self,
+        server: &BackendServer,
+        why: String,
+    ) -> Result<(), RequestError> {
+        self.connect_failures += 1;
+        self.record_failure(server, Fault::Lost);
         let fleet = self.gw.with_feeds(|feeds| feeds.fleet());
-        if self.gw.loads.unreached(server, fleet, self.gw.now()) {
-            self.gw.log_unreachable_server(short_id(&server.id), None);
+        if self.gw.loads.record_connect_failure(server, fleet, self.gw.now()) {
+            self.gw.log_unreachable_server(id_hash(&server.id), None);
         }
-        match self.unreachable {
-            n if n < MAX_UNREACHABLE => Ok(()),
-            _ => Err(Failed { run: self.run, ..Failed::new(ErrorKind::NoBackend, why) }),
+        match self.connect_failures {
+            n if n < MAX_CONNECT_FAILURES => Ok(()),
+            _ => Err(RequestError {
+                run_state: self.run_state,
+                ..RequestError::new(ErrorKind::NoBackend, why)
+            }),
         }
     }
 
     /// Counts a refusal; the server is passed over, but it did not fail.
-    fn refused(&mut self, server: &BackendServer, why: &str) -> Result<(), Failed> {
-        self.avoid.push(server.id.clone());
-        self.trial.iter_mut().for_each(Trial::was_not_run);
+    fn record_refusal(&mut self, server: &BackendServer, why: &str) -> Result<(), RequestError> {
+        self.excluded_servers.push(server.id.clone());
+        self.trial.iter_mut().for_each(Trial::record_not_run);
         self.refusals += 1;
-        if self.refusals < MAX_REFUSALS { Ok(()) } else { Err(self.overloaded(why.to_owned())) }
+        if self.refusals < MAX_REFUSALS {
+            Ok(())
+        } else {
+            Err(self.overloaded_error(why.to_owned()))
+        }
     }
 
-    pub(crate) fn overloaded(&self, why: String) -> Failed {
-        Failed { run: self.run, ..Failed::new(ErrorKind::Overloaded, why) }
+    pub(crate) fn overloaded_error(&self, why: String) -> RequestError {
+        RequestError { run_state: self.run_state, ..RequestError::new(ErrorKind::Overloaded, why) }
     }
 
-    fn failed_at(&mut self, server: &BackendServer, fault: Fault) {
-        self.avoid.push(server.id.clone());
+    fn record_failure(&mut self, server: &BackendServer, fault: Fault) {
+        self.excluded_servers.push(server.id.clone());
         let now = self.gw.now();
-        if self.gw.loads.bad(server, fault, &self.gw.settings.health, now) {
+        if self.gw.loads.record_failure(server, fault, &self.gw.settings.health, now) {
             self.gw.telemetry.warn(
                 "server_left_out",
                 &[("server", &server.id), ("service", &server.service), ("addr", &server.addr)],
@@ -400,20 +417,20 @@
     }
 
     /// Takes that an answer broke off that had begun.
-    pub(crate) async fn broke_at(&mut self, begun: &Begun, why: &str) {
-        self.log_broken(&begun.server, why);
-        self.failed_at(&begun.server, Fault::Lost);
-        self.broke_run(&begun.server, begun.sent_at).await;
+    pub(crate) async fn record_broken_response(&mut self, response: &UpstreamResponse, why: &str) {
+        self.log_broken(&response.server, why);
+        self.record_failure(&response.server, Fault::Lost);
+        self.record_broken_run(&response.server, response.sent_at).await;
     }
 
     /// Takes that a run broke off, whose server may have ended.
-    pub(crate) async fn broke_run(&self, server: &BackendServer, sent_at: Millis) {
-        self.gw.broke(server, EndedRun { request: self.fingerprint, sent_at }).await;
+    pub(crate) async fn record_broken_run(&self, server: &BackendServer, sent_at: Millis) {
+        self.gw.record_broken_run(server, EndedRun { request: self.fingerprint, sent_at }).await;
     }
 }
 
 /// Says whether a whole answer shows that a server bears the request. A server that fails, or has no room, may not have
 /// begun with it: such answers would let a request go under which all others end.
-fn is_answered(status: StatusCode) -> bool {
+fn proves_completion(status: StatusCode) -> bool {
     !status.is_server_error() && status != StatusCode::TOO_MANY_REQUESTS
 }
--- a/gateway/src/answer.rs
+++ b/gateway/src/response.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, Full};
 use redwingfold_core::{ErrorKind, Millis, RunState};
 
-use crate::attempt::Begun;
+use crate::attempt::UpstreamResponse;
 
 /// Body of an answer; an error breaks the connection off, so that the caller sees it cut.
 pub type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
@@ -22,18 +22,18 @@
 
 /// A request that was given up.
 #[derive(Clone, Debug)]
-pub(crate) struct Failed {
+pub(crate) struct RequestError {
     pub(crate) kind: ErrorKind,
     /// What all attempts together say of a run.
-    pub(crate) run: RunState,
+    pub(crate) run_state: RunState,
     /// When a repeat makes sense, where that is known better than from the kind.
     pub(crate) retry_after: Option<Millis>,
     pub(crate) why: String,
 }
 
-impl Failed {
+impl RequestError {
     pub(crate) fn new(kind: ErrorKind, why: impl Into<String>) -> Self {
-        Self { kind, run: kind.row().run, retry_after: None, why: why.into() }
+        Self { kind, run_state: kind.row().run, retry_after: None, why: why.into() }
     }
 }
 
@@ -59,19 +59,19 @@
 ///
 /// A status that promises "not run" is only given when that is true: after a send whose fate is
 /// not known, the answer is 502 or 504.
-pub(crate) fn error_response(failed: &Failed) -> GatewayResponse {
-    let row = failed.kind.row();
+pub(crate) fn error_response(error: &RequestError) -> GatewayResponse {
+    let row = error.kind.row();
     let promises_not_run = matches!(row.status, 408 | 421 | 429 | 503);
-    let status = match failed.run {
+    let status = match error.run_state {
         RunState::NotRun => row.status,
         _ if promises_not_run => ErrorKind::BackendLost.row().status,
         _ => row.status,
     };
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let body = format!("{}: {}\n", failed.kind, failed.why);
+    let body = format!("{}: {}\n", error.kind, error.why);
     let mut res = text_response(status, body);
-    let retry_after = failed.retry_after.or(row.retry_after);
-    if let Some(after) = retry_after.filter(|_| failed.run == RunState::NotRun) {
+    let retry_after = error.retry_after.or(row.retry_after);
+    if let Some(after) = retry_after.filter(|_| error.run_state == RunState::NotRun) {
         let seconds = format!("{}.{:03}", after.0 / 1000, after.0 % 1000);
         let value = HeaderValue::from_str(&seconds);
         res.headers_mut().insert(RETRY_AFTER, value.unwrap_or(HeaderValue::from_static("1")));
@@ -80,20 +80,23 @@
 }
 
 /// Asks the caller to close its connection after this answer.
-pub(crate) fn close_after(res: &mut GatewayResponse) {
+pub(crate) fn set_connection_close(res: &mut GatewayResponse) {
     res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// Makes the caller's answer from a server's: its status, headers and signature.
-pub(crate) fn passed_on(begun: &Begun, body: ResponseBody) -> GatewayResponse {
+pub(crate) fn forwarded_response(
+    response: &UpstreamResponse,
+    body: ResponseBody,
+) -> GatewayResponse {
     let mut res = GatewayResponse::new(body);
-    *res.status_mut() = begun.head.status;
-    *res.headers_mut() = end_to_end(&begun.head.headers);
+    *res.status_mut() = response.head.status;
+    *res.headers_mut() = end_to_end_headers(&response.head.headers);
     res
 }
 
 /// Leaves out headers that concern one connection only.
-fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     let named = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
     for name in named.flat_map(|text| text.split(',')) {
@@ -117,7 +120,7 @@
 }
 
 /// Boxes a body that may break.
-pub(crate) fn boxed(
+pub(crate) fn boxed_body(
     body: impl http_body::Body<Data = Bytes, Error = io::Error> + Send + 'static,
 ) -> ResponseBody {
     body.boxed_unsync()
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -13,82 +13,82 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::answer::{GatewayResponse, text_response};
 use crate::clock::sleep;
 use crate::gateway::{Gateway, Standing};
-use crate::head_watch::HeadWatch;
+use crate::header_timer::HeaderTimer;
 use crate::net::with_timeouts;
-use crate::pipeline::handle;
+use crate::pipeline::handle_request;
+use crate::response::{GatewayResponse, text_response};
 
 /// Pause after a failed accept: out of descriptors, most likely, until some are closed.
-const ACCEPT_PAUSE: Millis = Millis(10);
+const ACCEPT_RETRY_DELAY: Millis = Millis(10);
 
 /// Time for which a connection may be idle beyond what callers are told: one that sends at the
 /// last moment must not meet a closed connection.
-const IDLE_SLACK: Millis = Millis(1_000);
+const IDLE_TIMEOUT_MARGIN: Millis = Millis(1_000);
 
 /// Smallest buffer for heads that the HTTP library takes.
-const MIN_HEAD_BUFFER: usize = 8 * 1024;
+const MIN_HEADER_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Serves callers until the caller drops the future.
 pub async fn serve_callers(gw: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if gw.connections.get() >= gw.settings.max_connections {
             gw.telemetry.count("connection.refused", 1);
             continue;
         }
-        let of_connection = gw.clone();
+        let gateway = gw.clone();
         gw.spawn(async move {
-            of_connection.connections.set(of_connection.connections.get() + 1);
-            serve_caller(&of_connection, stream).await;
-            of_connection.connections.set(of_connection.connections.get() - 1);
+            gateway.connections.set(gateway.connections.get() + 1);
+            serve_connection(&gateway, stream).await;
+            gateway.connections.set(gateway.connections.get() - 1);
         });
     }
 }
 
-async fn serve_caller(gw: &Rc<Gateway>, stream: TcpStream) {
+async fn serve_connection(gw: &Rc<Gateway>, stream: TcpStream) {
     if let Err(e) = with_timeouts(&stream) {
         gw.telemetry.warn("connection_options", &[("why", &e)]);
         return;
     }
     let limits = gw.catalog().map_or_else(CallLimits::default, |c| c.limits);
-    let idle = limits.idle_timeout.max(limits.head_timeout).after(IDLE_SLACK);
-    let watch = HeadWatch::default();
+    let idle = limits.idle_timeout.max(limits.head_timeout).after(IDLE_TIMEOUT_MARGIN);
+    let timer = HeaderTimer::default();
     let service = service_fn(|req: Request<Incoming>| {
-        let (gw, watch) = (gw.clone(), watch.clone());
-        watch.is_whole();
+        let (gw, timer) = (gw.clone(), timer.clone());
+        timer.record_complete();
         async move {
-            let (head, body) = handle(gw, req).await.into_parts();
-            Ok::<_, Infallible>(Response::from_parts(head, watch.answer(body)))
+            let (head, body) = handle_request(gw, req).await.into_parts();
+            Ok::<_, Infallible>(Response::from_parts(head, timer.wrap_body(body)))
         }
     });
-    let is_ending = gw.standing() == Standing::Ending;
+    let is_shutting_down = gw.standing() == Standing::Ending;
     let conn = http1::Builder::new()
-        .keep_alive(!is_ending)
+        .keep_alive(!is_shutting_down)
         .timer(SmolTimer::new())
         .header_read_timeout(Duration::from_millis(idle.0))
-        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER))
-        .serve_connection(FuturesIo::new(watch.stream(stream)), service);
+        .max_buf_size(limits.head_bytes.max(MIN_HEADER_BUFFER_BYTES))
+        .serve_connection(FuturesIo::new(timer.wrap_stream(stream)), service);
     let mut conn = pin!(conn);
-    let ending = async {
+    let shutdown = async {
         // A connection that came while the process ends is for one request, and stays for it.
-        if is_ending {
+        if is_shutting_down {
             std::future::pending::<()>().await;
         }
         gw.ending().await;
         None
     };
-    let late = async {
-        watch.is_late(limits.head_timeout).await;
+    let header_timeout = async {
+        timer.wait_for_timeout(limits.head_timeout).await;
         gw.telemetry.count("connection.slow_head", 1);
         gw.telemetry.debug("connection_closed", &[("why", &"a head took too long")]);
     };
     let served = async {
-        match smol::future::or(async { Some(conn.as_mut().await) }, ending).await {
+        match smol::future::or(async { Some(conn.as_mut().await) }, shutdown).await {
             Some(ended) => ended,
             None => {
                 conn.as_mut().graceful_shutdown();
@@ -97,7 +97,7 @@
         }
     };
     let ended = smol::future::or(served, async {
-        late.await;
+        header_timeout.await;
         Ok(())
     });
     let ended = ended.await;
@@ -118,29 +118,29 @@
     let open = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if Rc::strong_count(&open) > max {
             gw.telemetry.count("pages.refused", 1);
             continue;
         }
-        let (page, is_open) = (page.clone(), open.clone());
-        let of_connection = gw.clone();
+        let (page, open_guard) = (page.clone(), open.clone());
+        let gateway = gw.clone();
         gw.spawn(async move {
             if let Err(e) = with_timeouts(&stream) {
-                of_connection.telemetry.warn("connection_options", &[("why", &e)]);
+                gateway.telemetry.warn("connection_options", &[("why", &e)]);
                 return;
             }
             let service = service_fn(|req: Request<Incoming>| {
-                let none = || text_response(StatusCode::NOT_FOUND, "");
-                let res = page(req.uri()).unwrap_or_else(none);
+                let not_found = || text_response(StatusCode::NOT_FOUND, "");
+                let res = page(req.uri()).unwrap_or_else(not_found);
                 std::future::ready(Ok::<_, Infallible>(res))
             });
             let conn = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
             // Whoever asked for the page sees that it did not come.
             conn.await.ok();
-            drop(is_open);
+            drop(open_guard);
         });
     }
 }
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -7,7 +7,7 @@
 
 use crate::feeds::ServerChange;
 use crate::gateway::{Gateway, StoreCopy};
-use crate::load::short_id;
+use crate::load::id_hash;
 
 impl Gateway {
     /// Takes a backend server's record.
@@ -30,21 +30,21 @@
         }
         let id = server.id.clone();
         if self.registry.borrow_mut().put(server, now) == PutOutcome::Restarted {
-            self.started_again(&id);
+            self.reset_restarted_server(&id);
         }
     }
 
     /// Forgets what is believed of a server's earlier start.
-    fn started_again(&self, id: &BackendId) {
+    fn reset_restarted_server(&self, id: &BackendId) {
         self.loads.forget(id);
-        self.server_ended(id);
+        self.record_server_end(id);
         self.telemetry.info("server_restarted", &[("server", id)]);
     }
 
     /// Takes the removal of a backend server's record.
     pub fn remove_server(&self, id: &BackendId) {
         self.telemetry.info("server_removed", &[("server", id)]);
-        self.server_lapsed(id);
+        self.record_server_lapse(id);
         self.registry.borrow_mut().remove(id, self.now());
     }
 
@@ -82,22 +82,22 @@
     /// Takes the whole list of backend servers, as the store knows it.
     pub fn replace_servers(&self, servers: Vec<BackendServer>, copy: StoreCopy) {
         let now = self.now();
-        self.saw_list(&servers);
+        self.record_listed_versions(&servers);
         let restarted = match copy {
             StoreCopy::Present => self.registry.borrow_mut().replace(servers, now),
             StoreCopy::Older => self.registry.borrow_mut().replace_by_copy(servers, now),
         };
-        self.took_list(&restarted);
+        self.finish_list_update(&restarted);
     }
 
     /// Takes the list of backend servers that another gateway passes on, as of a time.
     pub(crate) fn replace_servers_from_peer(&self, list: PassedServers, as_of: Millis) {
-        self.saw_list(&list.servers);
+        self.record_listed_versions(&list.servers);
         let restarted = self.registry.borrow_mut().replace_by_passed(list, as_of, self.now());
-        self.took_list(&restarted);
+        self.finish_list_update(&restarted);
     }
 
-    fn saw_list(&self, servers: &[BackendServer]) {
+    fn record_listed_versions(&self, servers: &[BackendServer]) {
         let is_first = !self.is_registry_known.get();
         for server in servers {
             let mut rollouts = self.rollouts.borrow_mut();
@@ -106,8 +106,8 @@
         self.telemetry.info("servers_listed", &[("servers", &servers.len())]);
     }
 
-    fn took_list(&self, restarted: &[BackendId]) {
-        restarted.iter().for_each(|id| self.started_again(id));
+    fn finish_list_update(&self, restarted: &[BackendId]) {
+        restarted.iter().for_each(|id| self.reset_restarted_server(id));
         self.is_registry_known.set(true);
         self.moved.notify(usize::MAX);
     }
@@ -126,15 +126,15 @@
     }
 
     /// Logs that a server is left out because gateways could not reach it, this one the last or another.
-    pub(crate) fn log_unreachable_server(&self, server: u32, told_by: Option<SocketAddr>) {
+    pub(crate) fn log_unreachable_server(&self, server: u32, source: Option<SocketAddr>) {
         self.telemetry.count("servers.unreached", 1);
         let registry = self.registry.borrow();
-        let found = registry.servers(self.now()).find(|s| short_id(&s.id) == server);
+        let found = registry.servers(self.now()).find(|s| id_hash(&s.id) == server);
         let Some(server) = found else { return };
-        let told_by = told_by.map_or_else(|| "self".to_owned(), |peer| peer.to_string());
+        let source = source.map_or_else(|| "self".to_owned(), |addr| addr.to_string());
         self.telemetry.info(
             "server_unreached",
-            &[("server", &server.id), ("addr", &server.addr), ("told_by", &told_by)],
+            &[("server", &server.id), ("addr", &server.addr), ("told_by", &source)],
         );
     }
 }
--- a/gateway/src/ends.rs
+++ b/gateway/src/server_probe.rs
@@ -11,53 +11,53 @@
 
 /// Waits before the looks at whether a server still listens: one whose connections break as it ends may close its
 /// listener a moment later.
-const LOOKS: [Millis; 2] = [Millis(0), Millis(300)];
+const PROBE_DELAYS: [Millis; 2] = [Millis(0), Millis(300)];
 
 /// Time within which a connection stands or is refused.
-const LOOK_LIMIT: Millis = Millis(500);
+const PROBE_TIMEOUT: Millis = Millis(500);
 
 impl Gateway {
     /// Takes that a run broke off. A server that had announced its end was expected to break what it ran.
     ///
     /// Whether it has ended is looked at beside what goes on. Only a request under which one has ended before waits for
     /// that: sent on at once, it would meet a third server before the second was known to have ended.
-    pub(crate) async fn broke(self: &Rc<Self>, server: &BackendServer, run: EndedRun) {
+    pub(crate) async fn record_broken_run(self: &Rc<Self>, server: &BackendServer, run: EndedRun) {
         if !self.is_ready_server(&server.id) {
             return;
         }
         let is_suspect = self.with_quarantine(|q| q.is_suspect(run.request));
         let broke = self.ends.borrow_mut().broke(&server.id, run, self.now());
         match broke {
-            Broke::First => self.spawn(look(self.clone(), server.clone())),
-            Broke::Ended => self.ended_under(&server.id, &[run]),
+            Broke::First => self.spawn(probe_server(self.clone(), server.clone())),
+            Broke::Ended => self.record_ended_runs(&server.id, &[run]),
             Broke::Waits => {}
         }
         if is_suspect && broke != Broke::Ended {
-            within(LOOK_LIMIT, self.looked_at(&server.id)).await;
+            within(PROBE_TIMEOUT, self.wait_for_probe(&server.id)).await;
         }
     }
 
     /// Waits until a server was looked at.
-    async fn looked_at(&self, id: &BackendId) {
+    async fn wait_for_probe(&self, id: &BackendId) {
         loop {
-            let looked = self.looked.listen();
+            let probed = self.looked.listen();
             if !self.ends.borrow().is_unseen(id) {
                 return;
             }
-            looked.await;
+            probed.await;
         }
     }
 
     /// Takes that a server has ended: it refuses connections, or has started again.
-    pub(crate) fn server_ended(&self, id: &BackendId) {
+    pub(crate) fn record_server_end(&self, id: &BackendId) {
         let runs = self.ends.borrow_mut().ended(id, self.now());
-        self.ended_under(id, &runs);
+        self.record_ended_runs(id, &runs);
     }
 
     /// Takes that nobody listens at a server's address, or another one. One that had announced its end was expected to go.
-    pub(crate) fn server_is_gone(&self, id: &BackendId) {
+    pub(crate) fn record_server_gone(&self, id: &BackendId) {
         if self.is_ready_server(id) {
-            self.server_ended(id);
+            self.record_server_end(id);
         }
     }
 
@@ -66,28 +66,28 @@
     }
 
     /// Takes that a server's record is gone.
-    pub(crate) fn server_lapsed(&self, id: &BackendId) {
+    pub(crate) fn record_server_lapse(&self, id: &BackendId) {
         if self.is_ready_server(id) {
             let runs = self.ends.borrow_mut().lapsed(id, self.now());
-            self.ended_under(id, &runs);
+            self.record_ended_runs(id, &runs);
         }
     }
 }
 
 /// Looks at whether a server still listens.
-async fn look(gw: Rc<Gateway>, server: BackendServer) {
-    for pause in LOOKS {
+async fn probe_server(gw: Rc<Gateway>, server: BackendServer) {
+    for pause in PROBE_DELAYS {
         sleep(pause).await;
-        let refused = match connect(server.addr, LOOK_LIMIT).await {
+        let is_refused = match connect(server.addr, PROBE_TIMEOUT).await {
             Err(e) => e.kind() == io::ErrorKind::ConnectionRefused,
             Ok(_) => false,
         };
-        if refused {
-            gw.server_ended(&server.id);
+        if is_refused {
+            gw.record_server_end(&server.id);
         }
         gw.ends.borrow_mut().looked_at(&server.id);
         gw.looked.notify(usize::MAX);
-        if refused {
+        if is_refused {
             return;
         }
     }
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -6,8 +6,8 @@
 
 use redwingfold_core::{BackendServer, Millis, Registry, RequestRate, ServiceName};
 
-use crate::choice::UpcomingTurns;
 use crate::gateway::Gateway;
+use crate::server_choice::UpcomingTurns;
 
 /// Number of requests waiting for a turn, by service.
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
     }
 
     /// Notes a send to a server.
-    pub(crate) fn sends_to(&self, server: &BackendServer) {
+    pub(crate) fn record_send_turn(&self, server: &BackendServer) {
         let now = self.now();
         let (is_cold, rate) = self.with_registry(|r| {
             (self.cold_limit(server, r, now).is_some(), self.shared_rate(server, r, now))
