--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -1,4 +1,6 @@
-//! Keeping requests from servers that ended under them, together with the other gateways.
+//! Quarantine of requests that servers terminated on, shared with the other gateways through the store.
+//!
+//! Quarantined requests may be sent only as numbered trials. Each step is recorded as a mark in the store.
 
 use std::net::SocketAddr;
 
@@ -14,68 +16,68 @@
 use crate::response::RequestError;
 use crate::server_choice::ServerChoice;
 
-/// Longest wait for the store to grant a trial: covers a call under way that is not answered, the pause after it and the
-/// call for the trial. With less, each claim is given up just before its turn for as long as the store is away.
+/// Timeout of a trial claim. It covers a store call in progress that is never answered, the pause after it, and the call
+/// that makes the claim. With a shorter one, each claim would time out just before its turn while the store is unavailable.
 const CLAIM_TIMEOUT: Millis = Millis(4_000);
 
-/// Trials that wait to be granted at a time; with more, requests are refused at once.
+/// Maximum number of pending claims; beyond it, requests are rejected immediately.
 const MAX_PENDING_CLAIMS: usize = 64;
 
-/// Time after which a caller should come back whose request may not be tried now, for a reason that ends soon.
+/// `Retry-After` of a request that may not be sent now for a reason that will end soon.
 const SHORT_RETRY_AFTER: Millis = Millis(2_000);
 
-/// A trial that a request asks for. Of all gateways, the one that writes its mark first gets it.
+/// A request's claim to a trial. It is granted to the first gateway that writes the trial's mark to the store.
 #[derive(Debug)]
 pub struct TrialClaim {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Number of the trial.
+    /// Number of the trial, starting at 1.
     pub trial: u8,
     result_tx: Sender<bool>,
 }
 
 impl TrialClaim {
-    /// Tells the request whether it may be sent; `false` if it does not wait any longer.
+    /// Sends the result to the waiting request. Returns `false` if the request no longer waits for it.
     pub fn resolve(self, is_granted: bool) -> bool {
         self.result_tx.try_send(is_granted).is_ok()
     }
 }
 
-/// A trial that was granted.
+/// A granted trial.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Trial {
     number: u8,
     sends: u32,
-    /// Whether no more may be sent.
+    /// Whether the trial allows no further send.
     is_exhausted: bool,
 }
 
 impl Trial {
-    /// Counts a send.
+    /// Counts a send of the request, which uses up the trial.
     pub(crate) fn record_send(&mut self) {
         self.sends += 1;
         self.is_exhausted = true;
     }
 
-    /// Takes that the server says that it did not run the request. The first trial may then be sent once more: a server
-    /// that is full or has just started anew says nothing of the request.
+    /// Records that the server reported that it did not run the request. The first trial may then be sent once more,
+    /// because a refusal by a full or restarted server says nothing about the request.
     pub(crate) fn record_not_run(&mut self) {
         self.is_exhausted = self.number > 1 || self.sends > 1;
     }
 }
 
 impl Gateway {
-    /// Works with what is known of requests under which servers ended.
+    /// Calls `f` with the quarantine state.
     pub fn with_quarantine<T>(&self, f: impl FnOnce(&mut Quarantine) -> T) -> T {
         f(&mut self.quarantine.borrow_mut())
     }
 
-    /// Takes the next trial that a request asks for.
+    /// Removes and returns the oldest pending claim.
     pub fn next_claim(&self) -> Option<TrialClaim> {
         self.claims.borrow_mut().pop_front()
     }
 
-    /// Says whether the marks of requests should be read, or some written.
+    /// Returns whether marks are due to be read or written, or claims are pending.
     pub fn is_mark_sync_due(&self) -> bool {
         let now = self.now();
         let is_write_due = self.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now);
@@ -83,7 +85,7 @@
         is_write_due || is_read_due || !self.claims.borrow().is_empty()
     }
 
-    /// Waits until a request asks for a trial, or marks are to be written, at most for a time.
+    /// Waits until a claim is pending or marks are to be written, at most for `limit`.
     pub async fn wait_for_mark_work(&self, limit: Millis) {
         let moved = self.marks_moved.listen();
         if self.claims.borrow().is_empty() {
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Waits until it is time for calls again: a period of reads, or until a request asks for a trial or is to be kept from
-    /// servers. What happens together is written together, and a gateway that misses many messages reads once.
+    /// Waits for one read period, or until a claim is pending or a mark is urgent. The wait batches marks that are created
+    /// at about the same time into one write, and lets a gateway that missed many messages catch up with one read.
     pub async fn wait_for_next_mark_sync(&self) {
         let until = self.now().after(self.settings.feeds.marks);
         while self.claims.borrow().is_empty()
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Takes an own read of marks that began at `began` and ended at position `next`; `all_of` is the copy of the store
-    /// if it brought all of them.
+    /// Applies marks that this gateway read from the store. The read started at `began` and ended at offset `next`; `all_of`
+    /// is the copy of the store that it came from if it returned all marks, or `None` if it returned only new ones.
     pub fn apply_read_marks(
         &self,
         began: Millis,
@@ -126,7 +128,7 @@
         self.news.notify(usize::MAX);
     }
 
-    /// Takes marks of which another gateway told.
+    /// Applies marks that were received from a peer.
     pub(crate) fn apply_peer_marks(&self, peer: SocketAddr, marks: &[MarkChange]) {
         let quarantined = self.with_quarantine(|q| q.hear(marks, self.now()));
         self.log_quarantined(&quarantined, Some(peer));
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Takes that a server has ended while it ran requests.
+    /// Records that a server terminated while it ran these requests.
     pub(crate) fn record_ended_runs(&self, server: &BackendId, runs: &[EndedRun]) {
         for run in runs {
             let ends = self.with_quarantine(|q| q.ended(server, *run, self.now()));
@@ -152,7 +154,7 @@
         self.marks_moved.notify(usize::MAX);
     }
 
-    /// Takes that a server has answered a request to its end.
+    /// Records that a server completed a request, which lifts its quarantine.
     pub(crate) fn record_completion(&self, request: Fingerprint) {
         if self.with_quarantine(|q| q.completed(request, self.now())) {
             self.telemetry.count("quarantine.lifted", 1);
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Asks the store for a trial, which it grants to one gateway of all.
+    /// Queues a claim to a trial and waits for its result; the store grants each trial to one gateway.
     async fn claim_trial(&self, request: Fingerprint, trial: u8, patience: Millis) -> bool {
         if self.claims.borrow().len() >= MAX_PENDING_CLAIMS {
             return false;
@@ -190,8 +192,8 @@
 }
 
 impl InFlightRequest {
-    /// Looks at whether the request may be sent to a server now: refuses it if servers have ended under it, or makes it
-    /// the trial of one. More may be known than at its last send.
+    /// Checks whether the request may be sent now. A quarantined request is rejected, or claims a trial. Called before each
+    /// send, as the request may have been quarantined since the last one.
     pub(crate) async fn check_quarantine(&mut self) -> Result<(), RequestError> {
         match (self.trial, self.admission()) {
             (Some(trial), _) if trial.is_exhausted => {
@@ -200,7 +202,7 @@
             (Some(_), _) | (None, Admission::Free) => Ok(()),
             (None, Admission::Refused(left)) => Err(self.quarantined_error(left)),
             (None, Admission::Trial(number)) => {
-                // One that finds no server would be used up for nothing.
+                // Without an available server, the trial would be used up without a send.
                 if let ServerChoice::RetryAfter(left) = self.choose_server()? {
                     return Err(self.quarantined_error(left));
                 }
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Says whether the request may go to a server once more, as far as its quarantine is concerned.
+    /// Returns whether the quarantine allows another send of the request.
     pub(crate) fn is_retry_admitted(&self) -> bool {
         match self.trial {
             Some(trial) => !trial.is_exhausted,
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Says whether the request is kept from servers, or is a trial.
+    /// Returns whether the request is quarantined or a trial.
     pub(crate) fn is_quarantined(&self) -> bool {
         self.trial.is_some() || self.admission() != Admission::Free
     }
@@ -236,7 +238,8 @@
         RequestError { run_state: self.run_state, retry_after: Some(left), ..error }
     }
 
-    /// Gives back a trial of which nothing was sent, and lets others know of a request that had no answer.
+    /// Returns a trial that was not sent to the quarantine; otherwise records that the request ended, which publishes its
+    /// marks if it had no response.
     pub(crate) fn settle_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way: which servers it has seen, and what may still be done for it.
+//! The state of a request in flight: its attempts so far, and whether it may be retried.
 
 use std::rc::Rc;
 
@@ -21,13 +21,13 @@
 use crate::rollouts::{Rollouts, Seen, Sight};
 use crate::session_keepers::KeepersAnswer;
 
-/// Connections that are tried in vain before a request is given up.
+/// Failed connection attempts after which a request fails.
 const MAX_CONNECT_FAILURES: u32 = 6;
 
-/// Servers that refuse a request, or turn out to be others, before it is given up.
+/// Refusals, or connections that reached a different server, after which a request fails.
 const MAX_REFUSALS: u32 = 4;
 
-/// A request on its way.
+/// A request from its admission to the end of its response.
 pub(crate) struct InFlightRequest {
     pub(crate) gw: Rc<Gateway>,
     pub(crate) catalog: Rc<Catalog>,
@@ -42,36 +42,37 @@
     pub(crate) body: Bytes,
     pub(crate) received_at: Millis,
     pub(crate) deadline: Millis,
-    /// Index of the model among the route's sizes, if the gateway chooses it.
+    /// Index of the model in the route's `sizes`, ordered by size, if the gateway chooses the model.
     pub(crate) size: Option<usize>,
     pub(crate) run_state: RunState,
-    /// Sends to servers, the one under way included: one that is waited for is as good as run.
+    /// Sends to servers, including the one in progress, as the server may already run it.
     pub(crate) sends: u32,
-    /// The version that it was sent to; the one on trial if it was ever sent there.
+    /// The version that it was sent to; the target version if any attempt was sent there.
     pub(crate) sent_arm: Option<Arm>,
-    /// What the keepers of its session answered, if they were asked.
+    /// Answer of the keepers of its session, if they were asked.
     pub(crate) keepers_answer: Option<KeepersAnswer>,
-    /// The version of its first send, and what decided it, for the log.
+    /// The version of its first send, and what bound the request to that version, for the log.
     pub(crate) first_send: Option<(VersionName, BoundBy)>,
-    /// Servers that are passed over.
+    /// Servers that are not tried again.
     pub(crate) excluded_servers: Vec<BackendId>,
     connect_failures: u32,
     refusals: u32,
-    /// Set if it is sent once more to a server, though servers have ended under it.
+    /// Set if the request is quarantined and is sent as a trial.
     pub(crate) trial: Option<Trial>,
-    /// How it ended, for the log.
+    /// Outcome for the log.
     pub(crate) outcome: String,
     pub(crate) server: Option<BackendServer>,
     pub(crate) confidence: Option<u8>,
-    /// The model that was asked last, and its confidence.
+    /// Index of the model that answered last, and its confidence.
     pub(crate) last_confidence: Option<(usize, u8)>,
     pub(crate) time_to_first_byte: Option<Millis>,
-    /// Events passed on, and the longest pause before one of them.
+    /// Events forwarded to the caller.
     pub(crate) event_count: usize,
+    /// Longest time between two forwarded events.
     pub(crate) longest_pause: Millis,
 }
 
-/// What is asked of a new flight.
+/// The parts of the caller's request from which each attempt is built.
 pub(crate) struct RequestParts {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -94,10 +95,10 @@
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
         let deadline = received_at.after(metadata.timeout.unwrap_or(longest).min(longest));
         let is_chosen_here = metadata.model == RequestedModel::Any && !route.sizes.is_empty();
-        // The smallest goes first, also where a caller takes up a broken answer: which model began
-        // it is not known, but the small one says again whether it is up to the request. After a
-        // restart of all processes, hundreds come back at once; with the largest for all of them,
-        // engines were full for ten seconds.
+        // Starts with the smallest model, also when a caller resumes a broken stream. The gateway does not
+        // know which model produced its beginning, but the smallest one reports again how confident it is.
+        // After a restart of all processes, hundreds of streams are resumed at once; sending all of them to
+        // the largest model kept the engines full for ten seconds.
         let size = is_chosen_here.then_some(0);
         gw.under_way.set(gw.under_way.get() + 1);
         gw.held_bytes.set(gw.held_bytes.get() + parts.body.len());
@@ -136,23 +137,23 @@
         }
     }
 
-    /// Returns the time left.
+    /// Returns the time until the deadline.
     pub(crate) fn time_left(&self) -> Millis {
         self.deadline.since(self.gw.now())
     }
 
-    /// Ranks the request; `is_resumed` if the gateway itself goes on with a stream that its caller reads.
+    /// Returns the request's priority; `is_resumed` is set if the gateway itself resumes a stream whose caller is still
+    /// connected.
     ///
-    /// Load pattern: all gateways were lost, and their callers come back with broken streams in one wave.
-    /// These are late already; ranked before all others, they made hundreds of new ones late as well. Ranked
-    /// as others, and without steps up that cannot end in time, worth was higher by 0.009 +- 0.003 on
-    /// envol-routage-grown (five days with faults, two seeds, without processor time).
+    /// A stream that the caller resumes has the priority of a new request. After the loss of all gateways, callers resume
+    /// their broken streams in one wave. These are already late, and with precedence over all others they made hundreds of
+    /// new requests late as well.
     pub(crate) fn priority(&self, is_resumed: bool) -> Priority {
         let own = self.customer.as_ref().and_then(|c| c.priority).unwrap_or(self.route.priority);
         self.gw.settings.urgency.rank(self.unshared_tokens(), own, is_resumed)
     }
 
-    /// Counts a send to a server for the service's roll-out.
+    /// Records a send to a server for the service's rollout.
     pub(crate) fn record_send(&mut self, server: &BackendServer) {
         self.trial.iter_mut().for_each(Trial::record_send);
         let (bound, sent_arm, now) = (self.bound(), self.sent_arm, self.gw.now());
@@ -163,9 +164,9 @@
         self.sent_arm = self.gw.with_rollouts(sent).or(sent_arm);
     }
 
-    /// Records that the session moves with a request that is sent to a server, if it does.
+    /// Records that the session moves to the server's version, if sending this request moves it.
     ///
-    /// At the send and not at the answer: another request of the session may be on its way already.
+    /// This is recorded at the send, not at the response, as another request of the session may already be in flight.
     pub(crate) fn record_session_move(&self, server: &BackendServer, now: Millis) {
         let moves =
             self.gw.with_rollouts(|r| r.moves_session(&server.service, &server.version, now));
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Answers the request.
+    /// Sends the request to servers until one responds, and returns the response for the caller.
     pub(crate) async fn execute(mut self) -> Result<GatewayResponse, (Box<Self>, RequestError)> {
         let response = match Box::pin(self.obtain_response(self.metadata.resume_after)).await {
             Ok(response) => response,
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Finds a server whose answer has begun and is worth having.
+    /// Makes attempts until one returns a response head that is accepted.
     pub(crate) async fn obtain_response(
         &mut self,
         resume_after: Option<EventId>,
@@ -211,10 +212,10 @@
                 AttemptOutcome::OtherServer => {
                     self.gw.record_server_gone(&server.id);
                     self.run_state = run_before;
-                    // It reached none of the servers that it was meant for.
+                    // The attempt did not reach the server that it was meant for.
                     self.sends -= 1;
                     self.gw.with_registry(|r| r.forget(&server.id));
-                    self.record_refusal(&server, "the address has another server now")?;
+                    self.record_refusal(&server, "the address belongs to another server now")?;
                 }
                 AttemptOutcome::NotRun(why) => {
                     self.run_state = run_before;
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Says whether an answer is kept, or dropped for a better one.
+    /// Records a response and returns whether it is forwarded, rather than dropped for another attempt.
     fn accept_response(&mut self, response: &UpstreamResponse) -> bool {
         let is_failure = response.head.status.is_server_error();
         let expected = self.prefill_time(response.size.unwrap_or(0));
@@ -269,12 +270,12 @@
         }
     }
 
-    /// Estimates how long a server takes for the prompt; shared parts are mostly cached.
+    /// Estimates the prefill time of the prompt, without its shared parts, which are mostly cached.
     pub(crate) fn prefill_time(&self, size: usize) -> Millis {
         self.gw.rates.borrow().estimate(&self.service, size, self.unshared_tokens())
     }
 
-    /// Returns the tokens of the prompt that no other request shares.
+    /// Returns the number of prompt tokens that are not shared with other requests.
     fn unshared_tokens(&self) -> u64 {
         let shared: u64 = self.metadata.shared_parts().iter().map(|part| part.tokens).sum();
         self.metadata.usage.prompt.saturating_sub(shared)
@@ -304,7 +305,7 @@
         self.gw.with_rollouts(|r| r.saw_answer(&seen, self.gw.now()));
     }
 
-    /// Reads a whole answer and passes it on; one that breaks is had again elsewhere if it may.
+    /// Buffers the whole response before forwarding it. If it breaks off, the request is retried if that is allowed.
     async fn relay_whole(
         &mut self,
         mut response: Box<UpstreamResponse>,
@@ -340,7 +341,7 @@
                 Some(BodyRead::End) => return Ok(bytes.into()),
                 Some(BodyRead::Broken(why)) => return Err(why),
                 Some(BodyRead::Chunk(chunk)) if bytes.len() + chunk.len() > max => {
-                    return Err(format!("an answer of more than {max} bytes"));
+                    return Err(format!("response is larger than {max} bytes"));
                 }
                 Some(BodyRead::Chunk(chunk)) => bytes.extend_from_slice(&chunk),
             }
@@ -356,7 +357,7 @@
         Err(RequestError::new(kind, format!("after {} ms", self.deadline.since(self.received_at))))
     }
 
-    /// Says whether the request may be sent once more after a failure, and pays for it.
+    /// Returns whether the request may be retried after a failure, and takes the retry from the budget.
     pub(crate) fn try_retry(&mut self) -> bool {
         let may = self.is_retryable()
             && self.sends < self.route.max_attempts
@@ -389,7 +390,7 @@
         }
     }
 
-    /// Counts a refusal; the server is passed over, but it did not fail.
+    /// Counts a refusal. The server is excluded for this request, but the refusal is not counted as its failure.
     fn record_refusal(&mut self, server: &BackendServer, why: &str) -> Result<(), RequestError> {
         self.excluded_servers.push(server.id.clone());
         self.trial.iter_mut().for_each(Trial::record_not_run);
@@ -416,21 +417,21 @@
         }
     }
 
-    /// Takes that an answer broke off that had begun.
+    /// Records that a response broke off after its head.
     pub(crate) async fn record_broken_response(&mut self, response: &UpstreamResponse, why: &str) {
         self.log_broken(&response.server, why);
         self.record_failure(&response.server, Fault::Lost);
         self.record_broken_run(&response.server, response.sent_at).await;
     }
 
-    /// Takes that a run broke off, whose server may have ended.
+    /// Records that a run was interrupted; its server may have terminated.
     pub(crate) async fn record_broken_run(&self, server: &BackendServer, sent_at: Millis) {
         self.gw.record_broken_run(server, EndedRun { request: self.fingerprint, sent_at }).await;
     }
 }
 
-/// Says whether a whole answer shows that a server bears the request. A server that fails, or has no room, may not have
-/// begun with it: such answers would let a request go under which all others end.
+/// Returns whether a whole response proves that a server can complete the request. A server that fails or has no capacity
+/// may not have started it; counting its response would lift the quarantine of a request that terminates servers.
 fn proves_completion(status: StatusCode) -> bool {
     !status.is_server_error() && status != StatusCode::TOO_MANY_REQUESTS
 }
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -1,4 +1,4 @@
-//! Which backend server gets a request, among those that may have it.
+//! Selects the backend server for a request.
 
 use redwingfold_core::{
     Arm, ArmChoice, BackendServer, ErrorKind, FailureDomain, Millis, Place, Registry, RequestRate,
@@ -13,22 +13,22 @@
 use crate::rollout_choice::{Bound, BoundBy};
 use crate::session_keepers::KeepersAnswer;
 
-/// Divisor of the time left that bounds a request's wait while all servers are cold or limited, or the keepers of its
-/// session are not known yet; the rest is for its answer or for returning the request.
+/// Divisor of the time left that bounds a request's wait for a turn at a cold or limited server, or for the keepers of its
+/// session. The rest is left for the response, or for the caller to retry elsewhere.
 const WAIT_DIVISOR: u64 = 3;
 
 /// Divisor of the remaining delay that bounds the random time added to it in `Retry-After`.
 const RETRY_SPREAD_DIVISOR: u64 = 4;
 
-/// What a look for a server found.
+/// Result of the search for a server.
 pub(crate) enum ServerChoice {
-    /// This server, and the time that it will take for other prompts.
+    /// This server, and the estimated time that it takes to process the prompts queued before this one.
     Server(Box<BackendServer>, Millis),
     /// All servers are cold or limited.
     WaitForTurn(UpcomingTurns),
     /// All servers have requested a delay with `Retry-After`; this is the shortest remaining one.
     RetryAfter(Millis),
-    /// The version depends on whether the request's session has moved, which its keepers know.
+    /// The version depends on whether the request's session has moved to the new version; its keepers must be asked.
     AskKeepers,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl UpcomingTurns {
-    /// Returns the turns at the servers of both.
+    /// Combines the turns at two disjoint sets of servers.
     fn combine(self, other: Self) -> Self {
         let rate = self.rate.per_second() + other.rate.per_second();
         Self { wait: self.wait.min(other.wait), rate: RequestRate::new(rate).unwrap_or(self.rate) }
@@ -55,26 +55,27 @@
     }
 }
 
-/// The servers of the version that a request is to have, if that is known.
+/// The servers of the version selected for a request, or that the version is not determined yet.
 enum PoolChoice<'a> {
     Pool(Pool<'a>),
     AskKeepers,
 }
 
-/// Servers that may have a request, the first those that may have it now.
+/// Servers that may receive a request, grouped by when.
 struct Pool<'a> {
+    /// Servers that may receive it now.
     available: Vec<&'a BackendServer>,
     /// Turns at the other servers.
     upcoming: Option<UpcomingTurns>,
     /// Shortest remaining delay of the servers that requested one with `Retry-After`.
     retry_after: Option<Millis>,
-    /// How many of the servers get requests, if not all do.
+    /// Number of servers used during a load trial; `None` if all are used.
     lead_count: Option<usize>,
 }
 
 impl InFlightRequest {
-    /// Chooses a server for the model that is asked; if all servers are cold or limited, waits for a turn at one of
-    /// them. Fails immediately if its turn, after those of the requests already waiting, would come too late.
+    /// Chooses a server for the requested model. If all servers are cold or limited, waits for a turn at one of them. Fails
+    /// immediately if its turn, after those of the requests already waiting, would come too late.
     pub(crate) async fn choose_server_in_turn(
         &mut self,
     ) -> Result<(BackendServer, Millis), RequestError> {
@@ -112,7 +113,7 @@
         RequestError { retry_after: Some(left.after(spread)), ..self.overloaded_error(why) }
     }
 
-    /// Chooses a server for the model that is asked.
+    /// Chooses a server for the requested model without waiting.
     pub(crate) fn choose_server(&self) -> Result<ServerChoice, RequestError> {
         self.gw
             .with_registry(|registry| self.choose_among(&self.eligible_servers(registry), registry))
@@ -145,10 +146,10 @@
         Some(ServerChoice::Server(Box::new(server.clone()), found.unread))
     }
 
-    /// Returns the servers of the version that this request is to have.
+    /// Returns the servers of the version selected for this request.
     ///
-    /// Servers of a new version are all cold at first. A request that nothing binds to it goes to the version in service
-    /// meanwhile; the other way round, a bad version would get more than its share.
+    /// All servers of a new version are cold at first. Meanwhile, requests that are not bound to it use the current version.
+    /// The reverse is not allowed, as a bad version would get more than its share of requests.
     fn pool<'a>(
         &self,
         servers: &[&'a BackendServer],
@@ -159,7 +160,7 @@
         let (choice, bound_by, load_trial, target_servers, current_servers, last_resort_servers) =
             self.gw.with_rollouts(|r| {
                 let servers_of_arm = |arm: Arm| -> Vec<&'a BackendServer> {
-                    // A version that was rolled back has no arm, so that it is never taken instead.
+                    // A rolled-back version has no arm, so it is never used as a fallback.
                     let has_arm =
                         |s: &&&BackendServer| r.arm_of(&self.service, &s.version) == Some(arm);
                     servers.iter().filter(has_arm).copied().collect()
@@ -212,7 +213,7 @@
         pool.map(PoolChoice::Pool)
     }
 
-    /// Returns what may bind this request to a version.
+    /// Returns the facts that may bind this request to a version.
     pub(crate) fn bound(&self) -> Bound {
         let session = self.metadata.session.as_deref();
         let session =
@@ -220,7 +221,7 @@
         Bound { reached: self.sent_arm, session, draw: xxh3_64(self.metadata.id.as_bytes()) }
     }
 
-    /// Asks whether this request's session has moved; what its keepers say is recorded.
+    /// Asks the session's keepers whether it has moved to the new version, and records their answer.
     async fn ask_keepers(&mut self, until: Millis) {
         self.keepers_answer = Some(match self.bound().session {
             Some(session) => self.gw.ask_keepers(session, until).await,
@@ -228,7 +229,7 @@
         });
     }
 
-    /// Separates servers that may get a request now from those at which this gateway must wait for its turn.
+    /// Groups servers by whether they may receive a request now, at this gateway's next turn, or after a requested delay.
     fn split_by_availability<'a>(
         &self,
         servers: Vec<&'a BackendServer>,
@@ -264,7 +265,7 @@
         RequestError { run_state: self.run_state, ..RequestError::new(ErrorKind::NoBackend, why) }
     }
 
-    /// Returns the servers that may have this request at all.
+    /// Returns the servers that are eligible for this request.
     fn eligible_servers<'a>(&self, registry: &'a Registry) -> Vec<&'a BackendServer> {
         let model = match (&self.metadata.model, self.size) {
             (_, Some(size)) => self.route.sizes.get(size),
@@ -294,8 +295,8 @@
     }
 }
 
-/// Takes servers back that would be left out beyond the share that may be: when most look bad, the
-/// fault is more likely on the way to them, and the few others could not bear the load.
+/// Readmits all excluded servers if their share exceeds `max_share`. When most servers look bad, the fault is more likely
+/// on the network path, and the few remaining servers could not handle the load.
 fn limit_excluded_share(places: &mut [Place], max_share: f64) {
     let out = places.iter().filter(|p| p.is_out).count();
     if out as f64 > places.len() as f64 * max_share {
