--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -15,27 +15,26 @@
 use crate::request::InFlightRequest;
 use crate::upstream::{CallError, HttpConnection, error_chain};
 
-/// Pause between looks at whether a server that is waited for is silent.
+/// Interval of the checks whether a server that owes a response is silent.
 pub(crate) const SILENCE_POLL_INTERVAL: Millis = Millis(200);
 
-/// How an attempt went.
+/// Outcome of an attempt.
 pub(crate) enum AttemptOutcome {
-    /// The head of an answer has come.
+    /// The head of a response was received.
     Started(Box<UpstreamResponse>),
-    /// The server may have run it.
+    /// There is no valid response, and the server may have run the request.
     Lost(String),
-    /// The server says that it did not run it.
+    /// The server reports that it did not run the request.
     NotRun(String),
-    /// Another server has the address now; it did not run it.
+    /// The address now belongs to a different server, which did not run the request.
     OtherServer,
-    /// Nothing came from the server for so long that the next one is asked, at the cost of a
-    /// second send.
+    /// The server was silent for so long that the request is retried at another one; the retry budget has been charged.
     Silent,
     /// Nothing was sent.
     Unreachable(String),
 }
 
-/// An answer whose head has come. Dropping it stops the server's work.
+/// A response whose head was received. Dropping it closes the connection, which makes the server stop its work.
 pub(crate) struct UpstreamResponse {
     pub(crate) head: http::response::Parts,
     pub(crate) metadata: ResponseMetadata,
@@ -49,7 +48,7 @@
     _connection: HttpConnection,
 }
 
-/// What comes next of a body.
+/// Result of reading from a body.
 pub(crate) enum BodyRead {
     Broken(String),
     Chunk(Bytes),
@@ -57,7 +56,7 @@
 }
 
 impl UpstreamResponse {
-    /// Returns the requests that its server runs and that wait there, for each of its slots; 0 if it does not say.
+    /// Returns the number of running and waiting requests per slot that the server reported; 0 if it reported none.
     pub(crate) fn load(&self) -> f64 {
         let of = |load: ReportedLoad| {
             f64::from(load.running + load.waiting) / f64::from(load.slots.max(1))
@@ -65,7 +64,7 @@
         self.metadata.load.map_or(0.0, of)
     }
 
-    /// Reads on.
+    /// Reads the next chunk of the body.
     pub(crate) async fn read_next(&mut self) -> BodyRead {
         loop {
             match self.body.frame().await {
@@ -74,7 +73,7 @@
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => return BodyRead::Chunk(data),
-                    // Trailers belong to the connection, not to the answer's bytes.
+                    // Trailers concern this connection only and are not forwarded.
                     Err(_) => {}
                 },
             }
@@ -83,7 +82,7 @@
 }
 
 impl InFlightRequest {
-    /// Sends the request to a server and waits for the head of its answer.
+    /// Sends the request to a server and waits for the head of its response.
     pub(crate) async fn attempt(
         &mut self,
         server: &BackendServer,
@@ -149,7 +148,7 @@
             gw.loads.record_report(server, load, now);
         }
         let rejection = self.check_response(&head, &metadata);
-        // Invalid answers and answers from another server must not change what is recorded of this server.
+        // Invalid responses and responses from a different server must not change this server's records.
         if matches!(rejection, None | Some(AttemptOutcome::NotRun(_))) {
             gw.record_limit(server, metadata.rate_limit);
             if metadata.is_leaving {
@@ -198,7 +197,7 @@
         req
     }
 
-    /// Looks at whether a head is an answer to this request at all.
+    /// Checks that a response head is valid and answers this request; returns the outcome of the attempt if not.
     fn check_response(
         &self,
         head: &http::response::Parts,
@@ -206,23 +205,24 @@
     ) -> Option<AttemptOutcome> {
         match metadata {
             f if f.id.as_ref().is_some_and(|id| *id != self.metadata.id) => {
-                Some(AttemptOutcome::Lost("answer to another request".to_owned()))
+                Some(AttemptOutcome::Lost("response to another request".to_owned()))
             }
             f if f.is_other_server => Some(AttemptOutcome::OtherServer),
             f if f.is_not_run => Some(AttemptOutcome::NotRun(format!("status {}", head.status))),
             f if head.status.is_success() && !f.is_signed => {
-                Some(AttemptOutcome::Lost("unsigned answer".to_owned()))
+                Some(AttemptOutcome::Lost("response is not signed".to_owned()))
             }
             _ if head.headers.contains_key(CONTENT_ENCODING) => {
-                Some(AttemptOutcome::Lost("encoded answer".to_owned()))
+                Some(AttemptOutcome::Lost("response has a content encoding".to_owned()))
             }
             _ => None,
         }
     }
 
-    /// Waits until the head has come, the time is over, or the silence is worth a second send.
+    /// Waits for the response head. Returns `None` when the deadline passes, or when the server is silent and a retry has
+    /// been taken from the budget.
     ///
-    /// A silence that may not be answered by a second send ends nothing.
+    /// Without a retry, a silent server is not given up, as that could only lose its response.
     async fn wait_for_head(
         &mut self,
         answered: impl Future<Output = Result<Response<Incoming>, CallError>>,
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Looks at whether a server that owes this request bytes is to be given up.
+    /// Returns whether a server that owes this request a response has been silent for too long.
     pub(crate) fn is_server_silent(
         &self,
         watch: &mut SilenceWatch,
@@ -257,7 +257,7 @@
         watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
     }
 
-    /// Says whether the request may run more than once.
+    /// Returns whether the request may run more than once.
     pub(crate) fn is_retryable(&self) -> bool {
         match (self.route.repeat, self.route.stream) {
             (_, Some(stream)) => stream.resumable,
--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -1,4 +1,4 @@
-//! Backend servers that announce in answers that they are leaving, or request a delay with `Retry-After`.
+//! Backend servers that announce in responses that they are leaving, or request a delay with `Retry-After`.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::limits::incarnation_hash;
 
 impl Gateway {
-    /// Records that a server announced in an answer that it is leaving, and queues this for the peers.
+    /// Records that a server announced in a response that it is leaving, and queues notices for the peers.
     pub(crate) fn record_leaving(&self, server: &BackendServer) {
         let hash = incarnation_hash(server);
         if self.insert_leaving(hash) {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Records that a server announced in an answer to a peer that it is leaving.
+    /// Records a peer's notice that a server is leaving.
     pub(crate) fn apply_peer_leaving(&self, peer: SocketAddr, hash: u64) {
         if !self.insert_leaving(hash) {
             return;
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! What this gateway knows of each backend server's load and health.
+//! Load and health of each backend server, from this gateway's own requests and from peers.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -14,24 +14,29 @@
 use crate::clock::Clock;
 use crate::metadata::ReportedLoad;
 
-/// Age at which a report of load says nothing any more: requests last a few seconds.
+/// Age above which load reports are ignored, as requests last only a few seconds.
 const MAX_REPORT_AGE: Millis = Millis(3_000);
 
+/// Load and health of one incarnation of a server, as observed by this gateway.
 #[derive(Clone, Debug, Default)]
 struct ServerLoad {
     reported: ReportedLoad,
     reported_at: Millis,
+    /// Requests sent since the last report.
     sent_since_report: u32,
+    /// Requests that ended since the last report.
     ended_since_report: u32,
+    /// Requests of this gateway in flight.
     in_flight: u32,
+    /// Estimated time to process the prompts sent by this gateway that the server has not processed yet.
     prefill_wait: Millis,
+    /// When bytes were last received from the server.
     last_activity_at: Millis,
     health: ServerHealth,
-    /// The start of the server to which all of this belongs.
     incarnation: Option<Incarnation>,
 }
 
-/// The table of all servers.
+/// Load and health of all servers; clones share the same tables.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTable(Rc<RefCell<Tables>>);
 
@@ -40,7 +45,7 @@
     own: HashMap<BackendId, ServerLoad>,
     peers: PeerLoads,
     unreached: Unreached<Observer>,
-    /// What the peers have not been told yet.
+    /// Updates to be sent to the peers.
     pending: LoadUpdate,
     /// Pending notices to the peers about leaving servers, keyed by incarnation hash.
     leaving_notices: HashMap<u64, NoticeSchedule>,
@@ -59,16 +64,16 @@
 /// Time between two notices about the same leaving server.
 const LEAVING_NOTICE_INTERVAL: Millis = Millis(1_000);
 
-/// What one gateway tells the others of servers' loads.
+/// An update of servers' load and availability that one gateway sends to the others.
 #[derive(Debug, Default)]
 pub(crate) struct LoadUpdate {
-    /// Prompts that were sent, and how long each takes to read.
+    /// Prompts that were sent: hash of the server's id and estimated prefill time.
     pub(crate) sent: Vec<(u32, Millis)>,
-    /// Reports that came with answers, the newest of each server.
+    /// The newest load report in a response of each server.
     pub(crate) reports: HashMap<u32, ServerReport>,
     /// Servers to which no connection could be made.
     pub(crate) unreached: HashSet<u32>,
-    /// Servers that have answered, though somebody could not reach them.
+    /// Servers that have responded although a gateway had failed to connect to them.
     pub(crate) answered: HashSet<u32>,
     /// Server limits, keyed by incarnation hash.
     pub(crate) limits: HashMap<u64, LimitUpdate>,
@@ -76,7 +81,7 @@
     pub(crate) leaving: HashSet<u64>,
 }
 
-/// The limit in a server's answer, as passed between gateways.
+/// The limit in a server's response, as sent between gateways.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitUpdate {
     /// `None` if the server no longer reports a limit.
@@ -84,20 +89,20 @@
     pub(crate) reported_at: Millis,
 }
 
-/// Who could not reach a server.
+/// The gateway that failed to connect to a server.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Observer {
     Own,
     Peer(SocketAddr),
 }
 
-/// Reading time below which a prompt is not worth a message.
+/// Minimum estimated prefill time of prompts that are reported to the peers.
 const MIN_SHARED_PREFILL: Millis = Millis(30);
 
-/// Messages that wait for the next turn at most.
+/// Maximum number of prompts queued for the next update to the peers; half as many limits and leaving notices.
 const MAX_PENDING_UPDATES: usize = 64;
 
-/// A request under way at a server; it counts until this is dropped.
+/// Guard of a request in flight at a server, which is counted there until this is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     table: LoadTable,
@@ -105,11 +110,11 @@
     prefill_wait: Millis,
     run: EndedRun,
     ends: Rc<RefCell<ServerEnds>>,
-    /// Whether it ended otherwise than by being given up.
+    /// Whether the request completed or was not run, rather than being abandoned.
     is_settled: bool,
 }
 
-/// One start of a server.
+/// A server and its incarnation.
 #[derive(Clone, Debug)]
 struct ServerInstance {
     id: BackendId,
@@ -122,15 +127,15 @@
     }
 }
 
-/// Returns the name by which gateways tell each other of a server. Two servers in a fleet of
-/// thousands may share one; each then looks as loaded as both.
+/// Returns the hash that identifies a server in messages between gateways. Hashes may collide in a fleet of thousands; each
+/// of the two servers then appears to have the load of both.
 pub(crate) fn id_hash(id: &BackendId) -> u32 {
     xxh3_64(id.as_str().as_bytes()) as u32
 }
 
 impl Tables {
-    /// Returns what is known of a start of a server, with room for a new one; `None` if a later start is
-    /// known already.
+    /// Returns the entry of a server, reset if this is a later incarnation; `None` if the entry belongs to a later one than
+    /// `server`.
     fn entry(&mut self, server: &BackendServer) -> Option<&mut ServerLoad> {
         let born = server.born;
         let load = self.own.entry(server.id.clone()).or_default();
@@ -142,7 +147,7 @@
 }
 
 impl LoadTable {
-    /// Describes a server for placement.
+    /// Returns the load and health of a server as an input to placement.
     pub(crate) fn place(&self, server: &BackendServer, now: Millis) -> Place {
         let tables = self.0.borrow();
         let load = tables.own.get(&server.id).cloned().unwrap_or_default();
@@ -166,8 +171,8 @@
         }
     }
 
-    /// Counts a request that is sent to a server, with the time that its prompt will take; `ends` is told when it ends
-    /// there.
+    /// Counts a request sent to a server with its estimated prefill time, until the guard is dropped. Whether the request
+    /// completed or was abandoned is recorded in `ends`.
     pub(crate) fn record_send(
         &self,
         server: &BackendServer,
@@ -188,7 +193,7 @@
         InFlightGuard { table: self.clone(), server, prefill_wait, run, ends, is_settled: false }
     }
 
-    /// Takes a report of load.
+    /// Records a load report and queues it for the peers.
     pub(crate) fn record_report(&self, server: &BackendServer, report: ReportedLoad, now: Millis) {
         self.update(&server.into(), |load| {
             load.reported = report;
@@ -200,7 +205,7 @@
         self.0.borrow_mut().pending.reports.insert(id_hash(&server.id), report);
     }
 
-    /// Takes what a peer has told; returns the servers that are left out from now on, by their short names.
+    /// Applies an update from a peer. Returns the hashes of the servers that are excluded from now on.
     pub(crate) fn apply_peer_update(
         &self,
         peer: SocketAddr,
@@ -223,12 +228,12 @@
         update.unreached.iter().copied().filter(is_out).collect()
     }
 
-    /// Notes that a server is tried.
+    /// Records an attempt to connect to a server.
     pub(crate) fn record_connect_attempt(&self, server: &BackendServer, now: Millis) {
         self.0.borrow_mut().unreached.tried(id_hash(&server.id), now);
     }
 
-    /// Takes that no connection to a server could be made; `true` if it is left out from now on.
+    /// Records that a connection to a server failed. Returns whether the server is excluded from now on.
     pub(crate) fn record_connect_failure(
         &self,
         server: &BackendServer,
@@ -255,7 +260,7 @@
 
     /// Queues notices to the peers that a server is leaving; drops them if the queue is full.
     ///
-    /// They are repeated because a message may be lost, and no further answer from the server triggers another one.
+    /// They are repeated because a message may be lost, and no further response from the server triggers another one.
     pub(crate) fn queue_leaving_notices(&self, server: u64, now: Millis) {
         let notices = &mut self.0.borrow_mut().leaving_notices;
         if notices.len() < MAX_PENDING_UPDATES / 2 {
@@ -264,7 +269,7 @@
         }
     }
 
-    /// Takes what the peers have not been told yet.
+    /// Removes and returns the updates to be sent to the peers.
     pub(crate) fn take_pending_updates(&self, now: Millis) -> LoadUpdate {
         let Tables { pending, leaving_notices, .. } = &mut *self.0.borrow_mut();
         for (server, schedule) in leaving_notices.iter_mut().filter(|(_, s)| s.next_at <= now) {
@@ -275,7 +280,7 @@
         std::mem::take(pending)
     }
 
-    /// Notes that bytes came from a server.
+    /// Records that bytes were received from a server.
     pub(crate) fn record_activity(&self, server: &BackendServer, now: Millis) {
         self.update(&server.into(), |load| load.last_activity_at = now);
         let Tables { unreached, pending, .. } = &mut *self.0.borrow_mut();
@@ -287,17 +292,17 @@
         }
     }
 
-    /// Returns when bytes last came from a server.
+    /// Returns when bytes were last received from a server; zero if never.
     pub(crate) fn last_activity_at(&self, id: &BackendId) -> Millis {
         self.0.borrow().own.get(id).map_or(Millis(0), |load| load.last_activity_at)
     }
 
-    /// Counts a good answer.
+    /// Records a successful response.
     pub(crate) fn record_success(&self, server: &BackendServer) {
         self.update(&server.into(), |load| load.health.good());
     }
 
-    /// Counts a failure; `true` if the server is left out from now on.
+    /// Records a failure. Returns whether the server is excluded from now on.
     pub(crate) fn record_failure(
         &self,
         server: &BackendServer,
@@ -309,7 +314,7 @@
         tables.entry(server).is_some_and(|load| load.health.bad(fault, policy, now))
     }
 
-    /// Forgets a server that is gone, or has started again.
+    /// Removes the entries of a server that is gone or has restarted.
     pub(crate) fn forget(&self, id: &BackendId) {
         let mut tables = self.0.borrow_mut();
         tables.own.remove(id);
@@ -317,8 +322,8 @@
         tables.unreached.answered(id_hash(id));
     }
 
-    /// Changes what is known of a start of a server. What its earlier starts answered, or how they
-    /// ended, says nothing of the present one.
+    /// Updates the entry of a server's incarnation. Late events of earlier incarnations are ignored, as they say nothing
+    /// about the current one.
     fn update(&self, server: &ServerInstance, change: impl FnOnce(&mut ServerLoad)) {
         match self.0.borrow_mut().own.get_mut(&server.id) {
             Some(load) if load.incarnation == server.incarnation => change(load),
@@ -328,20 +333,20 @@
 }
 
 impl InFlightGuard {
-    /// Notes that the server has read the prompt.
+    /// Records that the server has processed the prompt.
     pub(crate) fn record_prefill_done(&mut self) {
         let prefill_wait = std::mem::take(&mut self.prefill_wait);
         self.table
             .update(&self.server, |load| load.prefill_wait = load.prefill_wait.since(prefill_wait));
     }
 
-    /// Notes that the server has answered the request to its end.
+    /// Records that the server completed the request.
     pub(crate) fn record_completion(&mut self) {
         self.is_settled = true;
         self.ends.borrow_mut().answered(&self.server.id, Clock.now());
     }
 
-    /// Notes that the server did not run the request: it cannot end under it.
+    /// Records that the server did not run the request, so that a later termination is not attributed to it.
     pub(crate) fn record_not_run(&mut self) {
         self.is_settled = true;
     }
--- a/gateway/src/metadata.rs
+++ b/gateway/src/metadata.rs
@@ -1,128 +1,128 @@
-//! What requests, attempts and answers say, apart from how a deployment writes it.
+//! Metadata of requests, attempts and responses, independent of the headers that a deployment uses for it.
 
 use http::{HeaderMap, StatusCode};
 use redwingfold_core::{
     BackendId, CustomerName, EventId, Millis, ModelName, Priority, RequestRate,
 };
 
-/// Which model a caller asks for.
+/// The model that a caller requests.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum RequestedModel {
-    /// The gateway chooses.
+    /// The gateway chooses the model.
     Any,
-    /// This one.
+    /// The named model.
     Named(ModelName),
-    /// The request names none.
+    /// The request does not name a model.
     #[default]
     None,
 }
 
-/// Tokens of a request.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Tokens that the answer may have.
+    /// Maximum number of tokens of the response.
     pub max_output: u64,
 }
 
-/// A part of a prompt; requests share parts.
+/// A part of a prompt, which may be shared with other requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPart {
-    /// Its id; equal parts have equal ids.
+    /// Id; equal parts have equal ids.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// What a request says of itself.
+/// Metadata in the head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
-    /// Id of this attempt of the caller.
+    /// Id of the request; a retry by the caller has a new one.
     pub id: String,
-    /// How long the caller waits.
+    /// Time that the caller waits for the response.
     pub timeout: Option<Millis>,
-    /// The customer's key.
+    /// The customer's API key.
     pub key: Option<String>,
-    /// Requests of one session follow each other and keep their version.
+    /// Id of the session. Requests of one session are sequential and stay on the same version.
     pub session: Option<String>,
-    /// The model.
+    /// The requested model.
     pub model: RequestedModel,
-    /// Tokens.
+    /// Token counts.
     pub usage: Usage,
-    /// Parts of the prompt, in order; the last one is the request's own.
+    /// Parts of the prompt, in order; the last one is not shared with other requests.
     pub prompt: Vec<PromptPart>,
-    /// The last event that the caller has, if it goes on with a broken stream.
+    /// The last event that the caller received, if it resumes a broken stream.
     pub resume_after: Option<EventId>,
 }
 
 impl RequestMetadata {
-    /// Returns the parts of the prompt that other requests share; the last one is its own.
+    /// Returns the parts of the prompt that may be shared with other requests: all but the last.
     pub(crate) fn shared_parts(&self) -> &[PromptPart] {
         &self.prompt[..self.prompt.len().saturating_sub(1)]
     }
 }
 
-/// What an attempt tells a backend server beside the caller's request.
+/// Metadata that an attempt adds to the caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptMetadata {
-    /// The server for which it is meant; any other must refuse it.
+    /// The server that the attempt is meant for; any other server must refuse it.
     pub server: BackendId,
-    /// Time left for the answer.
+    /// Time left for the response.
     pub time_left: Millis,
-    /// The customer, as its key tells.
+    /// The customer that the key belongs to.
     pub customer: Option<CustomerName>,
-    /// The model that the gateway chose, if the caller left it the choice.
+    /// The model that the gateway chose, if the caller left the choice to it.
     pub model: Option<ModelName>,
-    /// Rank among the server's requests.
+    /// Priority in the server's queue.
     pub priority: Priority,
-    /// The last event that the caller has.
+    /// The last event that the caller received, if the attempt resumes a stream.
     pub resume_after: Option<EventId>,
 }
 
-/// Load that an answer reports.
+/// Load that a server reports in a response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
 
-/// What the head of an answer says.
+/// Metadata in the head of a response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseMetadata {
-    /// Id of the attempt that it answers, if it says so.
+    /// Id of the request that it responds to, if present.
     pub id: Option<String>,
-    /// Whether the server says that it did not run the request, and will not.
+    /// Whether the server reports that it did not and will not run the request.
     pub is_not_run: bool,
-    /// Whether the address now belongs to another server.
+    /// Whether the address now belongs to a different server.
     pub is_other_server: bool,
-    /// Whether the server signed it.
+    /// Whether the response carries the server's signature.
     pub is_signed: bool,
     /// Load of the server.
     pub load: Option<ReportedLoad>,
-    /// How much longer the server is cold, if it says so.
+    /// Remaining time for which the server is cold, if reported.
     pub cold_remaining: Option<Millis>,
     /// Requests per second that the server accepts from all gateways combined, if limited.
     pub rate_limit: Option<RequestRate>,
     /// Whether the server announces that it is leaving.
     pub is_leaving: bool,
-    /// How long the server asks this gateway to send no requests, if it refused this one and says so.
+    /// Delay before the next request that the server asks for when it refuses one.
     pub retry_after: Option<Millis>,
-    /// The model's opinion of its answer, 0 to 100.
+    /// The model's confidence in its answer, from 0 to 100.
     pub confidence: Option<u8>,
 }
 
-/// How a deployment writes facts into heads. Header names appear nowhere else.
+/// Conversion between metadata and a deployment's HTTP headers. The gateway uses no deployment-specific header elsewhere.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderCodec {
-    /// Reads a request's head; the error says what is wrong with it.
+    /// Decodes a request's headers; the error describes the invalid header.
     pub decode_request: fn(&HeaderMap) -> Result<RequestMetadata, String>,
-    /// Turns the head of a caller's request into that of an attempt.
+    /// Turns the headers of a caller's request into those of an attempt.
     pub encode_attempt: fn(&mut HeaderMap, &AttemptMetadata),
-    /// Reads the head of an answer.
+    /// Decodes the status and headers of a response.
     pub decode_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
 }
--- a/gateway/src/request_log.rs
+++ b/gateway/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of a request and its attempts.
+//! Log lines of a request and its attempts.
 
 use crate::attempt::{AttemptOutcome, UpstreamResponse};
 use crate::request::InFlightRequest;
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 impl InFlightRequest {
-    /// Writes a line for an attempt that brought no answer.
+    /// Logs an attempt that has no valid response.
     pub(crate) fn log_attempt(&self, server: &BackendServer, outcome: &AttemptOutcome) {
         let (what, why) = match outcome {
             AttemptOutcome::Started(_) => return,
@@ -32,7 +32,7 @@
         );
     }
 
-    /// Writes a line for a failure that a server answered with, and the load that it reports.
+    /// Logs a response with an error status, and the load that the server reported with it.
     pub(crate) fn log_failure(&self, response: &UpstreamResponse) {
         let load = response.metadata.load.unwrap_or_default();
         self.gw.telemetry.count("attempt.failure", 1);
@@ -52,7 +52,7 @@
         );
     }
 
-    /// Writes a line for an answer that broke off after its head.
+    /// Logs a response that broke off after its head.
     pub(crate) fn log_broken(&self, server: &BackendServer, why: &str) {
         self.gw.telemetry.count("attempt.broken", 1);
         self.gw.telemetry.info(
@@ -67,7 +67,8 @@
         );
     }
 
-    /// Records the session of a long request once more at its end, from which on its next one may follow.
+    /// Records the move of a long request's session again at the request's end. The record made at the send may have nearly
+    /// expired by then, and the session's next request follows only now.
     fn refresh_session(&self) {
         let (gw, now) = (&self.gw, self.gw.now());
         let is_long = now.since(self.received_at).0 >= gw.settings.session_retention.0 / 2;
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Writes a line for an answer that is dropped for a larger model's.
+    /// Logs a response that is dropped in favor of a larger model.
     pub(crate) fn log_larger_model(&self, size: usize, confidence: u8, larger: usize) {
         self.gw.telemetry.count("request.larger_model", 1);
         self.gw.telemetry.info(
@@ -95,7 +96,7 @@
 }
 
 impl Drop for InFlightRequest {
-    /// Writes the request's line: also when its caller has gone, which drops it anywhere.
+    /// Logs the request. This runs on drop because a request is dropped at any await point when its caller disconnects.
     fn drop(&mut self) {
         self.settle_quarantine();
         self.refresh_session();
@@ -108,7 +109,7 @@
         let model = self.size.map_or("", |size| self.route.sizes[size].as_str());
         let confidence = self.confidence.map_or_else(String::new, |c| c.to_string());
         let first = self.time_to_first_byte.map_or_else(String::new, |t| t.to_string());
-        // A hash is the same on all gateways and does not name the caller.
+        // The hash correlates log lines of all gateways without revealing the session id.
         let session = self.metadata.session.as_deref().map(|s| xxh3_64(s.as_bytes()));
         let session = session.map_or_else(String::new, |hash| format!("{hash:016x}"));
         let (first_version, bound_by) = match &self.first_send {
--- a/gateway/src/server_probe.rs
+++ b/gateway/src/server_probe.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a server has ended under what ran there.
+//! Detection of servers that terminated while they ran requests.
 
 use std::io;
 use std::rc::Rc;
@@ -9,18 +9,19 @@
 use crate::gateway::Gateway;
 use crate::net::connect;
 
-/// Waits before the looks at whether a server still listens: one whose connections break as it ends may close its
-/// listener a moment later.
+/// Delays before the probes whether a server still listens. A terminating server may close its listener shortly after its
+/// connections break, so one immediate probe is not enough.
 const PROBE_DELAYS: [Millis; 2] = [Millis(0), Millis(300)];
 
-/// Time within which a connection stands or is refused.
+/// Timeout of a probe's connection attempt.
 const PROBE_TIMEOUT: Millis = Millis(500);
 
 impl Gateway {
-    /// Takes that a run broke off. A server that had announced its end was expected to break what it ran.
+    /// Records an interrupted run and probes its server in the background. Ignored unless the server's record is ready: a
+    /// server that announced its shutdown is expected to interrupt its runs.
     ///
-    /// Whether it has ended is looked at beside what goes on. Only a request under which one has ended before waits for
-    /// that: sent on at once, it would meet a third server before the second was known to have ended.
+    /// Only a request that is already suspected of terminating a server waits for the probe. Retried immediately, it could
+    /// reach a third server before the second is known to have terminated.
     pub(crate) async fn record_broken_run(self: &Rc<Self>, server: &BackendServer, run: EndedRun) {
         if !self.is_ready_server(&server.id) {
             return;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Waits until a server was looked at.
+    /// Waits until the server has been probed.
     async fn wait_for_probe(&self, id: &BackendId) {
         loop {
             let probed = self.looked.listen();
@@ -48,13 +49,14 @@
         }
     }
 
-    /// Takes that a server has ended: it refuses connections, or has started again.
+    /// Records that a server terminated: it refuses connections, or has restarted.
     pub(crate) fn record_server_end(&self, id: &BackendId) {
         let runs = self.ends.borrow_mut().ended(id, self.now());
         self.record_ended_runs(id, &runs);
     }
 
-    /// Takes that nobody listens at a server's address, or another one. One that had announced its end was expected to go.
+    /// Records that a server's address refuses connections or belongs to a different server. Ignored unless the server's
+    /// record is ready, as a server that announced its shutdown is expected to be gone.
     pub(crate) fn record_server_gone(&self, id: &BackendId) {
         if self.is_ready_server(id) {
             self.record_server_end(id);
@@ -65,7 +67,7 @@
         self.with_registry(|r| r.get(id).is_some_and(|known| known.state == ServerState::Ready))
     }
 
-    /// Takes that a server's record is gone.
+    /// Records that a server's record was removed, for example because its heartbeats stopped.
     pub(crate) fn record_server_lapse(&self, id: &BackendId) {
         if self.is_ready_server(id) {
             let runs = self.ends.borrow_mut().lapsed(id, self.now());
@@ -74,7 +76,7 @@
     }
 }
 
-/// Looks at whether a server still listens.
+/// Probes whether a server still listens, and records its termination if it refuses connections.
 async fn probe_server(gw: Rc<Gateway>, server: BackendServer) {
     for pause in PROBE_DELAYS {
         sleep(pause).await;
