--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -100,7 +100,7 @@
             Ok(caller) => caller,
             Err(e) => {
                 if e.is_timeout() {
-                    gw.connected(None);
+                    gw.record_connect_time(None);
                 }
                 if e.is_refused() {
                     gw.server_is_gone(&server.id);
@@ -108,7 +108,7 @@
                 return Attempted::Unreachable(e.to_string());
             }
         };
-        gw.connected(Some(gw.now().since(connecting_at)));
+        gw.record_connect_time(Some(gw.now().since(connecting_at)));
         let left = self.left();
         if left == Millis(0) {
             return Attempted::Unreachable("no time is left".to_owned());
--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -29,10 +29,10 @@
 
     /// Adds a server to those that are leaving and returns whether it is new among them.
     fn insert_leaving(&self, hash: u64) -> bool {
-        let is_new = self.leaving.borrow_mut().record(hash, self.now());
+        let is_new = self.leaving_servers.borrow_mut().record(hash, self.now());
         if is_new {
             // The list cached for other gateways may still contain the server as ready.
-            self.servers_written.take();
+            self.encoded_servers.take();
         }
         is_new
     }
@@ -56,7 +56,7 @@
 
     /// Returns whether a server has announced that it is leaving.
     pub(crate) fn is_leaving(&self, server: &BackendServer) -> bool {
-        let leaving = self.leaving.borrow();
+        let leaving = self.leaving_servers.borrow();
         !leaving.is_empty() && leaving.contains(incarnation_hash(server))
     }
 
--- a/gateway/src/choice.rs
+++ b/gateway/src/choice.rs
@@ -10,7 +10,7 @@
 use crate::clock::sleep;
 use crate::facts::ModelAsk;
 use crate::request::Flight;
-use crate::rollout_choice::{Bound, BoundBy};
+use crate::rollout_choice::{BindingInputs, BindingReason};
 use crate::session_keepers::KeepersAnswer;
 
 /// Divisor of the time left that bounds a request's wait while all servers are cold or limited, or the keepers of its
@@ -164,7 +164,7 @@
                     |s: &&&BackendServer| r.is_last_resort(&self.service, &s.version);
                 let of_last_resort: Vec<_> =
                     servers.iter().filter(is_last_resort).copied().collect();
-                let bound_by = r.bound_by(bound, now);
+                let bound_by = r.binding_reason(bound, now);
                 (choice, bound_by, load_trial, of_target, of_arm(Arm::Current), of_last_resort)
             });
         let arm = match choice {
@@ -182,7 +182,7 @@
             Arm::Current => pool(of_current),
             Arm::Target => {
                 let target = Pool { lead: load_trial, ..pool(of_target)? };
-                let is_free = bound_by == BoundBy::Nothing;
+                let is_free = bound_by == BindingReason::Nothing;
                 let may_wait_elsewhere = target.now.is_empty() && is_free;
                 if may_wait_elsewhere && bound.session.is_some() && self.keepers_answer.is_none() {
                     return Some(PoolChoice::AskKeepers);
@@ -195,11 +195,11 @@
     }
 
     /// Returns what may bind this request to a version.
-    pub(crate) fn bound(&self) -> Bound {
+    pub(crate) fn bound(&self) -> BindingInputs {
         let session = self.facts.session.as_deref();
         let session =
             session.and_then(|s| self.gw.with_rollouts(|r| r.session_key(&self.service, s)));
-        Bound { reached: self.reached, session, draw: xxh3_64(self.facts.id.as_bytes()) }
+        BindingInputs { reached: self.reached, session, draw: xxh3_64(self.facts.id.as_bytes()) }
     }
 
     /// Asks whether this request's session has moved; what its keepers say is recorded.
--- a/gateway/src/ends.rs
+++ b/gateway/src/ends.rs
@@ -40,7 +40,7 @@
     /// Waits until a server was looked at.
     async fn looked_at(&self, id: &BackendId) {
         loop {
-            let looked = self.looked.listen();
+            let looked = self.server_checked.listen();
             if !self.ends.borrow().is_unseen(id) {
                 return;
             }
@@ -86,7 +86,7 @@
             gw.server_ended(&server.id);
         }
         gw.ends.borrow_mut().looked_at(&server.id);
-        gw.looked.notify(usize::MAX);
+        gw.server_checked.notify(usize::MAX);
         if refused {
             return;
         }
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -17,7 +17,7 @@
     /// Takes all orders to empty failure domains that stand, as a copy of the store has them.
     pub fn replace_evacuations(&self, orders: &[FailureDomain], copy: StoreCopy) {
         let changes = self.with_evacuations(|e, now| match copy {
-            StoreCopy::Present => e.replace(orders, now),
+            StoreCopy::Current => e.replace(orders, now),
             StoreCopy::Older => e.replace_by_copy(orders, now),
         });
         self.log_evacuations(&changes);
@@ -48,7 +48,7 @@
         }
         if !changes.is_empty() {
             self.show_evacuations();
-            self.moved.notify(usize::MAX);
+            self.state_changed.notify(usize::MAX);
         }
     }
 
--- a/gateway/src/exchange/age.rs
+++ b/gateway/src/exchange/age.rs
@@ -54,12 +54,12 @@
 
     /// Notes why the operator's topic could not be read.
     pub fn note_orders_trouble(&self, why: &str) {
-        *self.orders_trouble.borrow_mut() = Some(why.to_owned());
+        *self.orders_read_error.borrow_mut() = Some(why.to_owned());
     }
 
     fn log_old_orders(&self, age: Millis) {
         let version = self.catalog().map_or(0, |catalog| catalog.version);
-        let trouble = self.orders_trouble.borrow();
+        let trouble = self.orders_read_error.borrow();
         let why = trouble.as_deref().unwrap_or("a read is under way");
         self.telemetry.warn(
             "orders_old",
--- a/gateway/src/exchange/beliefs.rs
+++ b/gateway/src/exchange/beliefs.rs
@@ -17,15 +17,15 @@
     /// that it brought the newest record of each key.
     pub fn read_orders(&self, records: &[Record], is_all: bool, next: u64, began: Millis) {
         self.with_orders(|orders| orders.read(records, is_all, next, began));
-        self.orders_trouble.replace(None);
+        self.orders_read_error.replace(None);
         self.with_feeds(|feeds| feeds.know_orders(began, next, Reach::All));
-        self.news.notify(usize::MAX);
+        self.gossip_due.notify(usize::MAX);
     }
 
     /// Notes that the operator's topic is known up to an offset from another gateway.
     pub fn heard_orders(&self, next: u64, as_of: Millis) {
         self.with_feeds(|feeds| feeds.know_orders(as_of, next, Reach::Few));
-        self.news.notify(usize::MAX);
+        self.gossip_due.notify(usize::MAX);
     }
 
     /// Takes another gateway's word on how far it knows the operator's topic.
@@ -38,7 +38,7 @@
     pub(crate) fn note_lead(&self, feed: Feed, gateway: SocketAddr, next: u64) {
         self.with_leads(feed, |leads| leads.heard(gateway, next, self.now()));
         if self.lead(feed).is_some() {
-            self.ahead.notify(usize::MAX);
+            self.peer_ahead.notify(usize::MAX);
         }
     }
 
--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -49,7 +49,7 @@
 pub async fn fetch_orders(gw: &Gateway) -> Fetched {
     let mut have = gw.with_orders(|orders| orders.digest());
     loop {
-        let ahead = gw.ahead.listen();
+        let ahead = gw.peer_ahead.listen();
         let Some(gateway) = gw.lead(Feed::Orders) else {
             within(LOOK_EVERY, ahead).await;
             continue;
@@ -72,7 +72,7 @@
 /// It never ends without; whoever waits reads the store meanwhile.
 pub async fn fetch_servers(gw: &Gateway) {
     loop {
-        let ahead = gw.ahead.listen();
+        let ahead = gw.peer_ahead.listen();
         if gw.lead(Feed::Servers).is_none() {
             within(LOOK_EVERY, ahead).await;
             continue;
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -62,7 +62,7 @@
         gw.with_feeds(|feeds| (feeds.next(Feed::Servers), feeds.as_of(Feed::Servers)));
     let (known, now) = (known.filter(|known| next.is_none_or(|next| next < *known))?, gw.now());
     let age = now.since(as_of?).0;
-    let mut kept = gw.servers_written.borrow_mut();
+    let mut kept = gw.encoded_servers.borrow_mut();
     let bytes = match kept.as_ref().and_then(|written| written.of(known)) {
         Some(bytes) => bytes,
         None => {
--- a/gateway/src/flight_log.rs
+++ b/gateway/src/flight_log.rs
@@ -100,7 +100,7 @@
         self.leave_quarantine();
         self.refresh_session();
         let gw = &self.gw;
-        gw.under_way.set(gw.under_way.get().saturating_sub(1));
+        gw.in_flight.set(gw.in_flight.get().saturating_sub(1));
         gw.held_bytes.set(gw.held_bytes.get().saturating_sub(self.body.len()));
         let took = gw.now().since(self.begun);
         let server = self.server.as_ref().map_or("", |s| s.id.as_str());
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -27,18 +27,18 @@
 use crate::turns::TurnWaiters;
 
 /// Time after its start for which a gateway's requests wait for what is known of those under which servers ended.
-const MARKS_PATIENCE: Millis = Millis(1_000);
+const MARKS_WAIT_LIMIT: Millis = Millis(1_000);
 
 /// Whether a gateway takes requests.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Standing {
+pub enum Lifecycle {
     /// It takes them.
     #[default]
     Serving,
     /// It will stop: it is not ready, and closes each connection after its answer.
-    Leaving,
+    Draining,
     /// It ends what is under way, and takes only what surely ends before it does.
-    Ending,
+    Stopping,
 }
 
 /// Which copy of the store a whole list comes from.
@@ -47,7 +47,7 @@
     /// One that is older than what is known here: the store has come back from it.
     Older,
     /// One that has all that it had acknowledged.
-    Present,
+    Current,
 }
 
 /// How a configuration came to a gateway.
@@ -67,12 +67,12 @@
     pub(crate) dialect: Dialect,
     pub(crate) telemetry: Telemetry,
     pub(crate) clock: Clock,
-    started: Millis,
+    started_at: Millis,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) loads: LoadTable,
     pub(crate) connections: Cell<usize>,
     pub(crate) held_bytes: Cell<usize>,
-    pub(crate) under_way: Cell<usize>,
+    pub(crate) in_flight: Cell<usize>,
     catalog: RefCell<Option<Rc<Catalog>>>,
     pub(crate) registry: RefCell<Registry>,
     pub(crate) is_registry_known: Cell<bool>,
@@ -83,7 +83,7 @@
     /// Runs that ended, and servers that did.
     pub(crate) ends: Rc<RefCell<ServerEnds>>,
     /// A server was looked at whose runs broke off.
-    pub(crate) looked: Event,
+    pub(crate) server_checked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) claims: RefCell<VecDeque<Claim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
@@ -91,38 +91,38 @@
     pub(crate) send_turns: RefCell<SendTurns>,
     pub(crate) turn_waiters: TurnWaiters,
     pub(crate) server_limits: RefCell<ServerLimits>,
-    pub(crate) leaving: RefCell<LeavingServers>,
+    pub(crate) leaving_servers: RefCell<LeavingServers>,
     pub(crate) retry_after: RefCell<RetryAfterTimes>,
     /// Marks of requests are to be written, or a trial is asked for.
-    pub(crate) marks_moved: Event,
+    pub(crate) marks_changed: Event,
     /// When the store came back from an older copy.
     pub(crate) restored_at: Cell<Option<Millis>>,
     /// Why the operator's topic could not be read the last time.
-    pub(crate) orders_trouble: RefCell<Option<String>>,
+    pub(crate) orders_read_error: RefCell<Option<String>>,
     /// Other gateways that told how far they know the operator's topic.
     pub(crate) orders_leads: RefCell<Leads<SocketAddr>>,
     /// The same for backend servers.
     pub(crate) servers_leads: RefCell<Leads<SocketAddr>>,
     /// The list of servers as it was last written for another gateway.
-    pub(crate) servers_written: RefCell<Option<WrittenServers>>,
+    pub(crate) encoded_servers: RefCell<Option<WrittenServers>>,
     /// Another gateway knows more of one of them.
-    pub(crate) ahead: Event,
+    pub(crate) peer_ahead: Event,
     budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
     pub(crate) connect_times: Cell<ConnectTimes>,
     pub(crate) rates: RefCell<ReadRates>,
     pub(crate) rises: RefCell<Rises>,
     pub(crate) stream_times: RefCell<StreamTimes>,
     pressure: Cell<Pressure>,
-    standing: Cell<Standing>,
-    ends_at: Cell<Millis>,
-    pub(crate) moved: Event,
+    lifecycle: Cell<Lifecycle>,
+    stop_deadline: Cell<Millis>,
+    pub(crate) state_changed: Event,
     /// Something that the peers should hear at once.
-    pub(crate) news: Event,
+    pub(crate) gossip_due: Event,
 }
 
 impl fmt::Debug for Gateway {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Gateway").field("standing", &self.standing).finish_non_exhaustive()
+        f.debug_struct("Gateway").field("standing", &self.lifecycle).finish_non_exhaustive()
     }
 }
 
@@ -146,12 +146,12 @@
             dialect,
             telemetry,
             clock: Clock,
-            started: Clock.now(),
+            started_at: Clock.now(),
             executor,
             loads: LoadTable::default(),
             connections: Cell::new(0),
             held_bytes: Cell::new(0),
-            under_way: Cell::new(0),
+            in_flight: Cell::new(0),
             catalog: RefCell::new(None),
             registry: RefCell::new(Registry::new(RegistryPolicy::default())),
             is_registry_known: Cell::new(false),
@@ -160,7 +160,7 @@
             feeds: RefCell::new(feeds),
             orders: RefCell::default(),
             ends: Rc::default(),
-            looked: Event::new(),
+            server_checked: Event::new(),
             quarantine: RefCell::new(quarantine),
             claims: RefCell::default(),
             evacuations: RefCell::default(),
@@ -168,25 +168,25 @@
             send_turns: RefCell::default(),
             turn_waiters: TurnWaiters::default(),
             server_limits: RefCell::default(),
-            leaving: RefCell::default(),
+            leaving_servers: RefCell::default(),
             retry_after: RefCell::default(),
-            marks_moved: Event::new(),
+            marks_changed: Event::new(),
             restored_at: Cell::default(),
-            orders_trouble: RefCell::default(),
+            orders_read_error: RefCell::default(),
             orders_leads: RefCell::default(),
             servers_leads: RefCell::default(),
-            servers_written: RefCell::default(),
-            ahead: Event::new(),
+            encoded_servers: RefCell::default(),
+            peer_ahead: Event::new(),
             budgets: RefCell::default(),
             connect_times: Cell::new(connect_times),
             rates: RefCell::default(),
             rises: RefCell::default(),
             stream_times: RefCell::default(),
             pressure: Cell::default(),
-            standing: Cell::default(),
-            ends_at: Cell::new(Millis(u64::MAX)),
-            moved: Event::new(),
-            news: Event::new(),
+            lifecycle: Cell::default(),
+            stop_deadline: Cell::new(Millis(u64::MAX)),
+            state_changed: Event::new(),
+            gossip_due: Event::new(),
         }
     }
 
@@ -223,7 +223,7 @@
         }
         let routes = catalog.route_count();
         *self.catalog.borrow_mut() = Some(Rc::new(catalog));
-        self.moved.notify(usize::MAX);
+        self.state_changed.notify(usize::MAX);
         self.telemetry.info(
             "config_in_force",
             &[
@@ -239,8 +239,8 @@
     }
 
     /// Takes the store's era, as its first answer names it.
-    pub fn note_store_era(&self, era: u64) {
-        self.with_rollouts(|r| r.note_era(era));
+    pub fn set_store_era(&self, era: u64) {
+        self.with_rollouts(|r| r.set_store_era(era));
     }
 
     /// Takes that the store has come back from an older copy, as its eras say.
@@ -254,7 +254,7 @@
         self.telemetry.warn("store_restored", &[("era_before", &before), ("era", &era)]);
         self.restored_at.set(Some(now));
         self.store_was_away();
-        self.with_rollouts(|r| r.doubt_statuses(era, now));
+        self.with_rollouts(|r| r.store_restored(era, now));
     }
 
     /// Works with the roll-outs.
@@ -269,9 +269,9 @@
 
     /// Takes an own read of servers that began at `began` and ended at offset `next`, with what it
     /// changed.
-    pub fn read_servers(&self, began: Millis, next: u64, changes: Vec<ServerChange>) {
+    pub fn record_servers_read(&self, began: Millis, next: u64, changes: Vec<ServerChange>) {
         self.with_feeds(|feeds| feeds.read_servers(began, next, changes));
-        self.news.notify(usize::MAX);
+        self.gossip_due.notify(usize::MAX);
     }
 
     pub(crate) fn with_registry<T>(&self, f: impl FnOnce(&mut Registry) -> T) -> T {
@@ -295,7 +295,7 @@
     }
 
     /// Notes how long a connection to a server took, or that it did not come in time.
-    pub(crate) fn connected(&self, took: Option<Millis>) {
+    pub(crate) fn record_connect_time(&self, took: Option<Millis>) {
         let mut times = self.connect_times.get();
         match took {
             Some(took) => times.took(took),
@@ -305,7 +305,7 @@
     }
 
     /// Counts how long a first try waited for its first byte.
-    pub(crate) fn first_try(&self, took: Millis, aim: Millis) {
+    pub(crate) fn record_first_attempt(&self, took: Millis, aim: Millis) {
         let mut pressure = self.pressure.get();
         pressure.tried(took, aim);
         self.pressure.set(pressure);
@@ -322,50 +322,50 @@
     ///
     /// While it leaves, or knows no configuration or no list of servers.
     pub fn is_ready(&self) -> Result<(), &'static str> {
-        match self.standing() {
-            Standing::Leaving | Standing::Ending => Err("stopping"),
-            Standing::Serving if self.catalog.borrow().is_none() => Err("no configuration"),
-            Standing::Serving if !self.is_registry_known.get() => Err("no backend servers known"),
-            Standing::Serving => Ok(()),
+        match self.lifecycle() {
+            Lifecycle::Draining | Lifecycle::Stopping => Err("stopping"),
+            Lifecycle::Serving if self.catalog.borrow().is_none() => Err("no configuration"),
+            Lifecycle::Serving if !self.is_registry_known.get() => Err("no backend servers known"),
+            Lifecycle::Serving => Ok(()),
         }
     }
 
     /// Returns whether it takes requests.
-    pub fn standing(&self) -> Standing {
-        self.standing.get()
+    pub fn lifecycle(&self) -> Lifecycle {
+        self.lifecycle.get()
     }
 
     /// Begins to leave: it is not ready any more, and ends at a time at the latest.
-    pub fn leave(&self, ends_at: Millis) {
-        self.ends_at.set(ends_at);
-        self.set_standing(Standing::Leaving);
+    pub fn begin_drain(&self, ends_at: Millis) {
+        self.stop_deadline.set(ends_at);
+        self.set_lifecycle(Lifecycle::Draining);
     }
 
     /// Takes nothing new from now on.
     pub fn close(&self) {
-        self.ends_at.set(self.now());
-        self.set_standing(Standing::Ending);
+        self.stop_deadline.set(self.now());
+        self.set_lifecycle(Lifecycle::Stopping);
     }
 
     /// Returns when it ends at the latest.
-    pub(crate) fn ends_at(&self) -> Millis {
-        self.ends_at.get()
+    pub(crate) fn stop_deadline(&self) -> Millis {
+        self.stop_deadline.get()
     }
 
     /// Moves on towards its end.
-    pub fn set_standing(&self, standing: Standing) {
-        self.standing.set(standing);
-        self.moved.notify(usize::MAX);
+    pub fn set_lifecycle(&self, lifecycle: Lifecycle) {
+        self.lifecycle.set(lifecycle);
+        self.state_changed.notify(usize::MAX);
     }
 
     /// Waits until a configuration and the list of servers are known.
-    pub(crate) async fn known(&self) {
+    pub(crate) async fn wait_until_configured(&self) {
         loop {
-            let moved = self.moved.listen();
+            let changed = self.state_changed.listen();
             if self.catalog.borrow().is_some() && self.is_registry_known.get() {
                 return;
             }
-            moved.await;
+            changed.await;
         }
     }
 
@@ -374,31 +374,31 @@
     ///
     /// Load pattern: all gateways are lost while a request comes again and again under which servers end. The first
     /// to be ready sent it to servers before it had read what was known of it.
-    pub(crate) async fn marks_known(&self) {
-        let until = self.started.after(MARKS_PATIENCE);
+    pub(crate) async fn wait_for_marks(&self) {
+        let until = self.started_at.after(MARKS_WAIT_LIMIT);
         while self.now() < until {
-            let moved = self.moved.listen();
+            let changed = self.state_changed.listen();
             if self.with_feeds(|feeds| feeds.next(Feed::Marks)).is_some() {
                 return;
             }
-            within(until.since(self.now()), moved).await;
+            within(until.since(self.now()), changed).await;
         }
     }
 
     /// Waits until it only ends what is under way.
-    pub(crate) async fn ending(&self) {
-        while self.standing() != Standing::Ending {
-            let moved = self.moved.listen();
-            if self.standing() == Standing::Ending {
+    pub(crate) async fn wait_until_stopping(&self) {
+        while self.lifecycle() != Lifecycle::Stopping {
+            let changed = self.state_changed.listen();
+            if self.lifecycle() == Lifecycle::Stopping {
                 break;
             }
-            moved.await;
+            changed.await;
         }
     }
 
     /// Returns the number of requests under way.
-    pub fn under_way(&self) -> usize {
-        self.under_way.get()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
     /// Returns the number of open connections of callers.
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -34,8 +34,8 @@
 #[cfg(test)]
 mod restored_rollouts_tests;
 mod rollout_choice;
-mod rollout_news;
-mod rollout_turns;
+mod rollout_control;
+mod rollout_report;
 mod rollouts;
 mod serve;
 mod server_list;
@@ -51,13 +51,13 @@
     AnswerFacts, AttemptFacts, Dialect, ModelAsk, PromptPart, ReportedLoad, RequestFacts, Usage,
 };
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
-pub use gateway::{ConfigSource, Gateway, Standing, StoreCopy};
+pub use gateway::{ConfigSource, Gateway, Lifecycle, StoreCopy};
 pub use meeting::{Directory, meet};
 pub use net::{bind, connect, with_timeouts};
 pub use peer_table::Peers;
 pub use peers::{hear_peers, tell_peers};
 pub use quarantine::Claim;
-pub use rollout_news::{Recorded, RolloutNews};
+pub use rollout_report::{RolloutReport, StoredStatus};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
 pub use session_keepers::tell_keepers;
--- a/gateway/src/meeting.rs
+++ b/gateway/src/meeting.rs
@@ -70,7 +70,7 @@
         if peers.present(gw.now()).is_empty() {
             let known = read(&peers, &mut directory).await;
             if peers.learn(&known, gw.now()) {
-                gw.news.notify(usize::MAX);
+                gw.gossip_due.notify(usize::MAX);
             }
         }
         gw.met_others();
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -11,7 +11,7 @@
 
 use crate::feeds::ServerChange;
 use crate::load::{LimitNews, LoadNews};
-use crate::rollout_news::{Recorded, RolloutNews};
+use crate::rollout_report::{RolloutReport, StoredStatus};
 use crate::session_keepers::SessionMessage;
 
 /// One gateway's message.
@@ -114,12 +114,12 @@
     routes: Vec<(u32, [CountsWire; 2])>,
     sent: SentWire,
     is_rolled_back: bool,
-    recorded: RecordedWire,
-    era: u64,
+    stored_status: StoredStatusWire,
+    store_era: u64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-enum RecordedWire {
+enum StoredStatusWire {
     Unknown,
     Running,
     Done,
@@ -217,8 +217,8 @@
     }
 }
 
-impl From<&RolloutNews> for RolloutWire {
-    fn from(news: &RolloutNews) -> Self {
+impl From<&RolloutReport> for RolloutWire {
+    fn from(news: &RolloutReport) -> Self {
         Self {
             service: news.service.to_string(),
             target: news.target.to_string(),
@@ -228,30 +228,30 @@
             routes: news.routes.iter().map(|(route, e)| (*route, messages(e))).collect(),
             sent: news.sent.into(),
             is_rolled_back: news.is_rolled_back,
-            recorded: news.recorded.into(),
-            era: news.era,
+            stored_status: news.stored_status.into(),
+            store_era: news.store_era,
         }
     }
 }
 
-impl From<Recorded> for RecordedWire {
-    fn from(recorded: Recorded) -> Self {
+impl From<StoredStatus> for StoredStatusWire {
+    fn from(recorded: StoredStatus) -> Self {
         match recorded {
-            Recorded::Unknown => Self::Unknown,
-            Recorded::Ended(Phase::Done) => Self::Done,
-            Recorded::Ended(Phase::RolledBack) => Self::RolledBack,
-            Recorded::Running | Recorded::Ended(_) => Self::Running,
+            StoredStatus::Unknown => Self::Unknown,
+            StoredStatus::Ended(Phase::Done) => Self::Done,
+            StoredStatus::Ended(Phase::RolledBack) => Self::RolledBack,
+            StoredStatus::Running | StoredStatus::Ended(_) => Self::Running,
         }
     }
 }
 
-impl From<RecordedWire> for Recorded {
-    fn from(message: RecordedWire) -> Self {
+impl From<StoredStatusWire> for StoredStatus {
+    fn from(message: StoredStatusWire) -> Self {
         match message {
-            RecordedWire::Unknown => Self::Unknown,
-            RecordedWire::Running => Self::Running,
-            RecordedWire::Done => Self::Ended(Phase::Done),
-            RecordedWire::RolledBack => Self::Ended(Phase::RolledBack),
+            StoredStatusWire::Unknown => Self::Unknown,
+            StoredStatusWire::Running => Self::Running,
+            StoredStatusWire::Done => Self::Ended(Phase::Done),
+            StoredStatusWire::RolledBack => Self::Ended(Phase::RolledBack),
         }
     }
 }
@@ -296,7 +296,7 @@
     RouteEvidence { target: target.into(), current: current.into() }
 }
 
-impl TryFrom<RolloutWire> for RolloutNews {
+impl TryFrom<RolloutWire> for RolloutReport {
     type Error = ParseIdError;
 
     fn try_from(message: RolloutWire) -> Result<Self, Self::Error> {
@@ -309,8 +309,8 @@
             routes: message.routes.into_iter().map(|(route, n)| (route, evidence(n))).collect(),
             sent: message.sent.into(),
             is_rolled_back: message.is_rolled_back,
-            recorded: message.recorded.into(),
-            era: message.era,
+            stored_status: message.stored_status.into(),
+            store_era: message.store_era,
         })
     }
 }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -15,7 +15,7 @@
 use crate::gateway::Gateway;
 use crate::peer_message::{PeerMessage, RolloutWire};
 use crate::peer_table::Peers;
-use crate::rollout_news::RolloutNews;
+use crate::rollout_report::RolloutReport;
 
 /// Time between messages while there is something to tell: a long prompt takes a second to read, and
 /// others should hear of it in a tenth of that.
@@ -76,7 +76,7 @@
     let mut next_turn = gw.now();
     loop {
         // Listened to before the look, so that news in between are not overheard.
-        let news = gw.news.listen();
+        let news = gw.gossip_due.listen();
         teller.tell_news().await;
         if gw.now() >= next_turn {
             next_turn = gw.now().after(EVERY);
@@ -99,7 +99,7 @@
     /// Tells all peers what was read, and how a roll-out ended, and a few which gateways there are.
     async fn tell_news(&mut self) {
         self.tell_of_others().await;
-        let is_urgent = self.gw.with_rollouts(|r| r.take_urgent());
+        let is_urgent = self.gw.with_rollouts(|r| r.take_urgent_report());
         let rollouts = if is_urgent { rollout_messages(&self.gw) } else { Vec::new() };
         let (feeds, reach) = feed_message(&self.gw);
         let feeds = (feeds, if reach == Reach::Few { FEW } else { usize::MAX });
@@ -136,7 +136,7 @@
         let present = self.present();
         let fleet = present.len() + 1;
         self.gw.with_feeds(|feeds| feeds.share_with(fleet));
-        self.gw.with_rollouts(|rollouts| rollouts.share_with(fleet));
+        self.gw.with_rollouts(|rollouts| rollouts.set_fleet_size(fleet));
         self.gw.saw_fleet(fleet);
         self.turn = self.turn.wrapping_add(1);
         if self.turn.is_multiple_of(ROLLOUT_TURNS) {
@@ -206,8 +206,8 @@
 /// A configuration may have hundreds of routes. In one message their evidence would not fit, nobody would
 /// hear of it, and each gateway would judge a version by its own part of the answers.
 fn rollout_messages(gw: &Gateway) -> Vec<PeerMessage> {
-    let news = gw.with_rollouts(|r| r.news(gw.now()));
-    let mut parts: Vec<_> = news.into_iter().flat_map(|news| news.parts(MAX_ROUTES)).collect();
+    let news = gw.with_rollouts(|r| r.reports(gw.now()));
+    let mut parts: Vec<_> = news.into_iter().flat_map(|news| news.split(MAX_ROUTES)).collect();
     // Where the bytes do not suffice, it is not always the same routes that are left out.
     fastrand::shuffle(&mut parts);
     let message =
@@ -246,7 +246,7 @@
         let now = gw.now();
         peers.with(|members| members.heard(from, now, fastrand::u64(..)));
         if peers.learn(&message.gateways, now) {
-            gw.news.notify(usize::MAX);
+            gw.gossip_due.notify(usize::MAX);
         }
         take(&gw, from, message);
     }
@@ -286,16 +286,16 @@
     }
     message.session.iter().for_each(|session| gw.hear_session(from, *session));
     for rollout in message.rollouts {
-        match RolloutNews::try_from(rollout) {
+        match RolloutReport::try_from(rollout) {
             Ok(news) => hear_rollout(gw, from, news, now),
             Err(_) => gw.telemetry.count("peers.unreadable", 1),
         }
     }
 }
 
-fn hear_rollout(gw: &Gateway, from: SocketAddr, news: RolloutNews, now: Millis) {
+fn hear_rollout(gw: &Gateway, from: SocketAddr, news: RolloutReport, now: Millis) {
     let (service, target) = (news.service.clone(), news.target.clone());
-    if gw.with_rollouts(|r| r.hear(&from.to_string(), news, now)) {
+    if gw.with_rollouts(|r| r.merge_report(&from.to_string(), news, now)) {
         gw.telemetry.info(
             "rollout_moved",
             &[
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -13,7 +13,7 @@
 use crate::clock::within;
 use crate::facts::RequestFacts;
 use crate::fingerprint::fingerprint;
-use crate::gateway::{Gateway, Standing};
+use crate::gateway::{Gateway, Lifecycle};
 use crate::request::{Asked, Flight};
 
 /// How long a caller is taken to wait that does not say so.
@@ -44,7 +44,7 @@
             res
         }
     };
-    if gw.standing() != Standing::Serving {
+    if gw.lifecycle() != Lifecycle::Serving {
         close_after(&mut res);
     }
     res
@@ -125,7 +125,7 @@
 fn check_ending(gw: &Gateway, route: &Route, facts: &RequestFacts) -> Result<(), Failed> {
     let longest = route.timeout.unwrap_or(Millis(u64::MAX));
     let takes = facts.patience.unwrap_or(longest).min(longest);
-    if gw.standing() != Standing::Ending || gw.now().after(takes) < gw.ends_at() {
+    if gw.lifecycle() != Lifecycle::Stopping || gw.now().after(takes) < gw.stop_deadline() {
         return Ok(());
     }
     let failed = Failed::new(ErrorKind::Stopping, "this process stops");
@@ -146,8 +146,8 @@
     let patience = facts.patience.unwrap_or(DEFAULT_PATIENCE);
     let limit = Millis(patience.0 / KNOWLEDGE_PART).min(MAX_KNOWLEDGE_WAIT);
     within(limit, async {
-        gw.known().await;
-        gw.marks_known().await;
+        gw.wait_until_configured().await;
+        gw.wait_for_marks().await;
     })
     .await;
     gw.catalog().ok_or_else(|| {
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -85,7 +85,7 @@
 
     /// Waits until a request asks for a trial, or marks are to be written, at most for a time.
     pub async fn marks_moved(&self, limit: Millis) {
-        let moved = self.marks_moved.listen();
+        let moved = self.marks_changed.listen();
         if self.claims.borrow().is_empty() {
             within(limit, moved).await;
         }
@@ -116,14 +116,14 @@
         let fleet = self.with_feeds(|feeds| feeds.fleet());
         let kept = self.with_quarantine(|q| match all_of {
             None => q.hear(&marks, now),
-            Some(StoreCopy::Present) => q.hear_all(&marks, now),
+            Some(StoreCopy::Current) => q.hear_all(&marks, now),
             Some(StoreCopy::Older) => q.hear_older_copy(&marks, fleet, now, fastrand::u64(..)),
         });
         self.log_kept(&kept, None);
         let told = if all_of.is_some() { Vec::new() } else { marks };
         self.with_feeds(|feeds| feeds.read_marks(began, next, told));
-        self.moved.notify(usize::MAX);
-        self.news.notify(usize::MAX);
+        self.state_changed.notify(usize::MAX);
+        self.gossip_due.notify(usize::MAX);
     }
 
     /// Takes marks of which another gateway told.
@@ -131,7 +131,7 @@
         let kept = self.with_quarantine(|q| q.hear(marks, self.now()));
         self.log_kept(&kept, Some(from));
         if self.with_quarantine(|q| q.is_urgent()) {
-            self.marks_moved.notify(usize::MAX);
+            self.marks_changed.notify(usize::MAX);
         }
     }
 
@@ -149,7 +149,7 @@
                 self.log_kept(&[run.request], None);
             }
         }
-        self.marks_moved.notify(usize::MAX);
+        self.marks_changed.notify(usize::MAX);
     }
 
     /// Takes that a server has answered a request to its end.
@@ -157,7 +157,7 @@
         if self.with_quarantine(|q| q.completed(request, self.now())) {
             self.telemetry.count("quarantine.lifted", 1);
             self.telemetry.info("request_cleared", &[("content", &request)]);
-            self.marks_moved.notify(usize::MAX);
+            self.marks_changed.notify(usize::MAX);
         }
     }
 
@@ -178,7 +178,7 @@
         let (granted, answer): (_, Receiver<bool>) = bounded(1);
         self.with_quarantine(|q| q.claims(request, self.now()));
         self.claims.borrow_mut().push_back(Claim { request, trial, granted });
-        self.marks_moved.notify(usize::MAX);
+        self.marks_changed.notify(usize::MAX);
         let is_granted =
             matches!(within(CLAIM_LIMIT.min(patience), answer.recv()).await, Some(Ok(true)));
         self.telemetry.info(
@@ -242,7 +242,7 @@
             _ => q.gave_up(self.fingerprint, now),
         });
         if self.gw.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now) {
-            self.gw.marks_moved.notify(usize::MAX);
+            self.gw.marks_changed.notify(usize::MAX);
         }
     }
 }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -14,7 +14,7 @@
 use crate::attempt::{Begun, Next, SILENCE_POLL};
 use crate::clock::sleep;
 use crate::request::Flight;
-use crate::rollouts::Sight;
+use crate::rollouts::AnswerSignal;
 
 /// Chunks between a server and a caller; a slow caller holds its server back.
 const CHUNKS_IN_FLIGHT: usize = 4;
@@ -132,7 +132,7 @@
                 begun.under_way.is_read();
                 self.runs_on(begun);
                 if let Some(pause) = pace.events(whole.count, self.flight.gw.now()) {
-                    self.flight.saw(begun, Sight::Pace(pause));
+                    self.flight.saw(begun, AnswerSignal::EventGap(pause));
                 }
             }
             let bytes = if is_resumable { whole.bytes.into() } else { chunk };
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -17,8 +17,8 @@
 use crate::gateway::Gateway;
 use crate::load::short_id;
 use crate::quarantine::Trial;
-use crate::rollout_choice::BoundBy;
-use crate::rollouts::{Rollouts, Seen, Sight};
+use crate::rollout_choice::BindingReason;
+use crate::rollouts::{AnswerSample, AnswerSignal, Rollouts};
 use crate::session_keepers::KeepersAnswer;
 
 /// Connections that are tried in vain before a request is given up.
@@ -52,7 +52,7 @@
     /// What the keepers of its session answered, if they were asked.
     pub(crate) keepers_answer: Option<KeepersAnswer>,
     /// The version of its first send, and what decided it, for the log.
-    pub(crate) first_version: Option<(VersionName, BoundBy)>,
+    pub(crate) first_version: Option<(VersionName, BindingReason)>,
     /// Servers that are passed over.
     pub(crate) avoid: Vec<BackendId>,
     unreachable: u32,
@@ -99,7 +99,7 @@
         // restart of all processes, hundreds come back at once; with the largest for all of them,
         // engines were full for ten seconds.
         let size = is_chosen_here.then_some(0);
-        gw.under_way.set(gw.under_way.get() + 1);
+        gw.in_flight.set(gw.in_flight.get() + 1);
         gw.held_bytes.set(gw.held_bytes.get() + asked.body.len());
         gw.count_request(&service);
         Self {
@@ -156,10 +156,10 @@
     pub(crate) fn count_send(&mut self, server: &BackendServer) {
         self.trial.iter_mut().for_each(Trial::sent);
         let (bound, reached, now) = (self.bound(), self.reached, self.gw.now());
-        let bound_by = self.gw.with_rollouts(|r| r.bound_by(bound, now));
+        let bound_by = self.gw.with_rollouts(|r| r.binding_reason(bound, now));
         self.first_version.get_or_insert_with(|| (server.version.clone(), bound_by));
         self.record_session(server, now);
-        let sent = |r: &mut Rollouts| r.sent(&server.service, &server.version, reached, now);
+        let sent = |r: &mut Rollouts| r.record_send(&server.service, &server.version, reached, now);
         self.reached = self.gw.with_rollouts(sent).or(reached);
     }
 
@@ -244,8 +244,8 @@
     fn is_kept(&mut self, begun: &Begun) -> bool {
         let is_failure = begun.head.status.is_server_error();
         let expected = self.reading_time(begun.size.unwrap_or(0));
-        let first = Sight::FirstByte { took: begun.first_byte, expected };
-        self.saw(begun, if is_failure { Sight::Failed } else { first });
+        let first = AnswerSignal::FirstByte { took: begun.first_byte, expected };
+        self.saw(begun, if is_failure { AnswerSignal::Failed } else { first });
         (self.server, self.confidence) = (Some(begun.server.clone()), begun.facts.confidence);
         self.first_byte = Some(self.gw.now().since(self.begun));
         if is_failure {
@@ -256,7 +256,7 @@
         self.gw.loads.good(&begun.server);
         let (Some(size), true) = (self.size, begun.head.status.is_success()) else { return true };
         if size == 0 {
-            self.gw.first_try(begun.first_byte, self.route.aim);
+            self.gw.record_first_attempt(begun.first_byte, self.route.aim);
         }
         let own = self.own_tokens();
         self.gw.rates.borrow_mut().learn(&self.service, size, own, begun.first_byte);
@@ -288,17 +288,17 @@
         }
     }
 
-    pub(crate) fn saw(&self, begun: &Begun, sight: Sight) {
-        let seen = Seen {
+    pub(crate) fn saw(&self, begun: &Begun, sight: AnswerSignal) {
+        let seen = AnswerSample {
             service: &self.service,
             version: &begun.server.version,
             route: &self.route.name,
             size: begun.size.unwrap_or(0),
             load: begun.load(),
             is_first_half: is_in_first_half(&begun.server.id),
-            sight,
+            signal: sight,
         };
-        self.gw.with_rollouts(|r| r.saw_answer(&seen, self.gw.now()));
+        self.gw.with_rollouts(|r| r.record_answer(&seen, self.gw.now()));
     }
 
     /// Reads a whole answer and passes it on; one that breaks is had again elsewhere if it may.
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -5,7 +5,7 @@
 };
 
 use crate::gateway::StoreCopy;
-use crate::rollouts::{Rollouts, Seen, Sight};
+use crate::rollouts::{AnswerSample, AnswerSignal, Rollouts};
 
 /// Length of a step, in milliseconds.
 const STEP: u64 = 50;
@@ -87,9 +87,9 @@
     /// Notices with an answer of the store that it has come back from an older copy.
     fn notice(&mut self, store: &Store, now: Millis) {
         match self.era.replace(store.era) {
-            None => self.rollouts.note_era(store.era.into()),
+            None => self.rollouts.set_store_era(store.era.into()),
             Some(era) if era < store.era => {
-                self.rollouts.doubt_statuses(store.era.into(), now);
+                self.rollouts.store_restored(store.era.into(), now);
             }
             Some(_) => {}
         }
@@ -97,7 +97,7 @@
 
     fn read_order(&mut self, store: &Store, ms: u64) {
         let is_older = self.read_era.replace(store.era).is_some_and(|era| era < store.era);
-        let copy = if is_older { StoreCopy::Older } else { StoreCopy::Present };
+        let copy = if is_older { StoreCopy::Older } else { StoreCopy::Current };
         let least = Millis(0);
         let most = Millis(self.read_at.map_or(0, |at| ms - at));
         let age = OrderAge { least, most, is_unknown: self.read_at.is_none() };
@@ -105,8 +105,8 @@
         if let Some(target) = store.order.clone() {
             let order = RolloutOrder { target, window: Millis(WINDOW) };
             let before = self.target();
-            let is_taken = self.rollouts.order(&service(), order, age, copy, Millis(ms));
-            if is_taken && copy == StoreCopy::Present {
+            let is_taken = self.rollouts.add_order(&service(), order, age, copy, Millis(ms));
+            if is_taken && copy == StoreCopy::Current {
                 self.replaced.extend(before);
             }
         }
@@ -117,7 +117,7 @@
         let next = (store.era, store.records);
         let is_new = self.next.replace(next) != Some(next);
         if let (true, Some((target, ended))) = (is_new, &store.status) {
-            self.rollouts.recorded(&service(), target, *ended, now);
+            self.rollouts.record_status(&service(), target, *ended, now);
         }
         let Some((Millis(0), due)) = self.rollouts.due_status(now) else { return false };
         let ended = (due.phase >= Phase::Done).then_some(due.phase);
@@ -125,7 +125,7 @@
         store.records += 1;
         if !is_lost {
             self.next = Some((store.era, store.records));
-            self.rollouts.wrote(&service(), &due.target, ended, now);
+            self.rollouts.record_written_status(&service(), &due.target, ended, now);
         }
         true
     }
@@ -233,19 +233,20 @@
         let Some(target) = gateway.target() else { return };
         let is_bad = is_bad && target == version(2);
         for version in [version(1), target] {
-            let good = Sight::FirstByte { took: Millis(100), expected: Millis(60) };
-            let sight = if is_bad && version != self::version(1) { Sight::Failed } else { good };
-            let seen = Seen {
+            let good = AnswerSignal::FirstByte { took: Millis(100), expected: Millis(60) };
+            let signal =
+                if is_bad && version != self::version(1) { AnswerSignal::Failed } else { good };
+            let sample = AnswerSample {
                 service: &service,
                 version: &version,
                 route: &route,
                 size: 0,
                 load: 0.0,
                 is_first_half: false,
-                sight,
+                signal,
             };
-            gateway.rollouts.saw_answer(&seen, Millis(ms));
-            gateway.rollouts.sent(&service, &version, None, Millis(ms));
+            gateway.rollouts.record_answer(&sample, Millis(ms));
+            gateway.rollouts.record_send(&service, &version, None, Millis(ms));
         }
     }
 
@@ -253,7 +254,7 @@
         let (now, rng) = (Millis(ms), &mut self.rng);
         let fleet = self.gateways.len();
         let gateway = &mut self.gateways[g];
-        gateway.rollouts.share_with(fleet);
+        gateway.rollouts.set_fleet_size(fleet);
         let has_store = ms >= self.down_until.max(gateway.cut_until);
         if has_store && ms >= gateway.reads_at {
             gateway.reads_at = ms + rng.u64(READ_EVERY / 2..READ_EVERY);
@@ -269,19 +270,19 @@
                 self.written.push((self.store.era, target, ended));
             }
         }
-        let is_urgent = self.gateways[g].rollouts.take_urgent();
+        let is_urgent = self.gateways[g].rollouts.take_urgent_report();
         if is_urgent || (ms + g as u64 * STEP).is_multiple_of(500) {
             self.tell(g, is_urgent, now);
         }
     }
 
     fn tell(&mut self, g: usize, is_urgent: bool, now: Millis) {
-        let news = self.gateways[g].rollouts.news(now);
+        let report = self.gateways[g].rollouts.reports(now);
         for other in (0..self.gateways.len()).filter(|other| *other != g) {
             let is_heard = self.rng.f64() >= LOST && (is_urgent || self.rng.bool());
             if is_heard {
-                for news in news.clone() {
-                    self.gateways[other].rollouts.hear(&g.to_string(), news, now);
+                for report in report.clone() {
+                    self.gateways[other].rollouts.merge_report(&g.to_string(), report, now);
                 }
             }
         }
@@ -326,16 +327,16 @@
 
 fn order(rollouts: &mut Rollouts, target: VersionName, copy: StoreCopy) -> bool {
     let order = RolloutOrder { target, window: Millis(WINDOW) };
-    rollouts.order(&service(), order, OrderAge::default(), copy, Millis(0))
+    rollouts.add_order(&service(), order, OrderAge::default(), copy, Millis(0))
 }
 
 /// An order that is given again after an older copy had the one before is refused, as if it had been replaced.
 #[test]
 fn order_is_taken_again_after_an_older_copy() {
     let mut rollouts = Gateway::new(0, &mut fastrand::Rng::with_seed(0)).rollouts;
-    assert!(order(&mut rollouts, version(3), StoreCopy::Present));
+    assert!(order(&mut rollouts, version(3), StoreCopy::Current));
     assert!(order(&mut rollouts, version(2), StoreCopy::Older));
-    assert!(order(&mut rollouts, version(3), StoreCopy::Present));
+    assert!(order(&mut rollouts, version(3), StoreCopy::Current));
     assert!(!order(&mut rollouts, version(2), StoreCopy::Older));
 }
 
@@ -345,14 +346,14 @@
     let mut rng = fastrand::Rng::with_seed(0);
     let [mut one, mut late] = [0; 2].map(|at| Gateway::new(at, &mut rng).rollouts);
     for rollouts in [&mut one, &mut late] {
-        order(rollouts, version(2), StoreCopy::Present);
-        rollouts.recorded(&service(), &version(2), Some(Phase::RolledBack), Millis(0));
+        order(rollouts, version(2), StoreCopy::Current);
+        rollouts.record_status(&service(), &version(2), Some(Phase::RolledBack), Millis(0));
         assert!(rollouts.due_status(Millis(0)).is_none());
     }
-    one.doubt_statuses(1, Millis(0));
+    one.store_restored(1, Millis(0));
     let long_after = Millis(9_000);
-    for news in late.news(long_after) {
-        one.hear("late", news, long_after);
+    for report in late.reports(long_after) {
+        one.merge_report("late", report, long_after);
     }
     let due = one.due_status(long_after).map(|(_, due)| due.phase);
     assert_eq!(due, Some(Phase::RolledBack));
--- a/gateway/src/rollout_choice.rs
+++ b/gateway/src/rollout_choice.rs
@@ -8,7 +8,7 @@
 
 /// What may bind a request to a version.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bound {
+pub(crate) struct BindingInputs {
     /// The version that it was sent to before.
     pub(crate) reached: Option<Arm>,
     /// Its session.
@@ -19,7 +19,7 @@
 
 /// What decided which version a request was sent to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum BoundBy {
+pub(crate) enum BindingReason {
     /// The share of the roll-out, or no roll-out at all.
     #[default]
     Nothing,
@@ -29,7 +29,7 @@
     Session,
 }
 
-impl fmt::Display for BoundBy {
+impl fmt::Display for BindingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Nothing => "nothing",
@@ -41,29 +41,34 @@
 
 impl Rollouts {
     /// Chooses between the version in service and the one that is rolled out for a request.
-    pub(crate) fn arm(&self, service: &ServiceName, bound: Bound, now: Millis) -> ArmChoice {
+    pub(crate) fn arm(
+        &self,
+        service: &ServiceName,
+        inputs: BindingInputs,
+        now: Millis,
+    ) -> ArmChoice {
         match self.canary(service) {
             Some(canary) => {
-                let draw = bound.session.map_or(bound.draw, |session| session.0);
-                canary.arm(self.affinity(bound, now), draw, now)
+                let draw = inputs.session.map_or(inputs.draw, |session| session.0);
+                canary.arm(self.affinity(inputs, now), draw, now)
             }
             None => ArmChoice::Arm(Arm::Current),
         }
     }
 
     /// Returns what binds a request to a version that it, or one of its session, has had before.
-    pub(crate) fn bound_by(&self, bound: Bound, now: Millis) -> BoundBy {
-        match bound {
-            Bound { reached: Some(_), .. } => BoundBy::Request,
-            Bound { session: Some(s), .. } if self.moved_sessions.contains(s, now) => {
-                BoundBy::Session
+    pub(crate) fn binding_reason(&self, inputs: BindingInputs, now: Millis) -> BindingReason {
+        match inputs {
+            BindingInputs { reached: Some(_), .. } => BindingReason::Request,
+            BindingInputs { session: Some(s), .. } if self.moved_sessions.contains(s, now) => {
+                BindingReason::Session
             }
-            _ => BoundBy::Nothing,
+            _ => BindingReason::Nothing,
         }
     }
 
-    fn affinity(&self, bound: Bound, now: Millis) -> Affinity {
-        let Bound { reached, session, .. } = bound;
+    fn affinity(&self, inputs: BindingInputs, now: Millis) -> Affinity {
+        let BindingInputs { reached, session, .. } = inputs;
         match (reached, session) {
             (_, Some(s)) if self.moved_sessions.contains(s, now) => Affinity::Bound(Arm::Target),
             (Some(arm), _) => Affinity::Bound(arm),
--- a/gateway/src/rollout_turns.rs
+++ b/gateway/src/rollout_control.rs
@@ -6,9 +6,9 @@
 
 use crate::feeds::Feed;
 use crate::gateway::{Gateway, StoreCopy};
-use crate::rollouts::Moved;
+use crate::rollouts::PhaseChange;
 
-fn name(phase: Phase) -> String {
+fn phase_name(phase: Phase) -> String {
     format!("{phase:?}").to_lowercase()
 }
 
@@ -27,7 +27,7 @@
         let most = known_as_of.map_or(least, |as_of| now.since(as_of));
         let age = OrderAge { least, most, is_unknown: known_as_of.is_none() };
         let (target, window) = (order.target.clone(), order.window);
-        if !self.with_rollouts(|r| r.order(service, order, age, copy, now)) {
+        if !self.with_rollouts(|r| r.add_order(service, order, age, copy, now)) {
             return;
         }
         self.telemetry().info(
@@ -43,15 +43,15 @@
     }
 
     /// Notes that all orders given before `began` are known here.
-    pub fn orders_known(&self, began: Millis) {
-        let begun = self.with_rollouts(|r| r.orders_known(began, self.now()));
-        for (service, version, seen) in begun {
+    pub fn advance_orders_as_of(&self, began: Millis) {
+        let started = self.with_rollouts(|r| r.advance_orders_as_of(began, self.now()));
+        for (service, version, seen_at) in started {
             self.telemetry().info(
                 "unannounced_trial",
                 &[
                     ("service", &service),
                     ("version", &version),
-                    ("seen_ms_ago", &self.now().since(seen)),
+                    ("seen_ms_ago", &self.now().since(seen_at)),
                     ("orders_read_ms_ago", &self.now().since(began)),
                 ],
             );
@@ -59,8 +59,8 @@
     }
 
     /// Takes which versions of a service the store says are in service.
-    pub fn take_versions(&self, service: &ServiceName, versions: BTreeSet<VersionName>) {
-        self.with_rollouts(|r| r.take_versions(service, versions));
+    pub fn set_stored_versions(&self, service: &ServiceName, versions: BTreeSet<VersionName>) {
+        self.with_rollouts(|r| r.set_stored_versions(service, versions));
     }
 
     /// Returns the versions of a service that are in service.
@@ -75,31 +75,31 @@
 
     /// Moves all roll-outs on.
     pub fn step_rollouts(&self) {
-        for moved in self.with_rollouts(|r| r.step(self.now())) {
-            self.log_moved(&moved);
-            self.news.notify(usize::MAX);
+        for change in self.with_rollouts(|r| r.step(self.now())) {
+            self.log_phase_change(&change);
+            self.gossip_due.notify(usize::MAX);
         }
     }
 
     /// Notes that this gateway has written the status of a roll-out in a phase.
-    pub fn wrote_status(&self, service: &ServiceName, target: &VersionName, phase: Phase) {
+    pub fn record_written_status(&self, service: &ServiceName, target: &VersionName, phase: Phase) {
         self.telemetry().info(
             "status_written",
-            &[("service", service), ("target", target), ("phase", &name(phase))],
+            &[("service", service), ("target", target), ("phase", &phase_name(phase))],
         );
         let ended = (phase >= Phase::Done).then_some(phase);
-        self.with_rollouts(|r| r.wrote(service, target, ended, self.now()));
-        self.news.notify(usize::MAX);
+        self.with_rollouts(|r| r.record_written_status(service, target, ended, self.now()));
+        self.gossip_due.notify(usize::MAX);
     }
 
-    fn log_moved(&self, moved: &Moved) {
-        let total = moved.shared.total();
+    fn log_phase_change(&self, change: &PhaseChange) {
+        let total = change.evidence.total();
         self.telemetry().info(
             "rollout_moved",
             &[
-                ("service", &moved.service),
-                ("target", &moved.target),
-                ("phase", &name(moved.phase)),
+                ("service", &change.service),
+                ("target", &change.target),
+                ("phase", &phase_name(change.phase)),
                 ("target_good", &total.target.good),
                 ("target_failed", &total.target.failed),
                 ("target_begin", &format_args!("{:.2}", total.target.begin.mean().exp())),
@@ -108,9 +108,9 @@
                 ("current_failed", &total.current.failed),
                 ("current_begin", &format_args!("{:.2}", total.current.begin.mean().exp())),
                 ("current_pace", &format_args!("{:.2}", total.current.pace.mean().exp())),
-                ("sent", &moved.shared.sent.all),
-                ("sent_target", &moved.shared.sent.target),
-                ("per_s", &format_args!("{:.0}", moved.shared.sent.per_s)),
+                ("sent", &change.evidence.sent.all),
+                ("sent_target", &change.evidence.sent.target),
+                ("per_s", &format_args!("{:.0}", change.evidence.sent.per_s)),
             ],
         );
     }
--- a/gateway/src/rollout_news.rs
+++ b/gateway/src/rollout_report.rs
@@ -6,7 +6,7 @@
 
 /// What one gateway tells the others of a roll-out.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RolloutNews {
+pub struct RolloutReport {
     /// The service.
     pub service: ServiceName,
     /// The version that is rolled out.
@@ -24,14 +24,14 @@
     /// Whether it has found the target bad.
     pub is_rolled_back: bool,
     /// What the store says, as far as it knows: nothing, that the roll-out runs, or how it ended.
-    pub recorded: Recorded,
+    pub stored_status: StoredStatus,
     /// How often the store had come back from an older copy by then.
-    pub era: u64,
+    pub store_era: u64,
 }
 
-impl RolloutNews {
+impl RolloutReport {
     /// Splits it into parts with at most `max` routes each.
-    pub(crate) fn parts(self, max: usize) -> Vec<Self> {
+    pub(crate) fn split(self, max: usize) -> Vec<Self> {
         let routes: Vec<_> = self.routes.iter().map(|(route, e)| (*route, *e)).collect();
         let part = |routes: &[(u32, RouteEvidence)]| Self {
             routes: routes.iter().copied().collect(),
@@ -41,7 +41,7 @@
     }
 
     /// Takes a later part of the same gateway's news.
-    pub(crate) fn take(&mut self, mut later: Self) {
+    pub(crate) fn merge(&mut self, mut later: Self) {
         let mut routes = std::mem::take(&mut self.routes);
         routes.extend(std::mem::take(&mut later.routes));
         *self = Self { routes, ..later };
@@ -50,7 +50,7 @@
 
 /// What the store says of a roll-out.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Recorded {
+pub enum StoredStatus {
     /// Nothing that is known.
     #[default]
     Unknown,
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -5,29 +5,29 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{END_TOLD, Rollouts, ServiceVersions};
-use crate::rollout_news::{Recorded, RolloutNews};
+use super::{END_REPORTED_FOR, Rollouts, ServiceVersions};
+use crate::rollout_report::{RolloutReport, StoredStatus};
 
 /// Age at which another gateway's requests no longer count as coming on: it is gone or cut off.
-const MAX_NEWS_AGE: Millis = Millis(4_000);
+const MAX_REPORT_AGE: Millis = Millis(4_000);
 
 /// Time to the first byte beside the reading of the prompt: a few steps of a batch.
-const STEP: Millis = Millis(40);
+const FIRST_BYTE_OVERHEAD: Millis = Millis(40);
 
 /// What was seen of an answer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Sight {
+pub(crate) enum AnswerSignal {
     /// The server failed.
     Failed,
     /// Its first byte came, where its prompt takes `expected` to read.
     FirstByte { took: Millis, expected: Millis },
     /// Its events come with this pause.
-    Pace(Millis),
+    EventGap(Millis),
 }
 
 /// An answer as it counts for its version.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen<'a> {
+pub(crate) struct AnswerSample<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) version: &'a VersionName,
     pub(crate) route: &'a RouteName,
@@ -36,155 +36,158 @@
     pub(crate) load: f64,
     /// Whether its server belongs to the first half of the version's.
     pub(crate) is_first_half: bool,
-    pub(crate) sight: Sight,
+    pub(crate) signal: AnswerSignal,
 }
 
 impl Rollouts {
     /// Counts an answer for its version.
-    pub(crate) fn saw_answer(&mut self, seen: &Seen<'_>, now: Millis) {
-        let arm = self.arm_of(seen.service, seen.version);
-        let Some(versions) = self.services.get_mut(seen.service) else { return };
-        let route = xxh3_64(seen.route.as_str().as_bytes()) as u32;
-        let time = match seen.sight {
-            Sight::Failed => None,
-            Sight::FirstByte { took, expected } => {
-                Some(took.0.max(1) as f64 / expected.after(STEP).0 as f64)
+    pub(crate) fn record_answer(&mut self, sample: &AnswerSample<'_>, now: Millis) {
+        let arm = self.arm_of(sample.service, sample.version);
+        let Some(versions) = self.services.get_mut(sample.service) else { return };
+        let route = xxh3_64(sample.route.as_str().as_bytes()) as u32;
+        let time = match sample.signal {
+            AnswerSignal::Failed => None,
+            AnswerSignal::FirstByte { took, expected } => {
+                Some(took.0.max(1) as f64 / expected.after(FIRST_BYTE_OVERHEAD).0 as f64)
             }
-            Sight::Pace(pause) => Some(pause.0.max(1) as f64),
+            AnswerSignal::EventGap(pause) => Some(pause.0.max(1) as f64),
         };
-        let is_pace = matches!(seen.sight, Sight::Pace(_));
-        let usual = versions.usual.entry((route, seen.size, is_pace)).or_default();
+        let is_pace = matches!(sample.signal, AnswerSignal::EventGap(_));
+        let usual = versions.usual_times.entry((route, sample.size, is_pace)).or_default();
         let ratio = time.and_then(|time| match arm {
-            Some(Arm::Current) => usual.ratio(time, seen.load),
-            Some(Arm::Target) | None => usual.ratio_of_other(time, seen.load),
+            Some(Arm::Current) => usual.ratio(time, sample.load),
+            Some(Arm::Target) | None => usual.ratio_of_other(time, sample.load),
         });
         if let (Some(Arm::Current), Some(time)) = (arm, time) {
-            usual.learn(time, seen.load);
+            usual.learn(time, sample.load);
         }
-        let present = &mut versions.present[usize::from(is_pace)];
+        let recent = &mut versions.recent_factors[usize::from(is_pace)];
         let ratio = match arm {
-            Some(Arm::Current) => ratio.inspect(|ratio| present.learn(*ratio, now)),
-            Some(Arm::Target) | None => ratio.map(|ratio| ratio / present.factor()),
+            Some(Arm::Current) => ratio.inspect(|ratio| recent.learn(*ratio, now)),
+            Some(Arm::Target) | None => ratio.map(|ratio| ratio / recent.factor()),
         };
         if versions.latest().is_none_or(|canary| canary.phase() == Phase::Done) {
             return;
         }
-        let evidence = versions.routes.entry(route).or_default();
+        let evidence = versions.route_evidence.entry(route).or_default();
         let counts = match arm {
             Some(Arm::Current) => &mut evidence.current,
             Some(Arm::Target) | None => &mut evidence.target,
         };
         let mut one = AnswerSums::default();
-        match (seen.sight, ratio) {
-            (Sight::Failed, _) => one.failed = 1,
-            (Sight::FirstByte { .. }, ratio) => {
+        match (sample.signal, ratio) {
+            (AnswerSignal::Failed, _) => one.failed = 1,
+            (AnswerSignal::FirstByte { .. }, ratio) => {
                 one.good = 1;
                 ratio.into_iter().for_each(|ratio| one.begin.add(ratio));
             }
-            (Sight::Pace(_), ratio) => ratio.into_iter().for_each(|ratio| one.pace.add(ratio)),
+            (AnswerSignal::EventGap(_), ratio) => {
+                ratio.into_iter().for_each(|ratio| one.pace.add(ratio))
+            }
         }
-        let half = if seen.is_first_half { one } else { AnswerSums::default() };
+        let half = if sample.is_first_half { one } else { AnswerSums::default() };
         *counts = counts.plus(Counts { half, ..one.into() });
     }
 
     /// Returns when another gateway was last heard on a roll-out under way.
-    pub fn heard_at(&self) -> Millis {
-        let heard = self.services.values().flat_map(|v| v.others.values()).map(|(_, at)| *at);
-        heard.max().unwrap_or_default()
+    pub fn last_report_at(&self) -> Millis {
+        let received_at =
+            self.services.values().flat_map(|v| v.peer_reports.values()).map(|(_, at)| *at);
+        received_at.max().unwrap_or_default()
     }
 
     /// Returns what the other gateways should know of the roll-outs under way.
-    pub fn news(&self, now: Millis) -> Vec<RolloutNews> {
-        let news = |(service, v): (&ServiceName, &ServiceVersions)| {
+    pub fn reports(&self, now: Millis) -> Vec<RolloutReport> {
+        let report = |(service, v): (&ServiceName, &ServiceVersions)| {
             let canary = v.latest()?;
-            let is_recent = v.ended_at.is_none_or(|at| now.since(at) < END_TOLD);
-            let is_told = match canary.phase() {
+            let is_recent = v.ended_at.is_none_or(|at| now.since(at) < END_REPORTED_FOR);
+            let is_reported = match canary.phase() {
                 Phase::Trial | Phase::Ramp | Phase::Full => true,
                 Phase::Done => is_recent,
                 Phase::RolledBack => is_recent || canary.elapsed(now) < canary.order().window,
             };
-            if !is_told {
+            if !is_reported {
                 return None;
             }
             let target = &canary.order().target;
-            let recorded = match self.statuses.ended(service, target) {
-                Some(phase) => Recorded::Ended(phase),
+            let stored_status = match self.statuses.ended(service, target) {
+                Some(phase) => StoredStatus::Ended(phase),
                 None if self.statuses.is_missing(service, target, Phase::Trial) => {
-                    Recorded::Unknown
+                    StoredStatus::Unknown
                 }
-                None => Recorded::Running,
+                None => StoredStatus::Running,
             };
-            Some(RolloutNews {
+            Some(RolloutReport {
                 service: service.clone(),
                 target: canary.order().target.clone(),
                 elapsed: canary.elapsed(now),
                 is_age_known: canary.is_age_known(),
                 is_announced: canary.is_announced(),
-                routes: v.routes.clone(),
+                routes: v.route_evidence.clone(),
                 sent: canary.counts(now),
                 is_rolled_back: canary.phase() == Phase::RolledBack,
-                recorded,
-                era: self.era,
+                stored_status,
+                store_era: self.store_era,
             })
         };
-        self.services.iter().filter_map(news).collect()
+        self.services.iter().filter_map(report).collect()
     }
 
     /// Takes another gateway's news; `true` if it found the target bad, and this one had not.
     ///
     /// Each gateway hears of the others' counts a little late, so that one is over the bar first. The
     /// others heed it at once: with counts alone, one of three rolled back and two went on to done.
-    pub fn hear(&mut self, from: &str, news: RolloutNews, now: Millis) -> bool {
-        let Some(versions) = self.services.get_mut(&news.service) else { return false };
+    pub fn merge_report(&mut self, from: &str, report: RolloutReport, now: Millis) -> bool {
+        let Some(versions) = self.services.get_mut(&report.service) else { return false };
         let Some(canary) = versions.latest_mut() else { return false };
         // The trial of a version that no order named yet is older than its order.
-        if canary.order().target != news.target || canary.is_announced() != news.is_announced {
+        if canary.order().target != report.target || canary.is_announced() != report.is_announced {
             return false;
         }
-        canary.is_older(news.elapsed, news.is_age_known, now);
-        let is_new = news.is_rolled_back && canary.phase() < Phase::Done;
-        let (service, target, recorded) =
-            (news.service.clone(), news.target.clone(), news.recorded);
+        canary.is_older(report.elapsed, report.is_age_known, now);
+        let is_newly_rolled_back = report.is_rolled_back && canary.phase() < Phase::Done;
+        let (service, target, stored_status) =
+            (report.service.clone(), report.target.clone(), report.stored_status);
         // A gateway that the store cannot reach may not have noticed yet that it came back from an older copy.
-        let is_doubted = news.era < self.era || self.statuses.is_doubted(now);
-        match versions.others.get_mut(from) {
-            Some((known, at)) => {
-                known.take(news);
+        let is_doubted = report.store_era < self.store_era || self.statuses.is_doubted(now);
+        match versions.peer_reports.get_mut(from) {
+            Some((merged, at)) => {
+                merged.merge(report);
                 *at = now;
             }
             None => {
-                versions.others.insert(from.to_owned(), (news, now));
+                versions.peer_reports.insert(from.to_owned(), (report, now));
             }
         }
-        if is_new {
-            self.end(&service, Phase::RolledBack, now);
+        if is_newly_rolled_back {
+            self.end_rollout(&service, Phase::RolledBack, now);
         }
-        match recorded {
+        match stored_status {
             // What others know of the store may be of before it came back from an older copy.
-            Recorded::Ended(phase) if is_doubted => self.end(&service, phase, now),
+            StoredStatus::Ended(phase) if is_doubted => self.end_rollout(&service, phase, now),
             _ if is_doubted => {}
-            Recorded::Ended(phase) => self.recorded(&service, &target, Some(phase), now),
-            Recorded::Running if self.statuses.is_missing(&service, &target, Phase::Trial) => {
-                self.recorded(&service, &target, None, now);
+            StoredStatus::Ended(phase) => self.record_status(&service, &target, Some(phase), now),
+            StoredStatus::Running if self.statuses.is_missing(&service, &target, Phase::Trial) => {
+                self.record_status(&service, &target, None, now);
             }
-            Recorded::Running | Recorded::Unknown => {}
+            StoredStatus::Running | StoredStatus::Unknown => {}
         }
-        is_new
+        is_newly_rolled_back
     }
 }
 
 impl ServiceVersions {
-    pub(super) fn shared(&self, now: Millis) -> Shared {
-        let mut routes = self.routes.clone();
+    pub(super) fn fleet_evidence(&self, now: Millis) -> Shared {
+        let mut routes = self.route_evidence.clone();
         let mut sent = self.latest().map_or_else(Sent::default, |c| c.counts(now));
-        for (news, at) in self.others.values() {
-            for (route, evidence) in &news.routes {
+        for (report, at) in self.peer_reports.values() {
+            for (route, evidence) in &report.routes {
                 let sum = routes.entry(*route).or_default();
                 *sum = sum.plus(*evidence);
             }
-            let is_present = now.since(*at) < MAX_NEWS_AGE;
-            let per_s = if is_present { news.sent.per_s } else { 0.0 };
-            sent = sent.plus(Sent { per_s, ..news.sent });
+            let is_fresh = now.since(*at) < MAX_REPORT_AGE;
+            let per_s = if is_fresh { report.sent.per_s } else { 0.0 };
+            sent = sent.plus(Sent { per_s, ..report.sent });
         }
         Shared { routes: routes.into_values().collect(), sent }
     }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -15,7 +15,7 @@
 
 use crate::answer::{Answer, text_answer};
 use crate::clock::sleep;
-use crate::gateway::{Gateway, Standing};
+use crate::gateway::{Gateway, Lifecycle};
 use crate::head_watch::HeadWatch;
 use crate::net::with_timeouts;
 use crate::pipeline::handle;
@@ -66,7 +66,7 @@
             Ok::<_, Infallible>(Response::from_parts(head, watch.answer(body)))
         }
     });
-    let is_ending = gw.standing() == Standing::Ending;
+    let is_ending = gw.lifecycle() == Lifecycle::Stopping;
     let conn = http1::Builder::new()
         .keep_alive(!is_ending)
         .timer(SmolTimer::new())
@@ -79,7 +79,7 @@
         if is_ending {
             std::future::pending::<()>().await;
         }
-        gw.ending().await;
+        gw.wait_until_stopping().await;
         None
     };
     let late = async {
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -14,7 +14,7 @@
     pub fn put_server(&self, server: BackendServer) {
         let now = self.now();
         let known = self.registry.borrow().get(&server.id).cloned();
-        self.rollouts.borrow_mut().saw(&server.service, &server.version, false, now);
+        self.rollouts.borrow_mut().add_version(&server.service, &server.version, false, now);
         if known.as_ref().map(|k| (k.state, k.addr)) != Some((server.state, server.addr)) {
             let state = format!("{:?}", server.state).to_lowercase();
             self.telemetry.info(
@@ -84,7 +84,7 @@
         let now = self.now();
         self.saw_list(&servers);
         let restarted = match copy {
-            StoreCopy::Present => self.registry.borrow_mut().replace(servers, now),
+            StoreCopy::Current => self.registry.borrow_mut().replace(servers, now),
             StoreCopy::Older => self.registry.borrow_mut().replace_by_copy(servers, now),
         };
         self.took_list(&restarted);
@@ -101,7 +101,7 @@
         let is_first = !self.is_registry_known.get();
         for server in servers {
             let mut rollouts = self.rollouts.borrow_mut();
-            rollouts.saw(&server.service, &server.version, is_first, self.now());
+            rollouts.add_version(&server.service, &server.version, is_first, self.now());
         }
         self.telemetry.info("servers_listed", &[("servers", &servers.len())]);
     }
@@ -109,7 +109,7 @@
     fn took_list(&self, restarted: &[BackendId]) {
         restarted.iter().for_each(|id| self.started_again(id));
         self.is_registry_known.set(true);
-        self.moved.notify(usize::MAX);
+        self.state_changed.notify(usize::MAX);
     }
 
     /// Notes that the store that lists the servers was in trouble.
