--- a/gateway/src/choice.rs
+++ b/gateway/src/choice.rs
@@ -11,7 +11,7 @@
 use crate::facts::ModelAsk;
 use crate::request::Flight;
 use crate::rollout_choice::{BindingInputs, BindingReason};
-use crate::session_keepers::KeepersAnswer;
+use crate::session_keepers::KeepersReply;
 
 /// Divisor of the time left that bounds a request's wait while all servers are cold or limited, or the keepers of its
 /// session are not known yet; the rest is for its answer or for returning the request.
@@ -206,7 +206,7 @@
     async fn ask_keepers(&mut self, until: Millis) {
         self.keepers_answer = Some(match self.bound().session {
             Some(session) => self.gw.ask_keepers(session, until).await,
-            None => KeepersAnswer::NotMoved,
+            None => KeepersReply::NotMoved,
         });
     }
 
--- a/gateway/src/meeting.rs
+++ b/gateway/src/discovery.rs
@@ -7,27 +7,27 @@
 
 use crate::clock::sleep;
 use crate::gateway::Gateway;
-use crate::peer_table::Peers;
+use crate::peer_table::PeerTable;
 
 /// Time over which gateways that start together are spread before one of them reads where the others are. The
 /// first that has read tells the others within some ten milliseconds.
-const SPREAD: Millis = Millis(300);
+const START_SPREAD: Millis = Millis(300);
 
 /// Time that all hosts of a new deployment take to start and to write where they are.
-const FIRST_START: Millis = Millis(300);
+const FIRST_START_WAIT: Millis = Millis(300);
 
 /// Time between two reads by a gateway that knows nobody, up to twice of it.
-const ALONE_EVERY: Millis = Millis(3_000);
+const ALONE_RETRY_INTERVAL: Millis = Millis(3_000);
 
 /// Time between looks at whether it knows anybody.
-const LOOK_EVERY: Millis = Millis(250);
+const CHECK_INTERVAL: Millis = Millis(250);
 
 /// Time after which what was written is in any copy from which the store may come back.
-const COPIED_AFTER: Millis = Millis(60_000);
+const IN_ALL_COPIES_AFTER: Millis = Millis(60_000);
 
 /// The calls by which the addresses of all gateways are read and written. Each ends only when it was done.
 #[derive(Debug)]
-pub struct Directory<R, W> {
+pub struct AddressStore<R, W> {
     /// Reads the addresses.
     pub read: R,
     /// Writes this gateway's own.
@@ -43,57 +43,60 @@
 /// One that was cut off from all others for so long that they forgot each other reads again.
 ///
 /// `is_first_start` says that the deployment starts for the first time: nobody is written down then.
-pub async fn meet<R, W>(
+pub async fn discover_peers<R, W>(
     gw: Rc<Gateway>,
-    peers: Peers,
+    peers: PeerTable,
     is_first_start: bool,
-    mut directory: Directory<R, W>,
+    mut address_store: AddressStore<R, W>,
 ) where
     R: AsyncFnMut() -> Vec<SocketAddr>,
     W: AsyncFnMut(),
 {
     if is_first_start {
-        (directory.write)().await;
-        sleep(FIRST_START).await;
+        (address_store.write)().await;
+        sleep(FIRST_START_WAIT).await;
     }
-    sleep(Millis(fastrand::u64(0..SPREAD.0))).await;
-    let (mut logged, started, mut rewritten) = (0, gw.now(), None);
+    sleep(Millis(fastrand::u64(0..START_SPREAD.0))).await;
+    let (mut logged_count, started_at, mut rewritten_after) = (0, gw.now(), None);
     loop {
-        let restored = gw.restored_at.get().filter(|at| rewritten != Some(*at));
+        let restored = gw.restored_at.get().filter(|at| rewritten_after != Some(*at));
         if let Some(at) = restored {
-            rewritten = Some(at);
+            rewritten_after = Some(at);
             // An address that is older stands in the copy, too.
-            if at.since(started) < COPIED_AFTER {
-                (directory.write)().await;
+            if at.since(started_at) < IN_ALL_COPIES_AFTER {
+                (address_store.write)().await;
             }
         }
-        if peers.present(gw.now()).is_empty() {
-            let known = read(&peers, &mut directory).await;
-            if peers.learn(&known, gw.now()) {
+        if peers.live(gw.now()).is_empty() {
+            let known = read_addresses(&peers, &mut address_store).await;
+            if peers.add(&known, gw.now()) {
                 gw.gossip_due.notify(usize::MAX);
             }
         }
         gw.met_others();
-        if peers.len() != logged {
-            logged = peers.len();
-            gw.telemetry.info("peers_known", &[("peers", &logged)]);
+        if peers.len() != logged_count {
+            logged_count = peers.len();
+            gw.telemetry.info("peers_known", &[("peers", &logged_count)]);
         }
-        let rest = if peers.is_empty() { ALONE_EVERY } else { LOOK_EVERY };
-        sleep(rest.after(Millis(fastrand::u64(0..rest.0)))).await;
+        let pause = if peers.is_empty() { ALONE_RETRY_INTERVAL } else { CHECK_INTERVAL };
+        sleep(pause.after(Millis(fastrand::u64(0..pause.0)))).await;
     }
 }
 
 /// Reads where the others are, and sees to it that this gateway is written down, too.
-async fn read<R, W>(peers: &Peers, directory: &mut Directory<R, W>) -> Vec<SocketAddr>
+async fn read_addresses<R, W>(
+    peers: &PeerTable,
+    address_store: &mut AddressStore<R, W>,
+) -> Vec<SocketAddr>
 where
     R: AsyncFnMut() -> Vec<SocketAddr>,
     W: AsyncFnMut(),
 {
-    let known = (directory.read)().await;
+    let known = (address_store.read)().await;
     if known.contains(&peers.own()) {
         return known;
     }
-    (directory.write)().await;
+    (address_store.write)().await;
     // Read once more: of two that start at once, one at least sees the other.
-    (directory.read)().await
+    (address_store.read)().await
 }
--- a/gateway/src/exchange/age.rs
+++ b/gateway/src/exchange/age.rs
@@ -9,36 +9,36 @@
 use crate::gateway::Gateway;
 
 /// Time between looks.
-const LOOK_EVERY: Millis = Millis(500);
+const CHECK_INTERVAL: Millis = Millis(500);
 
 /// Time between lines while it stays old.
-const LOG_EVERY: Millis = Millis(2_000);
+const LOG_INTERVAL: Millis = Millis(2_000);
 
 /// Periods of reads after which it is old: a calm gateway reads after two, and the third is for the read.
-const OLD_PERIODS: u64 = 3;
+const STALE_AFTER_PERIODS: u64 = 3;
 
 /// Watches the age for ever, and says how old it is and why while it is old.
 ///
 /// A configuration that is not in force cannot be told from one that was never written by what callers see:
 /// 404 either way. These lines tell on which hosts, since when, and what keeps them.
 pub async fn watch_orders_age(gw: Rc<Gateway>) {
-    let old = Millis(gw.settings.feeds.orders.0 * OLD_PERIODS);
+    let stale_after = Millis(gw.settings.feeds.orders.0 * STALE_AFTER_PERIODS);
     let mut logged_at = Millis(0);
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let Some(age) = gw.orders_age() else { continue };
-        let was_old = logged_at > Millis(0);
-        match age > old {
-            false if was_old => {
+        let was_stale = logged_at > Millis(0);
+        match age > stale_after {
+            false if was_stale => {
                 logged_at = Millis(0);
                 gw.telemetry.info("orders_fresh", &[("age_ms", &age)]);
             }
             false => {}
             true => {
-                gw.telemetry.count("orders.old_ms", LOOK_EVERY.0 as i64);
-                if gw.now().since(logged_at) >= LOG_EVERY {
+                gw.telemetry.count("orders.old_ms", CHECK_INTERVAL.0 as i64);
+                if gw.now().since(logged_at) >= LOG_INTERVAL {
                     logged_at = gw.now();
-                    gw.log_old_orders(age);
+                    gw.log_stale_orders(age);
                 }
             }
         }
@@ -53,14 +53,14 @@
     }
 
     /// Notes why the operator's topic could not be read.
-    pub fn note_orders_trouble(&self, why: &str) {
+    pub fn set_orders_read_error(&self, why: &str) {
         *self.orders_read_error.borrow_mut() = Some(why.to_owned());
     }
 
-    fn log_old_orders(&self, age: Millis) {
+    fn log_stale_orders(&self, age: Millis) {
         let version = self.catalog().map_or(0, |catalog| catalog.version);
-        let trouble = self.orders_read_error.borrow();
-        let why = trouble.as_deref().unwrap_or("a read is under way");
+        let error = self.orders_read_error.borrow();
+        let why = error.as_deref().unwrap_or("a read is under way");
         self.telemetry.warn(
             "orders_old",
             &[
@@ -73,7 +73,7 @@
     }
 
     /// Shows on the metrics page how old is what the gateway knows of each feed.
-    pub fn show_ages(&self) {
+    pub fn export_feed_ages(&self) {
         let feeds = [(Feed::Orders, "orders"), (Feed::Servers, "servers"), (Feed::Marks, "marks")];
         for (feed, name) in feeds {
             if let Some(as_of) = self.with_feeds(|feeds| feeds.as_of(feed)) {
--- a/gateway/src/exchange/mod.rs
+++ b/gateway/src/exchange/mod.rs
@@ -7,20 +7,20 @@
 //! tells. The store stays the source: a gateway that hears nothing, or gets no answer, reads it.
 
 mod age;
-mod beliefs;
 mod delta;
 mod fetch;
-mod image;
 mod page;
+mod progress;
 mod servers;
+mod snapshot;
 
 pub use age::watch_orders_age;
-pub use fetch::{Fetched, fetch_orders, fetch_servers};
-pub(crate) use image::Orders;
-pub use image::Record;
+pub use fetch::{FetchedOrders, fetch_newer_orders, fetch_newer_servers};
 pub use page::feed_pages;
+pub(crate) use snapshot::OrderSnapshots;
+pub use snapshot::Record;
 
-pub(crate) use servers::Written as WrittenServers;
+pub(crate) use servers::EncodedServerList as EncodedServers;
 
 #[cfg(test)]
 mod tests;
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -4,8 +4,8 @@
 
 use http::{Response, StatusCode, Uri};
 
-use super::image::Digest;
-use super::servers::{self, List};
+use super::servers::{self, ServerList};
+use super::snapshot::Digest;
 use crate::answer::{Answer, text_answer, whole_body};
 use crate::feeds::Feed;
 use crate::gateway::Gateway;
@@ -14,36 +14,37 @@
 
 /// What a gateway has that asks for more.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) struct Ask {
-    pub(super) have: Option<Digest>,
+pub(super) struct FeedQuery {
+    pub(super) base: Option<Digest>,
     pub(super) next: Option<u64>,
 }
 
-impl Ask {
-    pub(super) fn target(self) -> String {
+impl FeedQuery {
+    pub(super) fn request_target(self) -> String {
         let text = |n: Option<u64>| n.map_or_else(String::new, |n| n.to_string());
-        format!("{PATH}?have={}&next={}", text(self.have), text(self.next))
+        format!("{PATH}?have={}&next={}", text(self.base), text(self.next))
     }
 
-    fn read(query: &str) -> Self {
+    fn parse(query: &str) -> Self {
         let number = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.find(|(key, _)| *key == name)?.1.parse().ok()
         };
-        Self { have: number("have"), next: number("next") }
+        Self { base: number("have"), next: number("next") }
     }
 }
 
 /// Makes the pages of what a gateway knows of the store's feeds.
 pub fn feed_pages(gw: Rc<Gateway>) -> impl Fn(&Uri) -> Option<Answer> + Clone {
     move |uri| {
-        let ask = Ask::read(uri.query().unwrap_or_default());
+        let query = FeedQuery::parse(uri.query().unwrap_or_default());
         let bytes = match uri.path() {
             PATH => {
-                let offer = gw.with_orders(|orders| orders.offer(ask.have, ask.next, gw.now()));
-                offer.and_then(|offer| postcard::to_stdvec(&offer).ok())
+                let reply =
+                    gw.with_orders(|orders| orders.reply_to(query.base, query.next, gw.now()));
+                reply.and_then(|reply| postcard::to_stdvec(&reply).ok())
             }
-            servers::PATH => servers_known(&gw, ask.next),
+            servers::PATH => encode_servers_reply(&gw, query.next),
             _ => return None,
         };
         let Some(bytes) = bytes else {
@@ -57,19 +58,20 @@
 
 /// Returns the servers, with the age of what is known of them, for a gateway that knows them up to an offset, unless
 /// that is all that is known here.
-fn servers_known(gw: &Gateway, next: Option<u64>) -> Option<Vec<u8>> {
-    let (known, as_of) =
+fn encode_servers_reply(gw: &Gateway, next: Option<u64>) -> Option<Vec<u8>> {
+    let (own_next, as_of) =
         gw.with_feeds(|feeds| (feeds.next(Feed::Servers), feeds.as_of(Feed::Servers)));
-    let (known, now) = (known.filter(|known| next.is_none_or(|next| next < *known))?, gw.now());
+    let (own_next, now) =
+        (own_next.filter(|own_next| next.is_none_or(|next| next < *own_next))?, gw.now());
     let age = now.since(as_of?).0;
-    let mut kept = gw.encoded_servers.borrow_mut();
-    let bytes = match kept.as_ref().and_then(|written| written.of(known)) {
+    let mut cache = gw.encoded_servers.borrow_mut();
+    let bytes = match cache.as_ref().and_then(|encoded| encoded.bytes_at(own_next)) {
         Some(bytes) => bytes,
         None => {
             let list = gw.with_registry(|registry| {
-                List::new(known, registry, |server| gw.is_leaving(server), now)
+                ServerList::new(own_next, registry, |server| gw.is_leaving(server), now)
             });
-            kept.insert(list.write()?).of(known)?
+            cache.insert(list.encode()?).bytes_at(own_next)?
         }
     };
     postcard::to_stdvec(&(age, bytes)).ok()
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -10,13 +10,13 @@
 pub(super) const PATH: &str = "/servers";
 
 /// Returns the target by which a gateway asks that knows the list up to an offset.
-pub(super) fn target(next: Option<u64>) -> String {
+pub(super) fn request_target(next: Option<u64>) -> String {
     format!("{PATH}?next={}", next.map_or_else(String::new, |next| next.to_string()))
 }
 
 /// All servers that a gateway believes in.
 #[derive(Debug, Deserialize, Serialize)]
-pub(super) struct List {
+pub(super) struct ServerList {
     /// Offset up to which the list is known.
     pub(super) next: u64,
     servers: Vec<ServerWire>,
@@ -35,19 +35,19 @@
 /// A hundred gateways ask at once when many servers have come: writing it for each of them took some 0.1 s of a core,
 /// a second of a host that has a tenth of one.
 #[derive(Clone, Debug)]
-pub(crate) struct Written {
+pub(crate) struct EncodedServerList {
     next: u64,
     bytes: Bytes,
 }
 
-impl Written {
+impl EncodedServerList {
     /// Returns it for a gateway that knows the list up to the same offset.
-    pub(super) fn of(&self, next: u64) -> Option<Bytes> {
+    pub(super) fn bytes_at(&self, next: u64) -> Option<Bytes> {
         (self.next == next).then(|| self.bytes.clone())
     }
 }
 
-impl List {
+impl ServerList {
     /// Lists the servers in a registry.
     ///
     /// Servers that are leaving are listed as draining, as the reader may have missed the announcement.
@@ -74,21 +74,21 @@
     }
 
     /// Writes it, with its length before it.
-    pub(super) fn write(&self) -> Option<Written> {
+    pub(super) fn encode(&self) -> Option<EncodedServerList> {
         let bytes = postcard::to_stdvec(self).ok()?;
-        let short = Bytes::from(delta::write(&bytes, &[]).ok()?);
-        let written = postcard::to_stdvec(&(bytes.len(), short)).ok()?;
-        Some(Written { next: self.next, bytes: written.into() })
+        let compressed = Bytes::from(delta::encode(&bytes, &[]).ok()?);
+        let encoded = postcard::to_stdvec(&(bytes.len(), compressed)).ok()?;
+        Some(EncodedServerList { next: self.next, bytes: encoded.into() })
     }
 
     /// Reads one of at most `max` bytes.
-    pub(super) fn read(bytes: &[u8], max: usize) -> eyre::Result<Self> {
-        let (len, short): (usize, Bytes) = postcard::from_bytes(bytes)?;
+    pub(super) fn decode(bytes: &[u8], max: usize) -> eyre::Result<Self> {
+        let (len, compressed): (usize, Bytes) = postcard::from_bytes(bytes)?;
         eyre::ensure!(len <= max, "it has {len} bytes");
-        Ok(postcard::from_bytes(&delta::read(&short, &[], len)?)?)
+        Ok(postcard::from_bytes(&delta::decode(&compressed, &[], len)?)?)
     }
 
-    pub(super) fn servers(self) -> Result<PassedServers, String> {
+    pub(super) fn into_passed(self) -> Result<PassedServers, String> {
         let servers = self.servers.into_iter().map(|s| s.try_into().map_err(|e| format!("{e}")));
         let lapsing = self.lapsing.into_iter();
         let lapsing = lapsing.map(|(id, left)| (id.as_str().into(), Millis(u64::from(left))));
--- a/gateway/src/exchange/image.rs
+++ b/gateway/src/exchange/snapshot.rs
@@ -23,14 +23,14 @@
 
 /// The newest records, as bytes.
 #[derive(Clone, Debug)]
-struct Image {
+struct Snapshot {
     digest: Digest,
     bytes: Bytes,
 }
 
 /// What a gateway answers to one that knows less.
 #[derive(Debug, Deserialize, Serialize)]
-pub(super) struct Offer {
+pub(super) struct OrdersReply {
     /// Offset up to which the records are known.
     pub(super) next: u64,
     /// How long ago that was read, in milliseconds.
@@ -45,33 +45,33 @@
 
 /// Why an offer is of no use.
 #[derive(Debug)]
-pub(super) enum Unfit {
+pub(super) enum ReplyError {
     /// It differs from an image that is not known here.
-    Base,
+    UnknownBase,
     /// It does not give the image that it names.
-    Content,
+    ContentMismatch,
     /// It is longer than what is taken.
-    Length,
+    TooLong,
 }
 
 /// Earlier images that are kept, as those of gateways that are somewhat behind.
-const KEPT_IMAGES: usize = 4;
+const MAX_EARLIER_SNAPSHOTS: usize = 4;
 
 /// Bytes of earlier images that are kept: an image of usual length is 20 kB, and one of 4 MB may stand once more.
-const KEPT_BYTES: usize = 4 * 1024 * 1024;
+const MAX_EARLIER_BYTES: usize = 4 * 1024 * 1024;
 
 /// The records that a gateway knows, and what it has of earlier ones.
 #[derive(Debug, Default)]
-pub(crate) struct Orders {
+pub(crate) struct OrderSnapshots {
     next: u64,
     as_of: Millis,
-    newest: Option<Image>,
-    earlier: VecDeque<Image>,
+    newest: Option<Snapshot>,
+    earlier: VecDeque<Snapshot>,
     /// What was written of the newest image, by its base: many ask at once, and from the same one.
     deltas: Vec<(Option<Digest>, Bytes)>,
 }
 
-impl Image {
+impl Snapshot {
     fn new(records: &BTreeMap<String, Bytes>) -> Option<Self> {
         let bytes = Bytes::from(postcard::to_stdvec(records).ok()?);
         Some(Self { digest: xxh3_64(&bytes), bytes })
@@ -83,96 +83,105 @@
     }
 }
 
-impl Orders {
+impl OrderSnapshots {
     /// Takes what a read brought that began at `as_of`: the newest of each key, or what is new.
-    pub(crate) fn read(&mut self, records: &[Record], is_all: bool, next: u64, as_of: Millis) {
+    pub(crate) fn record_read(
+        &mut self,
+        records: &[Record],
+        is_all: bool,
+        next: u64,
+        as_of: Millis,
+    ) {
         (self.next, self.as_of) = (next, as_of);
         if records.is_empty() && !is_all && self.newest.is_some() {
             return;
         }
-        let present = self.newest.as_ref().filter(|_| !is_all).map(Image::records);
-        let mut all = present.unwrap_or_default();
+        let current = self.newest.as_ref().filter(|_| !is_all).map(Snapshot::records);
+        let mut all = current.unwrap_or_default();
         for record in records {
             match &record.value {
                 Some(value) => all.insert(record.key.clone(), value.clone()),
                 None => all.remove(&record.key),
             };
         }
-        if let Some(image) = Image::new(&all) {
-            self.replace(image);
+        if let Some(snapshot) = Snapshot::new(&all) {
+            self.replace(snapshot);
         }
     }
 
-    fn replace(&mut self, image: Image) {
-        if self.newest.as_ref().is_some_and(|newest| newest.digest == image.digest) {
+    fn replace(&mut self, snapshot: Snapshot) {
+        if self.newest.as_ref().is_some_and(|newest| newest.digest == snapshot.digest) {
             return;
         }
         self.deltas.clear();
-        self.earlier.extend(self.newest.replace(image));
-        let bytes = |images: &VecDeque<Image>| images.iter().map(|i| i.bytes.len()).sum::<usize>();
-        while self.earlier.len() > KEPT_IMAGES || bytes(&self.earlier) > KEPT_BYTES {
+        self.earlier.extend(self.newest.replace(snapshot));
+        let bytes =
+            |snapshots: &VecDeque<Snapshot>| snapshots.iter().map(|i| i.bytes.len()).sum::<usize>();
+        while self.earlier.len() > MAX_EARLIER_SNAPSHOTS || bytes(&self.earlier) > MAX_EARLIER_BYTES
+        {
             self.earlier.pop_front();
         }
     }
 
-    fn image(&self, digest: Digest) -> Option<&Image> {
-        self.earlier.iter().chain(&self.newest).find(|image| image.digest == digest)
+    fn snapshot(&self, digest: Digest) -> Option<&Snapshot> {
+        self.earlier.iter().chain(&self.newest).find(|snapshot| snapshot.digest == digest)
     }
 
     /// Returns the name of the newest image.
     pub(super) fn digest(&self) -> Option<Digest> {
-        self.newest.as_ref().map(|image| image.digest)
+        self.newest.as_ref().map(|snapshot| snapshot.digest)
     }
 
     /// Makes the answer to a gateway that has the image `have` and knows the feed up to `next`; `None` if that
     /// is not less than what is known here.
-    pub(super) fn offer(
+    pub(super) fn reply_to(
         &mut self,
-        have: Option<Digest>,
+        caller_base: Option<Digest>,
         next: Option<u64>,
         now: Millis,
-    ) -> Option<Offer> {
+    ) -> Option<OrdersReply> {
         let newest = self.newest.clone().filter(|_| next.is_none_or(|next| next < self.next))?;
-        let base = have.and_then(|digest| self.image(digest)).cloned();
+        let base = caller_base.and_then(|digest| self.snapshot(digest)).cloned();
         let base_digest = base.as_ref().map(|base| base.digest);
-        let known = self.deltas.iter().find(|(of, _)| *of == base_digest);
-        let delta = match known {
+        let cached = self.deltas.iter().find(|(of, _)| *of == base_digest);
+        let delta = match cached {
             Some((_, delta)) => delta.clone(),
             None => {
                 let base = base.map(|base| base.bytes).unwrap_or_default();
-                let delta = Bytes::from(delta::write(&newest.bytes, &base).ok()?);
+                let delta = Bytes::from(delta::encode(&newest.bytes, &base).ok()?);
                 self.deltas.push((base_digest, delta.clone()));
                 delta
             }
         };
         let age = now.since(self.as_of).0;
         let (digest, len) = (newest.digest, newest.bytes.len());
-        Some(Offer { next: self.next, age, digest, len, base: base_digest, delta })
+        Some(OrdersReply { next: self.next, age, digest, len, base: base_digest, delta })
     }
 
     /// Takes another gateway's answer of at most `max` bytes, and returns its records.
-    pub(super) fn take(
+    pub(super) fn apply_reply(
         &mut self,
-        offer: &Offer,
+        reply: &OrdersReply,
         as_of: Millis,
         max: usize,
-    ) -> Result<Vec<Record>, Unfit> {
-        if offer.len > max {
-            return Err(Unfit::Length);
+    ) -> Result<Vec<Record>, ReplyError> {
+        if reply.len > max {
+            return Err(ReplyError::TooLong);
         }
-        let base = match offer.base {
+        let base = match reply.base {
             None => Bytes::new(),
-            Some(digest) => self.image(digest).ok_or(Unfit::Base)?.bytes.clone(),
+            Some(digest) => self.snapshot(digest).ok_or(ReplyError::UnknownBase)?.bytes.clone(),
         };
-        let bytes = delta::read(&offer.delta, &base, offer.len).map_err(|_| Unfit::Content)?;
-        let image = Image { digest: xxh3_64(&bytes), bytes: bytes.into() };
-        if image.digest != offer.digest {
-            return Err(Unfit::Content);
+        let bytes = delta::decode(&reply.delta, &base, reply.len)
+            .map_err(|_| ReplyError::ContentMismatch)?;
+        let snapshot = Snapshot { digest: xxh3_64(&bytes), bytes: bytes.into() };
+        if snapshot.digest != reply.digest {
+            return Err(ReplyError::ContentMismatch);
         }
         let of = |(key, value)| Record { key, value: Some(value) };
-        let records = image.records().into_iter().map(of).collect();
-        (self.next, self.as_of) = (offer.next, as_of);
-        self.replace(image);
+        let records = snapshot.records().into_iter().map(of).collect();
+        (self.next, self.as_of) = (reply.next, as_of);
+        self.replace(snapshot);
         Ok(records)
     }
 }
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -4,8 +4,8 @@
 use redwingfold_core::{BackendServer, Millis, Registry, ServerState};
 
 use super::delta;
-use super::image::{Offer, Orders, Record, Unfit};
-use super::servers::List;
+use super::servers::ServerList;
+use super::snapshot::{OrderSnapshots, OrdersReply, Record, ReplyError};
 
 const MAX: usize = 16 * 1024 * 1024;
 
@@ -33,10 +33,10 @@
     Record { key: key.to_owned(), value: Some(value.clone()) }
 }
 
-fn orders(config: &Bytes, next: u64) -> Orders {
-    let mut orders = Orders::default();
+fn orders(config: &Bytes, next: u64) -> OrderSnapshots {
+    let mut orders = OrderSnapshots::default();
     let rollout = Bytes::from_static(b"{\"target\":\"v2\"}");
-    orders.read(
+    orders.record_read(
         &[record("config", config), record("rollout/pool", &rollout)],
         true,
         next,
@@ -45,8 +45,8 @@
     orders
 }
 
-fn offered(from: &mut Orders, to: &Orders, next: u64) -> Offer {
-    from.offer(to.digest(), Some(next), Millis(40)).expect("it knows more")
+fn reply_for(from: &mut OrderSnapshots, to: &OrderSnapshots, next: u64) -> OrdersReply {
+    from.reply_to(to.digest(), Some(next), Millis(40)).expect("it ahead more")
 }
 
 /// A change that touches one route of 4,250 is passed on in a thousandth of the configuration's length, and
@@ -57,9 +57,9 @@
     let before = config(4_250, 4_250, 0);
     for (routes, part) in [(1, 1_000), (1_400, 50)] {
         let after = config(4_250 + routes, 4_250, 1);
-        let delta = delta::write(&after, &before).unwrap();
+        let delta = delta::encode(&after, &before).unwrap();
         assert!(delta.len() * part < after.len(), "{} of {} bytes", delta.len(), after.len());
-        assert_eq!(delta::read(&delta, &before, after.len()).unwrap(), after);
+        assert_eq!(delta::decode(&delta, &before, after.len()).unwrap(), after);
     }
 }
 
@@ -68,22 +68,22 @@
 #[test]
 fn whoever_is_behind_gets_the_newest() {
     let configs: Vec<_> = (0..8).map(|n| config(500 + n, 500, n as u64)).collect();
-    let mut knows = orders(&configs[0], 1);
+    let mut ahead = orders(&configs[0], 1);
     let mut behind: Vec<_> = configs.iter().take(7).map(|config| orders(config, 1)).collect();
     for (n, config) in configs.iter().enumerate().skip(1) {
-        knows.read(&[record("config", config)], false, 1 + n as u64, Millis(10 * n as u64));
+        ahead.record_read(&[record("config", config)], false, 1 + n as u64, Millis(10 * n as u64));
     }
     for (n, gateway) in behind.iter_mut().enumerate() {
-        let offer = offered(&mut knows, gateway, 1);
-        assert_eq!(offer.base.is_some(), n >= 3, "four earlier ones are kept, and this is {n}");
-        assert_eq!((offer.next, offer.age), (8, 0));
-        let records = gateway.take(&offer, Millis(70), MAX).unwrap();
+        let reply = reply_for(&mut ahead, gateway, 1);
+        assert_eq!(reply.base.is_some(), n >= 3, "four earlier ones are kept, and this is {n}");
+        assert_eq!((reply.next, reply.age), (8, 0));
+        let records = gateway.apply_reply(&reply, Millis(70), MAX).unwrap();
         assert_eq!(records[0], record("config", &configs[7]));
-        assert_eq!((records.len(), gateway.digest()), (2, knows.digest()));
+        assert_eq!((records.len(), gateway.digest()), (2, ahead.digest()));
     }
-    let offer = knows.offer(None, None, Millis(90)).unwrap();
-    assert_eq!((offer.base, offer.age), (None, 20));
-    assert!(knows.offer(behind[0].digest(), Some(8), Millis(90)).is_none());
+    let reply = ahead.reply_to(None, None, Millis(90)).unwrap();
+    assert_eq!((reply.base, reply.age), (None, 20));
+    assert!(ahead.reply_to(behind[0].digest(), Some(8), Millis(90)).is_none());
 }
 
 /// A key is dropped, another one changes, and all of them are read anew: whoever fetched them has what was
@@ -91,14 +91,14 @@
 #[test]
 fn fetched_records_are_those_that_were_read() {
     let mut rng = fastrand::Rng::with_seed(21);
-    let (mut reader, mut fetcher) = (Orders::default(), Orders::default());
+    let (mut reader, mut fetcher) = (OrderSnapshots::default(), OrderSnapshots::default());
     for next in 1..400 {
         let key = format!("key-{}", rng.u8(..6));
         let value = rng.bool().then(|| config(rng.usize(..40), 0, next));
-        reader.read(&[Record { key, value }], rng.u8(..20) == 0, next, Millis(next));
+        reader.record_read(&[Record { key, value }], rng.u8(..20) == 0, next, Millis(next));
         if rng.u8(..3) == 0 {
-            let offer = reader.offer(fetcher.digest(), Some(next - 1), Millis(next)).unwrap();
-            fetcher.take(&offer, Millis(next), MAX).unwrap();
+            let reply = reader.reply_to(fetcher.digest(), Some(next - 1), Millis(next)).unwrap();
+            fetcher.apply_reply(&reply, Millis(next), MAX).unwrap();
             assert_eq!(fetcher.digest(), reader.digest());
         }
     }
@@ -109,23 +109,26 @@
 #[test]
 fn offer_that_does_not_fit_is_not_taken() {
     let (before, after) = (config(300, 300, 0), config(310, 300, 1));
-    let mut knows = orders(&before, 1);
-    knows.read(&[record("config", &after)], false, 2, Millis(0));
+    let mut ahead = orders(&before, 1);
+    ahead.record_read(&[record("config", &after)], false, 2, Millis(0));
     let mut behind = orders(&before, 1);
     let digest = behind.digest();
-    let offer = |knows: &mut Orders| knows.offer(digest, Some(1), Millis(0)).unwrap();
-    let cut = Offer { delta: offer(&mut knows).delta.slice(..9), ..offer(&mut knows) };
-    assert!(matches!(behind.take(&cut, Millis(0), MAX), Err(Unfit::Content)));
-    let other = Offer { digest: 7, ..offer(&mut knows) };
-    assert!(matches!(behind.take(&other, Millis(0), MAX), Err(Unfit::Content)));
-    let strange = Offer { base: Some(7), ..offer(&mut knows) };
-    assert!(matches!(behind.take(&strange, Millis(0), MAX), Err(Unfit::Base)));
-    assert!(matches!(behind.take(&offer(&mut knows), Millis(0), 99), Err(Unfit::Length)));
-    let short = Offer { len: 99, ..offer(&mut knows) };
-    assert!(matches!(behind.take(&short, Millis(0), MAX), Err(Unfit::Content)));
+    let reply = |ahead: &mut OrderSnapshots| ahead.reply_to(digest, Some(1), Millis(0)).unwrap();
+    let cut = OrdersReply { delta: reply(&mut ahead).delta.slice(..9), ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&cut, Millis(0), MAX), Err(ReplyError::ContentMismatch)));
+    let other = OrdersReply { digest: 7, ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&other, Millis(0), MAX), Err(ReplyError::ContentMismatch)));
+    let strange = OrdersReply { base: Some(7), ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&strange, Millis(0), MAX), Err(ReplyError::UnknownBase)));
+    assert!(matches!(
+        behind.apply_reply(&reply(&mut ahead), Millis(0), 99),
+        Err(ReplyError::TooLong)
+    ));
+    let short = OrdersReply { len: 99, ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&short, Millis(0), MAX), Err(ReplyError::ContentMismatch)));
     assert_eq!(behind.digest(), digest);
-    behind.take(&offer(&mut knows), Millis(0), MAX).unwrap();
-    assert_eq!(behind.digest(), knows.digest());
+    behind.apply_reply(&reply(&mut ahead), Millis(0), MAX).unwrap();
+    assert_eq!(behind.digest(), ahead.digest());
 }
 
 fn server(id: &str) -> BackendServer {
@@ -155,8 +158,9 @@
         read.put(server(id), Millis(0));
     });
     read.remove(&"left".into(), Millis(100));
-    let list = List::new(7, &read, |_| false, Millis(200)).write().unwrap().of(7).unwrap();
-    let passed = List::read(&list, MAX).unwrap().servers().unwrap();
+    let list =
+        ServerList::new(7, &read, |_| false, Millis(200)).encode().unwrap().bytes_at(7).unwrap();
+    let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
     let mut heard = Registry::default();
     heard.replace_by_passed(passed, Millis(200), Millis(300));
     assert_eq!(heard.servers(Millis(1_900)).count(), 2);
@@ -172,8 +176,9 @@
         read.put(server(id), Millis(0));
     });
     let is_leaving = |server: &BackendServer| server.id.as_str() == "leaves";
-    let list = List::new(7, &read, is_leaving, Millis(0)).write().unwrap().of(7).unwrap();
-    let passed = List::read(&list, MAX).unwrap().servers().unwrap();
+    let list =
+        ServerList::new(7, &read, is_leaving, Millis(0)).encode().unwrap().bytes_at(7).unwrap();
+    let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
     let mut heard = Registry::default();
     heard.replace_by_passed(passed, Millis(0), Millis(0));
     // A stale record from the store arrives later.
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -19,7 +19,7 @@
 
 /// Who is told of what a feed brought.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Reach {
+pub(crate) enum Audience {
     /// All gateways: somebody has read the store, so that they need not.
     All,
     /// A few, who have one more to ask: all know already that somebody has read it, and that one cannot
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerChange {
     /// A server's record was removed.
-    Gone(BackendId),
+    Removed(BackendId),
     /// A server has a new record.
     Put(BackendServer),
 }
@@ -69,12 +69,12 @@
     orders: FeedView,
     servers: FeedView,
     /// Changes of servers, from own reads and from others' messages.
-    past: FeedPast<ServerChange>,
+    server_history: FeedPast<ServerChange>,
     marks: FeedView,
-    past_marks: FeedPast<MarkChange>,
-    untold_orders: Option<(FeedTold, Millis, Reach)>,
-    untold_servers: Option<(u64, Millis, Reach)>,
-    untold_marks: Option<(u64, Millis)>,
+    mark_history: FeedPast<MarkChange>,
+    unsent_orders: Option<(FeedTold, Millis, Audience)>,
+    unsent_servers: Option<(u64, Millis, Audience)>,
+    unsent_marks: Option<(u64, Millis)>,
 }
 
 impl Feeds {
@@ -83,24 +83,24 @@
         Self {
             orders: FeedView::new(periods.orders),
             servers: FeedView::new(periods.servers),
-            past: FeedPast::new(MAX_CHANGES),
+            server_history: FeedPast::new(MAX_CHANGES),
             marks: FeedView::new(periods.marks),
-            past_marks: FeedPast::new(MAX_MARKS),
-            untold_orders: None,
-            untold_servers: None,
-            untold_marks: None,
+            mark_history: FeedPast::new(MAX_MARKS),
+            unsent_orders: None,
+            unsent_servers: None,
+            unsent_marks: None,
         }
     }
 
     /// Notes how many gateways read together, this one included.
-    pub(crate) fn share_with(&mut self, fleet: usize) {
+    pub(crate) fn set_fleet_size(&mut self, fleet: usize) {
         self.orders.share_with(fleet);
         self.servers.share_with(fleet);
         self.marks.share_with(fleet);
     }
 
     /// Returns how many gateways read together, this one included.
-    pub fn fleet(&self) -> usize {
+    pub fn fleet_size(&self) -> usize {
         self.servers.fleet()
     }
 
@@ -133,57 +133,62 @@
     }
 
     /// Forgets how far a feed is known.
-    pub fn lose(&mut self, feed: Feed) {
+    pub fn reset(&mut self, feed: Feed) {
         self.view(feed).lose();
     }
 
     /// Takes what is known of orders as of `as_of`, and tells as many others as `reach` says.
-    pub(crate) fn know_orders(&mut self, as_of: Millis, next: u64, reach: Reach) {
+    pub(crate) fn record_orders(&mut self, as_of: Millis, next: u64, audience: Audience) {
         self.orders.read(as_of, next, fastrand::u64(..));
-        self.untold_orders = Some((FeedTold { from: next, next, age: Millis(0) }, as_of, reach));
+        self.unsent_orders = Some((FeedTold { from: next, next, age: Millis(0) }, as_of, audience));
     }
 
     /// Takes an own read of servers that began at `began`, with what it changed.
-    pub(crate) fn read_servers(&mut self, began: Millis, next: u64, changes: Vec<ServerChange>) {
-        self.learn_servers(began, next, changes, Reach::All);
+    pub(crate) fn record_servers_read(
+        &mut self,
+        began: Millis,
+        next: u64,
+        changes: Vec<ServerChange>,
+    ) {
+        self.record_servers(began, next, changes, Audience::All);
     }
 
-    fn learn_servers(
+    fn record_servers(
         &mut self,
         began: Millis,
         next: u64,
         changes: Vec<ServerChange>,
-        reach: Reach,
+        audience: Audience,
     ) {
         let from = self.servers.next().unwrap_or(next);
         self.servers.read(began, next, fastrand::u64(..));
-        self.past.add(from, next, changes);
-        self.untold_servers = Some((next, began, reach));
+        self.server_history.add(from, next, changes);
+        self.unsent_servers = Some((next, began, audience));
     }
 
     /// Takes the whole list of servers as of `as_of` from another gateway; what changed until then cannot be told,
     /// but a few may ask here as well.
-    pub(crate) fn know_servers(&mut self, as_of: Millis, next: u64) {
+    pub(crate) fn record_fetched_servers(&mut self, as_of: Millis, next: u64) {
         self.servers.lose();
-        self.learn_servers(as_of, next, Vec::new(), Reach::Few);
+        self.record_servers(as_of, next, Vec::new(), Audience::Few);
     }
 
     /// Takes a message on orders; `true` if some were missed.
-    pub(crate) fn hear_orders(&mut self, told: FeedTold, now: Millis) -> bool {
-        self.orders.hear(told, now, fastrand::u64(..)) == FeedHeard::Missed
+    pub(crate) fn apply_orders_update(&mut self, update: FeedTold, now: Millis) -> bool {
+        self.orders.hear(update, now, fastrand::u64(..)) == FeedHeard::Missed
     }
 
     /// Takes a message on servers and returns the changes that it brings.
-    pub(crate) fn hear_servers(
+    pub(crate) fn apply_servers_update(
         &mut self,
-        told: FeedTold,
+        update: FeedTold,
         changes: Vec<ServerChange>,
         now: Millis,
     ) -> Vec<ServerChange> {
         let from = self.servers.next();
-        match (self.servers.hear(told, now, fastrand::u64(..)), from) {
+        match (self.servers.hear(update, now, fastrand::u64(..)), from) {
             (FeedHeard::Applies, Some(from)) => {
-                self.past.add(from, told.next, changes.clone());
+                self.server_history.add(from, update.next, changes.clone());
                 changes
             }
             _ => Vec::new(),
@@ -191,40 +196,40 @@
     }
 
     /// Returns what the others have not been told of orders.
-    pub(crate) fn take_orders(&mut self, now: Millis) -> Option<(FeedTold, Reach)> {
-        let (told, as_of, reach) = self.untold_orders.take()?;
-        Some((FeedTold { age: now.since(as_of), ..told }, reach))
+    pub(crate) fn take_orders_update(&mut self, now: Millis) -> Option<(FeedTold, Audience)> {
+        let (update, as_of, audience) = self.unsent_orders.take()?;
+        Some((FeedTold { age: now.since(as_of), ..update }, audience))
     }
 
     /// Returns what the others have not been told of servers.
-    pub(crate) fn take_servers(
+    pub(crate) fn take_servers_update(
         &mut self,
         now: Millis,
-    ) -> Option<(FeedTold, Vec<ServerChange>, Reach)> {
-        let (next, began, reach) = self.untold_servers.take()?;
-        let (from, changes) = self.past.told().unwrap_or((next, Vec::new()));
-        Some((FeedTold { from, next, age: now.since(began) }, changes, reach))
+    ) -> Option<(FeedTold, Vec<ServerChange>, Audience)> {
+        let (next, began, audience) = self.unsent_servers.take()?;
+        let (from, changes) = self.server_history.told().unwrap_or((next, Vec::new()));
+        Some((FeedTold { from, next, age: now.since(began) }, changes, audience))
     }
 
     /// Takes an own read of marks that began at `began`, with what it brought.
-    pub(crate) fn read_marks(&mut self, began: Millis, next: u64, changes: Vec<MarkChange>) {
+    pub(crate) fn record_marks_read(&mut self, began: Millis, next: u64, changes: Vec<MarkChange>) {
         let from = self.marks.next().unwrap_or(next);
         self.marks.read(began, next, fastrand::u64(..));
-        self.past_marks.add(from, next, changes);
-        self.untold_marks = Some((next, began));
+        self.mark_history.add(from, next, changes);
+        self.unsent_marks = Some((next, began));
     }
 
     /// Takes a message on marks and returns those that it brings.
-    pub(crate) fn hear_marks(
+    pub(crate) fn apply_marks_update(
         &mut self,
-        told: FeedTold,
+        update: FeedTold,
         changes: Vec<MarkChange>,
         now: Millis,
     ) -> Vec<MarkChange> {
         let from = self.marks.next();
-        match (self.marks.hear(told, now, fastrand::u64(..)), from) {
+        match (self.marks.hear(update, now, fastrand::u64(..)), from) {
             (FeedHeard::Applies, Some(from)) => {
-                self.past_marks.add(from, told.next, changes.clone());
+                self.mark_history.add(from, update.next, changes.clone());
                 changes
             }
             _ => Vec::new(),
@@ -232,9 +237,9 @@
     }
 
     /// Returns what the others have not been told of marks.
-    pub(crate) fn take_marks(&mut self, now: Millis) -> Option<(FeedTold, Vec<MarkChange>)> {
-        let (next, began) = self.untold_marks.take()?;
-        let (from, changes) = self.past_marks.told().unwrap_or((next, Vec::new()));
+    pub(crate) fn take_marks_update(&mut self, now: Millis) -> Option<(FeedTold, Vec<MarkChange>)> {
+        let (next, began) = self.unsent_marks.take()?;
+        let (from, changes) = self.mark_history.told().unwrap_or((next, Vec::new()));
         Some((FeedTold { from, next, age: now.since(began) }, changes))
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -16,7 +16,7 @@
 use smol::LocalExecutor;
 
 use crate::clock::{Clock, within};
-use crate::exchange::{Orders, WrittenServers};
+use crate::exchange::{EncodedServers, OrderSnapshots};
 use crate::facts::Dialect;
 use crate::feeds::{Feed, Feeds, ServerChange};
 use crate::load::LoadTable;
@@ -79,7 +79,7 @@
     pub(crate) rollouts: RefCell<Rollouts>,
     pub(crate) session_keepers: SessionKeepers,
     feeds: RefCell<Feeds>,
-    pub(crate) orders: RefCell<Orders>,
+    pub(crate) orders: RefCell<OrderSnapshots>,
     /// Runs that ended, and servers that did.
     pub(crate) ends: Rc<RefCell<ServerEnds>>,
     /// A server was looked at whose runs broke off.
@@ -104,7 +104,7 @@
     /// The same for backend servers.
     pub(crate) servers_leads: RefCell<Leads<SocketAddr>>,
     /// The list of servers as it was last written for another gateway.
-    pub(crate) encoded_servers: RefCell<Option<WrittenServers>>,
+    pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
     /// Another gateway knows more of one of them.
     pub(crate) peer_ahead: Event,
     budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
@@ -270,7 +270,7 @@
     /// Takes an own read of servers that began at `began` and ended at offset `next`, with what it
     /// changed.
     pub fn record_servers_read(&self, began: Millis, next: u64, changes: Vec<ServerChange>) {
-        self.with_feeds(|feeds| feeds.read_servers(began, next, changes));
+        self.with_feeds(|feeds| feeds.record_servers_read(began, next, changes));
         self.gossip_due.notify(usize::MAX);
     }
 
--- a/gateway/src/peers.rs
+++ b/gateway/src/gossip.rs
@@ -11,56 +11,56 @@
 use smol::net::UdpSocket;
 
 use crate::clock::{sleep, within};
-use crate::feeds::{Feed, Reach, ServerChange};
+use crate::feeds::{Audience, Feed, ServerChange};
 use crate::gateway::Gateway;
 use crate::peer_message::{PeerMessage, RolloutWire};
-use crate::peer_table::Peers;
+use crate::peer_table::PeerTable;
 use crate::rollout_report::RolloutReport;
 
 /// Time between messages while there is something to tell: a long prompt takes a second to read, and
 /// others should hear of it in a tenth of that.
-const EVERY: Millis = Millis(100);
+const SEND_INTERVAL: Millis = Millis(100);
 
 /// Turns between messages on roll-outs, which need not be known as soon.
-const ROLLOUT_TURNS: u32 = 5;
+const ROLLOUT_INTERVAL_TURNS: u32 = 5;
 
 /// Part of the peers, as a divisor, that hear of roll-outs at a time: each does about once a second, a
 /// fifth of the time in which a bad version must be left.
-const ROLLOUT_PART: usize = 2;
+const ROLLOUT_PEERS_DIVISOR: usize = 2;
 
 /// Time without news after which the peers are told that this one lives.
-const QUIET: Millis = Millis(2_000);
+const HEARTBEAT_INTERVAL: Millis = Millis(2_000);
 
 /// Bytes a second that this process spends on its peers. An operator grants 9 kB for all control.
 const BYTES_PER_SECOND: u64 = 7_000;
 
 /// Bytes that are saved up: a message of 60 bytes on a read of the store goes to 330 peers at once.
-const BYTES_SAVED: u64 = 24_000;
+const BURST_BYTES: u64 = 24_000;
 
 /// Bytes of these that only messages on reads of the store may take.
-const KEPT_FOR_FEEDS: u64 = 20_000;
+const BYTES_RESERVED_FOR_FEEDS: u64 = 20_000;
 
 /// Routes in a message on a roll-out: each takes up to 85 bytes, and names the rest.
-const MAX_ROUTES: usize = 14;
+const MAX_ROUTES_PER_MESSAGE: usize = 14;
 
 /// Gateways that are told of what was fetched from another one. With eight each, all of some hundreds have
 /// somebody to ask after three rounds.
-const FEW: usize = 8;
+const FEW_PEERS: usize = 8;
 
 /// Turns between two messages to one peer, drawn anew, of all others: whoever missed words hears of all within some
 /// ten seconds. At 330 gateways they take 1 kB a second.
-const OTHERS_TURNS: u32 = 25;
+const ADDRESSES_INTERVAL_TURNS: u32 = 25;
 
 /// Bytes that messages on other gateways leave. Without them, 298 gateways that came back at once spent all that they
 /// had saved on these, what was read in the store reached nobody, each read it by itself, and callers were served 30 s
 /// later; with them 8.5 s.
-const KEPT_FOR_OTHERS: u64 = 10_000;
+const BYTES_RESERVED_FROM_ADDRESSES: u64 = 10_000;
 
 /// Addresses in a message: each takes eight bytes.
-const MAX_ADDRESSES: usize = 150;
+const MAX_ADDRESSES_PER_MESSAGE: usize = 150;
 
 /// Marks of requests that fit a datagram beside the news of the other feeds.
-const MAX_LONG_MARKS: usize = 24;
+const MAX_MARKS_IN_LONG_MESSAGE: usize = 24;
 
 /// Largest datagram that passes common links in one piece.
 const MAX_DATAGRAM: usize = 1_400;
@@ -70,108 +70,114 @@
 /// What a read of the store brought goes out at once, to all: each moment later, one more gateway
 /// reads the same. So does the end of a roll-out. What of the rest does not fit the bytes of a second
 /// goes to some of the peers, drawn anew each turn.
-pub async fn tell_peers(gw: Rc<Gateway>, socket: UdpSocket, peers: Peers) {
-    let budget = ByteBudget::with_depth(BYTES_PER_SECOND, BYTES_SAVED, gw.now());
-    let mut teller = Teller { gw: gw.clone(), socket, peers, budget, told_at: Millis(0), turn: 0 };
+pub async fn send_gossip(gw: Rc<Gateway>, socket: UdpSocket, peers: PeerTable) {
+    let budget = ByteBudget::with_depth(BYTES_PER_SECOND, BURST_BYTES, gw.now());
+    let mut sender =
+        GossipSender { gw: gw.clone(), socket, peers, budget, last_sent_at: Millis(0), turn: 0 };
     let mut next_turn = gw.now();
     loop {
         // Listened to before the look, so that news in between are not overheard.
         let news = gw.gossip_due.listen();
-        teller.tell_news().await;
+        sender.send_urgent().await;
         if gw.now() >= next_turn {
-            next_turn = gw.now().after(EVERY);
-            teller.tell_rest().await;
+            next_turn = gw.now().after(SEND_INTERVAL);
+            sender.send_periodic().await;
         }
         within(next_turn.since(gw.now()), news).await;
     }
 }
 
-struct Teller {
+struct GossipSender {
     gw: Rc<Gateway>,
     socket: UdpSocket,
-    peers: Peers,
+    peers: PeerTable,
     budget: ByteBudget,
-    told_at: Millis,
+    last_sent_at: Millis,
     turn: u32,
 }
 
-impl Teller {
+impl GossipSender {
     /// Tells all peers what was read, and how a roll-out ended, and a few which gateways there are.
-    async fn tell_news(&mut self) {
-        self.tell_of_others().await;
+    async fn send_urgent(&mut self) {
+        self.send_addresses_to_newcomers().await;
         let is_urgent = self.gw.with_rollouts(|r| r.take_urgent_report());
         let rollouts = if is_urgent { rollout_messages(&self.gw) } else { Vec::new() };
-        let (feeds, reach) = feed_message(&self.gw);
-        let feeds = (feeds, if reach == Reach::Few { FEW } else { usize::MAX });
+        let (feeds, audience) = feeds_message(&self.gw);
+        let feeds = (feeds, if audience == Audience::Few { FEW_PEERS } else { usize::MAX });
         let messages = std::iter::once(feeds).chain(rollouts.into_iter().map(|m| (m, usize::MAX)));
-        for (message, most) in messages.filter(|(message, _)| !message.is_empty()) {
-            let mut present = self.present();
-            present.truncate(most);
-            self.tell(message, &present, 0).await;
+        for (message, max_peers) in messages.filter(|(message, _)| !message.is_empty()) {
+            let mut live = self.shuffled_live_peers();
+            live.truncate(max_peers);
+            self.send(message, &live, 0).await;
         }
     }
 
     /// Tells newcomers which gateways there are, and a few others what was learned.
-    async fn tell_of_others(&mut self) {
-        let (is_news, mut told) = self.peers.with(|m| (m.take_news(), m.take_newcomers()));
-        if !is_news && told.is_empty() {
+    async fn send_addresses_to_newcomers(&mut self) {
+        let (is_news, mut recipients) = self.peers.with(|m| (m.take_news(), m.take_newcomers()));
+        if !is_news && recipients.is_empty() {
             return;
         }
-        let present = self.present();
+        let live = self.shuffled_live_peers();
         if is_news {
-            told.extend(Members::told(&present));
+            recipients.extend(Members::told(&live));
         }
-        self.tell_all_others(&present, &told, KEPT_FOR_OTHERS).await;
+        self.send_addresses(&live, &recipients, BYTES_RESERVED_FROM_ADDRESSES).await;
     }
 
-    async fn tell_all_others(&mut self, others: &[SocketAddr], told: &[SocketAddr], kept: u64) {
-        for part in others.chunks(MAX_ADDRESSES) {
+    async fn send_addresses(
+        &mut self,
+        others: &[SocketAddr],
+        recipients: &[SocketAddr],
+        reserved: u64,
+    ) {
+        for part in others.chunks(MAX_ADDRESSES_PER_MESSAGE) {
             let message = PeerMessage { gateways: part.to_vec(), ..PeerMessage::default() };
-            self.tell(message, told, kept).await;
+            self.send(message, recipients, reserved).await;
         }
     }
 
     /// Tells of roll-outs, loads, or only that it lives.
-    async fn tell_rest(&mut self) {
-        let present = self.present();
-        let fleet = present.len() + 1;
-        self.gw.with_feeds(|feeds| feeds.share_with(fleet));
+    async fn send_periodic(&mut self) {
+        let live = self.shuffled_live_peers();
+        let fleet = live.len() + 1;
+        self.gw.with_feeds(|feeds| feeds.set_fleet_size(fleet));
         self.gw.with_rollouts(|rollouts| rollouts.set_fleet_size(fleet));
         self.gw.saw_fleet(fleet);
         self.turn = self.turn.wrapping_add(1);
-        if self.turn.is_multiple_of(ROLLOUT_TURNS) {
-            let part = &present[..present.len().div_ceil(ROLLOUT_PART)];
+        if self.turn.is_multiple_of(ROLLOUT_INTERVAL_TURNS) {
+            let part = &live[..live.len().div_ceil(ROLLOUT_PEERS_DIVISOR)];
             for rollouts in rollout_messages(&self.gw) {
-                self.tell(rollouts, part, KEPT_FOR_FEEDS).await;
+                self.send(rollouts, part, BYTES_RESERVED_FOR_FEEDS).await;
             }
         }
-        if self.turn.is_multiple_of(OTHERS_TURNS) {
-            let one = &present[..present.len().min(1)];
-            self.tell_all_others(&present, one, KEPT_FOR_FEEDS).await;
+        if self.turn.is_multiple_of(ADDRESSES_INTERVAL_TURNS) {
+            let one = &live[..live.len().min(1)];
+            self.send_addresses(&live, one, BYTES_RESERVED_FOR_FEEDS).await;
         }
         let mut loads = PeerMessage::default();
-        loads.add_loads(self.gw.loads.take_news(self.gw.now()), self.gw.now());
-        if !loads.is_empty() || self.gw.now().since(self.told_at) >= QUIET {
-            self.tell(loads, &present, KEPT_FOR_FEEDS).await;
+        loads.set_loads(self.gw.loads.take_news(self.gw.now()), self.gw.now());
+        if !loads.is_empty() || self.gw.now().since(self.last_sent_at) >= HEARTBEAT_INTERVAL {
+            self.send(loads, &live, BYTES_RESERVED_FOR_FEEDS).await;
         }
     }
 
     /// Returns the peers in an order drawn anew.
-    fn present(&self) -> Vec<SocketAddr> {
-        let mut present = self.peers.present(self.gw.now());
-        fastrand::shuffle(&mut present);
-        present
+    fn shuffled_live_peers(&self) -> Vec<SocketAddr> {
+        let mut live = self.peers.live(self.gw.now());
+        fastrand::shuffle(&mut live);
+        live
     }
 
     /// Sends a message to peers while there are bytes for it beyond `kept`.
-    async fn tell(&mut self, message: PeerMessage, peers: &[SocketAddr], kept: u64) {
-        self.told_at = self.gw.now();
-        let Some(bytes) = datagram(message) else {
+    async fn send(&mut self, message: PeerMessage, peers: &[SocketAddr], reserved: u64) {
+        self.last_sent_at = self.gw.now();
+        let Some(bytes) = encode_datagram(message) else {
             self.gw.telemetry.count("peers.too_long", 1);
             return;
         };
         for peer in peers {
-            if !self.budget.try_take_leaving(bytes.len() as u64, kept, self.gw.now()) {
+            if !self.budget.try_take_leaving(bytes.len() as u64, reserved, self.gw.now()) {
                 self.gw.telemetry.count("peers.left_out", 1);
             } else if self.socket.send_to(&bytes, *peer).await.is_err() {
                 // A message that cannot be sent is overtaken by the next.
@@ -182,22 +188,23 @@
 }
 
 /// Makes the message on the feeds of the store, and says who is told.
-fn feed_message(gw: &Gateway) -> (PeerMessage, Reach) {
+fn feeds_message(gw: &Gateway) -> (PeerMessage, Audience) {
     let now = gw.now();
     gw.with_feeds(|feeds| {
-        let orders = feeds.take_orders(now);
-        let servers = feeds.take_servers(now);
-        let marks = feeds.take_marks(now);
-        let of_marks = marks.as_ref().map(|_| Reach::All);
-        let reaches = [orders.as_ref().map(|o| o.1), servers.as_ref().map(|s| s.2), of_marks];
-        let is_few = reaches.iter().flatten().all(|reach| *reach == Reach::Few);
-        let reach = if is_few { Reach::Few } else { Reach::All };
-        let servers = servers
-            .map(|(told, changes, _)| (told.into(), changes.iter().map(Into::into).collect()));
-        let orders = orders.map(|(told, _)| told.into());
-        let marks =
-            marks.map(|(told, changes)| (told.into(), changes.iter().map(Into::into).collect()));
-        (PeerMessage { orders, servers, marks, ..PeerMessage::default() }, reach)
+        let orders = feeds.take_orders_update(now);
+        let servers = feeds.take_servers_update(now);
+        let marks = feeds.take_marks_update(now);
+        let of_marks = marks.as_ref().map(|_| Audience::All);
+        let audiences = [orders.as_ref().map(|o| o.1), servers.as_ref().map(|s| s.2), of_marks];
+        let is_few = audiences.iter().flatten().all(|audience| *audience == Audience::Few);
+        let audience = if is_few { Audience::Few } else { Audience::All };
+        let servers = servers.map(|(position, changes, _)| {
+            (position.into(), changes.iter().map(Into::into).collect())
+        });
+        let orders = orders.map(|(position, _)| position.into());
+        let marks = marks
+            .map(|(position, changes)| (position.into(), changes.iter().map(Into::into).collect()));
+        (PeerMessage { orders, servers, marks, ..PeerMessage::default() }, audience)
     })
 }
 
@@ -206,8 +213,9 @@
 /// A configuration may have hundreds of routes. In one message their evidence would not fit, nobody would
 /// hear of it, and each gateway would judge a version by its own part of the answers.
 fn rollout_messages(gw: &Gateway) -> Vec<PeerMessage> {
-    let news = gw.with_rollouts(|r| r.reports(gw.now()));
-    let mut parts: Vec<_> = news.into_iter().flat_map(|news| news.split(MAX_ROUTES)).collect();
+    let reports = gw.with_rollouts(|r| r.reports(gw.now()));
+    let mut parts: Vec<_> =
+        reports.into_iter().flat_map(|report| report.split(MAX_ROUTES_PER_MESSAGE)).collect();
     // Where the bytes do not suffice, it is not always the same routes that are left out.
     fastrand::shuffle(&mut parts);
     let message =
@@ -216,7 +224,7 @@
 }
 
 /// Writes a message; what makes it too long for a datagram is left out, the least needed first.
-fn datagram(mut message: PeerMessage) -> Option<Vec<u8>> {
+fn encode_datagram(mut message: PeerMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(&message).ok()?;
     if bytes.len() <= MAX_DATAGRAM {
         return Some(bytes);
@@ -225,18 +233,18 @@
     message.reports.clear();
     // Without their changes they would confirm what they do not tell.
     message.servers = None;
-    message.marks = message.marks.filter(|(_, marks)| marks.len() <= MAX_LONG_MARKS);
+    message.marks = message.marks.filter(|(_, marks)| marks.len() <= MAX_MARKS_IN_LONG_MESSAGE);
     let bytes = postcard::to_stdvec(&message).ok()?;
     (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
 }
 
 /// Hears the peers for ever.
-pub async fn hear_peers(gw: Rc<Gateway>, socket: UdpSocket, peers: Peers) {
+pub async fn receive_gossip(gw: Rc<Gateway>, socket: UdpSocket, peers: PeerTable) {
     let mut buf = vec![0; MAX_DATAGRAM + 1];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             gw.telemetry.count("peers.unheard", 1);
-            sleep(EVERY).await;
+            sleep(SEND_INTERVAL).await;
             continue;
         };
         let Ok(message) = postcard::from_bytes::<PeerMessage>(&buf[..len]) else {
@@ -245,16 +253,16 @@
         };
         let now = gw.now();
         peers.with(|members| members.heard(from, now, fastrand::u64(..)));
-        if peers.learn(&message.gateways, now) {
+        if peers.add(&message.gateways, now) {
             gw.gossip_due.notify(usize::MAX);
         }
-        take(&gw, from, message);
+        apply_message(&gw, from, message);
     }
 }
 
-fn take(gw: &Gateway, from: SocketAddr, mut message: PeerMessage) {
+fn apply_message(gw: &Gateway, from: SocketAddr, mut message: PeerMessage) {
     let now = gw.now();
-    let fleet = gw.with_feeds(|feeds| feeds.fleet());
+    let fleet = gw.with_feeds(|feeds| feeds.fleet_size());
     let news = message.take_loads(now);
     for (server, limit) in &news.limits {
         gw.hear_limit(from, *server, *limit);
@@ -264,38 +272,39 @@
         gw.left_out_unreached(server, Some(from));
     }
     if let Some(orders) = message.orders {
-        gw.hear_orders(from, orders.into());
+        gw.apply_orders_update(from, orders.into());
     }
-    if let Some((told, changes)) = message.servers {
+    if let Some((position, changes)) = message.servers {
         let changes: Result<Vec<ServerChange>, _> =
             changes.into_iter().map(TryInto::try_into).collect();
         match changes {
             Ok(changes) => {
-                let next = FeedTold::from(told).next;
-                let heard = gw.with_feeds(|feeds| feeds.hear_servers(told.into(), changes, now));
+                let next = FeedTold::from(position).next;
+                let heard = gw
+                    .with_feeds(|feeds| feeds.apply_servers_update(position.into(), changes, now));
                 gw.take_changes(heard);
-                gw.note_lead(Feed::Servers, from, next);
+                gw.record_peer_position(Feed::Servers, from, next);
             }
             Err(_) => gw.telemetry.count("peers.unreadable", 1),
         }
     }
-    if let Some((told, marks)) = message.marks {
+    if let Some((position, marks)) = message.marks {
         let marks = marks.into_iter().map(Into::into).collect();
-        let heard = gw.with_feeds(|feeds| feeds.hear_marks(told.into(), marks, now));
+        let heard = gw.with_feeds(|feeds| feeds.apply_marks_update(position.into(), marks, now));
         gw.hear_marks(from, &heard);
     }
-    message.session.iter().for_each(|session| gw.hear_session(from, *session));
+    message.session.iter().for_each(|session| gw.handle_session_message(from, *session));
     for rollout in message.rollouts {
         match RolloutReport::try_from(rollout) {
-            Ok(news) => hear_rollout(gw, from, news, now),
+            Ok(report) => apply_rollout_report(gw, from, report, now),
             Err(_) => gw.telemetry.count("peers.unreadable", 1),
         }
     }
 }
 
-fn hear_rollout(gw: &Gateway, from: SocketAddr, news: RolloutReport, now: Millis) {
-    let (service, target) = (news.service.clone(), news.target.clone());
-    if gw.with_rollouts(|r| r.merge_report(&from.to_string(), news, now)) {
+fn apply_rollout_report(gw: &Gateway, from: SocketAddr, report: RolloutReport, now: Millis) {
+    let (service, target) = (report.service.clone(), report.target.clone());
+    if gw.with_rollouts(|r| r.merge_report(&from.to_string(), report, now)) {
         gw.telemetry.info(
             "rollout_moved",
             &[
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -10,6 +10,7 @@
 mod choice;
 mod clock;
 mod cold;
+mod discovery;
 mod ends;
 mod evacuation;
 mod exchange;
@@ -18,15 +19,14 @@
 mod fingerprint;
 mod flight_log;
 mod gateway;
+mod gossip;
 mod head_watch;
 mod limits;
 mod load;
-mod meeting;
 mod model_choice;
 mod net;
 mod peer_message;
 mod peer_table;
-mod peers;
 mod pipeline;
 mod quarantine;
 mod relay;
@@ -46,20 +46,22 @@
 
 pub use answer::{Answer, AnswerBody, text_answer};
 pub use clock::Clock;
-pub use exchange::{Fetched, Record, feed_pages, fetch_orders, fetch_servers, watch_orders_age};
+pub use discovery::{AddressStore, discover_peers};
+pub use exchange::{
+    FetchedOrders, Record, feed_pages, fetch_newer_orders, fetch_newer_servers, watch_orders_age,
+};
 pub use facts::{
     AnswerFacts, AttemptFacts, Dialect, ModelAsk, PromptPart, ReportedLoad, RequestFacts, Usage,
 };
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
 pub use gateway::{ConfigSource, Gateway, Lifecycle, StoreCopy};
-pub use meeting::{Directory, meet};
+pub use gossip::{receive_gossip, send_gossip};
 pub use net::{bind, connect, with_timeouts};
-pub use peer_table::Peers;
-pub use peers::{hear_peers, tell_peers};
+pub use peer_table::PeerTable;
 pub use quarantine::Claim;
 pub use rollout_report::{RolloutReport, StoredStatus};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
-pub use session_keepers::tell_keepers;
+pub use session_keepers::send_session_messages;
 pub use settings::GatewaySettings;
 pub use upstream::{CallError, Caller, Reading};
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -26,7 +26,7 @@
     /// Servers that have answered, though somebody could not reach them.
     pub(crate) answered: Vec<u32>,
     pub(crate) orders: Option<FeedWire>,
-    pub(crate) servers: Option<(FeedWire, Vec<ChangeWire>)>,
+    pub(crate) servers: Option<(FeedWire, Vec<ServerChangeWire>)>,
     pub(crate) marks: Option<(FeedWire, Vec<MarkWire>)>,
     pub(crate) rollouts: Vec<RolloutWire>,
     /// Where other gateways are.
@@ -48,8 +48,8 @@
 
 /// A change in the list of backend servers.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) enum ChangeWire {
-    Gone(String),
+pub(crate) enum ServerChangeWire {
+    Removed(String),
     Put(Box<ServerWire>),
 }
 
@@ -138,22 +138,22 @@
     }
 }
 
-impl From<&ServerChange> for ChangeWire {
+impl From<&ServerChange> for ServerChangeWire {
     fn from(change: &ServerChange) -> Self {
         match change {
-            ServerChange::Gone(id) => Self::Gone(id.to_string()),
+            ServerChange::Removed(id) => Self::Removed(id.to_string()),
             ServerChange::Put(server) => Self::Put(Box::new(server.into())),
         }
     }
 }
 
-impl TryFrom<ChangeWire> for ServerChange {
+impl TryFrom<ServerChangeWire> for ServerChange {
     type Error = ParseIdError;
 
-    fn try_from(message: ChangeWire) -> Result<Self, Self::Error> {
+    fn try_from(message: ServerChangeWire) -> Result<Self, Self::Error> {
         match message {
-            ChangeWire::Gone(id) => Ok(Self::Gone(id.as_str().into())),
-            ChangeWire::Put(server) => (*server).try_into().map(Self::Put),
+            ServerChangeWire::Removed(id) => Ok(Self::Removed(id.as_str().into())),
+            ServerChangeWire::Put(server) => (*server).try_into().map(Self::Put),
         }
     }
 }
@@ -218,18 +218,18 @@
 }
 
 impl From<&RolloutReport> for RolloutWire {
-    fn from(news: &RolloutReport) -> Self {
+    fn from(report: &RolloutReport) -> Self {
         Self {
-            service: news.service.to_string(),
-            target: news.target.to_string(),
-            elapsed_ms: news.elapsed.0,
-            is_age_known: news.is_age_known,
-            is_announced: news.is_announced,
-            routes: news.routes.iter().map(|(route, e)| (*route, messages(e))).collect(),
-            sent: news.sent.into(),
-            is_rolled_back: news.is_rolled_back,
-            stored_status: news.stored_status.into(),
-            store_era: news.store_era,
+            service: report.service.to_string(),
+            target: report.target.to_string(),
+            elapsed_ms: report.elapsed.0,
+            is_age_known: report.is_age_known,
+            is_announced: report.is_announced,
+            routes: report.routes.iter().map(|(route, e)| (*route, evidence_to_wire(e))).collect(),
+            sent: report.sent.into(),
+            is_rolled_back: report.is_rolled_back,
+            stored_status: report.stored_status.into(),
+            store_era: report.store_era,
         }
     }
 }
@@ -288,11 +288,11 @@
     }
 }
 
-fn messages(evidence: &RouteEvidence) -> [CountsWire; 2] {
+fn evidence_to_wire(evidence: &RouteEvidence) -> [CountsWire; 2] {
     [evidence.target.into(), evidence.current.into()]
 }
 
-fn evidence([target, current]: [CountsWire; 2]) -> RouteEvidence {
+fn evidence_from_wire([target, current]: [CountsWire; 2]) -> RouteEvidence {
     RouteEvidence { target: target.into(), current: current.into() }
 }
 
@@ -306,7 +306,11 @@
             elapsed: Millis(message.elapsed_ms),
             is_age_known: message.is_age_known,
             is_announced: message.is_announced,
-            routes: message.routes.into_iter().map(|(route, n)| (route, evidence(n))).collect(),
+            routes: message
+                .routes
+                .into_iter()
+                .map(|(route, n)| (route, evidence_from_wire(n)))
+                .collect(),
             sent: message.sent.into(),
             is_rolled_back: message.is_rolled_back,
             stored_status: message.stored_status.into(),
@@ -317,7 +321,7 @@
 
 impl LimitWire {
     /// Returns the server's incarnation hash and limit, or `None` if the rate is invalid.
-    fn to_news(self, now: Millis) -> Option<(u64, LimitNews)> {
+    fn into_limit_news(self, now: Millis) -> Option<(u64, LimitNews)> {
         let Self(server, per_second, age) = self;
         let limit = match per_second {
             Some(per_second) => Some(RequestRate::new(per_second)?),
@@ -334,7 +338,7 @@
     }
 
     /// Adds what is told of loads.
-    pub(crate) fn add_loads(&mut self, news: LoadNews, now: Millis) {
+    pub(crate) fn set_loads(&mut self, news: LoadNews, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
         self.sent = news.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
         let report = |(server, r): (u32, ServerReport)| {
@@ -364,7 +368,7 @@
             reports: reports.into_iter().map(report).collect(),
             unreached: std::mem::take(&mut self.unreached).into_iter().collect(),
             answered: std::mem::take(&mut self.answered).into_iter().collect(),
-            limits: limits.into_iter().filter_map(|limit| limit.to_news(now)).collect(),
+            limits: limits.into_iter().filter_map(|limit| limit.into_limit_news(now)).collect(),
             leaving: std::mem::take(&mut self.leaving).into_iter().collect(),
         }
     }
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -8,14 +8,14 @@
 
 /// The other gateways.
 #[derive(Clone, Debug)]
-pub struct Peers(Rc<RefCell<Members<SocketAddr>>>);
+pub struct PeerTable(Rc<RefCell<Members<SocketAddr>>>);
 
-impl Peers {
+impl PeerTable {
     /// Makes the table of a gateway at `own` that knows nobody.
     ///
     /// ```
     /// use redwingfold_core::Millis;
-    /// let peers = redwingfold_gateway::Peers::new("127.0.0.1:7000".parse()?);
+    /// let peers = redwingfold_gateway::PeerTable::new("127.0.0.1:7000".parse()?);
     /// peers.learn(&["127.0.0.1:7001".parse()?], Millis(0));
     /// assert_eq!(peers.len(), 1);
     /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -25,7 +25,7 @@
     }
 
     /// Adds peers that somebody named; `true` if one of them is new.
-    pub fn learn(&self, named: &[SocketAddr], now: Millis) -> bool {
+    pub fn add(&self, named: &[SocketAddr], now: Millis) -> bool {
         self.0.borrow_mut().learn(named, now)
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Returns those that were heard of late.
-    pub(crate) fn present(&self, now: Millis) -> Vec<SocketAddr> {
+    pub(crate) fn live(&self, now: Millis) -> Vec<SocketAddr> {
         self.with(|members| members.present(now))
     }
 }
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -113,7 +113,7 @@
         marks: Vec<MarkChange>,
     ) {
         let now = self.now();
-        let fleet = self.with_feeds(|feeds| feeds.fleet());
+        let fleet = self.with_feeds(|feeds| feeds.fleet_size());
         let kept = self.with_quarantine(|q| match all_of {
             None => q.hear(&marks, now),
             Some(StoreCopy::Current) => q.hear_all(&marks, now),
@@ -121,7 +121,7 @@
         });
         self.log_kept(&kept, None);
         let told = if all_of.is_some() { Vec::new() } else { marks };
-        self.with_feeds(|feeds| feeds.read_marks(began, next, told));
+        self.with_feeds(|feeds| feeds.record_marks_read(began, next, told));
         self.state_changed.notify(usize::MAX);
         self.gossip_due.notify(usize::MAX);
     }
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -19,7 +19,7 @@
 use crate::quarantine::Trial;
 use crate::rollout_choice::BindingReason;
 use crate::rollouts::{AnswerSample, AnswerSignal, Rollouts};
-use crate::session_keepers::KeepersAnswer;
+use crate::session_keepers::KeepersReply;
 
 /// Connections that are tried in vain before a request is given up.
 const MAX_UNREACHABLE: u32 = 6;
@@ -50,7 +50,7 @@
     /// The version that it was sent to; the one on trial if it was ever sent there.
     pub(crate) reached: Option<Arm>,
     /// What the keepers of its session answered, if they were asked.
-    pub(crate) keepers_answer: Option<KeepersAnswer>,
+    pub(crate) keepers_answer: Option<KeepersReply>,
     /// The version of its first send, and what decided it, for the log.
     pub(crate) first_version: Option<(VersionName, BindingReason)>,
     /// Servers that are passed over.
@@ -366,7 +366,7 @@
     fn unreachable(&mut self, server: &BackendServer, why: String) -> Result<(), Failed> {
         self.unreachable += 1;
         self.failed_at(server, Fault::Lost);
-        let fleet = self.gw.with_feeds(|feeds| feeds.fleet());
+        let fleet = self.gw.with_feeds(|feeds| feeds.fleet_size());
         if self.gw.loads.unreached(server, fleet, self.gw.now()) {
             self.gw.left_out_unreached(short_id(&server.id), None);
         }
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -52,7 +52,7 @@
     pub fn take_changes(&self, changes: Vec<ServerChange>) {
         for change in changes {
             match change {
-                ServerChange::Gone(id) => self.remove_server(&id),
+                ServerChange::Removed(id) => self.remove_server(&id),
                 ServerChange::Put(server) => self.put_server(server),
             }
         }
@@ -64,7 +64,7 @@
         // A server that lapsed and registered again is known as it was, but its removal comes first.
         let mut changed = HashSet::new();
         let is_new = |change: &ServerChange| match change {
-            ServerChange::Gone(id) => {
+            ServerChange::Removed(id) => {
                 changed.insert(id.clone());
                 true
             }
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -15,21 +15,21 @@
 use crate::clock::{sleep, within};
 use crate::gateway::Gateway;
 use crate::peer_message::PeerMessage;
-use crate::peer_table::Peers;
+use crate::peer_table::PeerTable;
 
 /// Longest wait for the answers of a session's keepers.
-const ANSWER_TIMEOUT: Millis = Millis(100);
+const REPLY_TIMEOUT: Millis = Millis(100);
 
 /// Time after its start in which a gateway waits for the first others, and asks again those that do not answer.
 ///
 /// A gateway has callers before it has heard the others. Sessions that have moved would go back through it meanwhile.
-const STARTING: Millis = Millis(1_000);
+const STARTUP_PERIOD: Millis = Millis(1_000);
 
 /// Time between looks at whether a gateway that starts knows any other.
-const LOOK_EVERY: Millis = Millis(20);
+const PEER_CHECK_INTERVAL: Millis = Millis(20);
 
 /// Messages waiting to be sent; beyond that, new ones are dropped.
-const MAX_UNSENT: usize = 1_024;
+const OUTBOX_CAPACITY: usize = 1_024;
 
 /// What gateways tell each other of sessions. A session and the number of a question are chosen by who sends them.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -37,16 +37,16 @@
     /// The session has moved.
     Moved(u64),
     /// Whether the session has moved, under a number.
-    Ask(u32, u64),
+    Query(u32, u64),
     /// The same, to be answered to a gateway also by one that does not keep the session.
-    AskFor(u32, u64, SocketAddr),
+    ForwardedQuery(u32, u64, SocketAddr),
     /// The answer to the question of that number, and how many gateways may answer it.
-    Answer(u32, bool, u8),
+    Reply(u32, bool, u8),
 }
 
 /// What a session's keepers answered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum KeepersAnswer {
+pub(crate) enum KeepersReply {
     /// It has moved.
     Moved,
     /// All say that it has not.
@@ -54,26 +54,26 @@
     /// Some did not answer in time, and none said that it has moved.
     Incomplete,
     /// No other gateway is known.
-    NobodyAsked,
+    NoKeepers,
 }
 
-impl fmt::Display for KeepersAnswer {
+impl fmt::Display for KeepersReply {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Moved => "moved",
             Self::NotMoved => "not_moved",
             Self::Incomplete => "incomplete",
-            Self::NobodyAsked => "nobody_asked",
+            Self::NoKeepers => "nobody_asked",
         })
     }
 }
 
 /// A message and the gateway that it is for.
-type Unsent = (SocketAddr, SessionMessage);
+type OutgoingMessage = (SocketAddr, SessionMessage);
 
 /// One keeper's answer.
 #[derive(Clone, Copy, Debug)]
-struct KeeperAnswer {
+struct KeeperReply {
     from: SocketAddr,
     has_moved: bool,
     /// Gateways that may answer, as far as this one knows.
@@ -84,35 +84,35 @@
 #[derive(Debug)]
 pub(crate) struct SessionKeepers {
     /// The other gateways, once they can be reached, and since when that is so.
-    peers: RefCell<Option<(Peers, Millis)>>,
+    peers: RefCell<Option<(PeerTable, Millis)>>,
     /// Whether it is known where the others are, if there are any.
-    are_others_known: Cell<bool>,
+    is_peer_discovery_done: Cell<bool>,
     /// Questions that wait for answers.
-    open: RefCell<HashMap<u32, Sender<KeeperAnswer>>>,
-    next: Cell<u32>,
-    unsent_tx: Sender<Unsent>,
-    unsent_rx: Receiver<Unsent>,
+    pending: RefCell<HashMap<u32, Sender<KeeperReply>>>,
+    next_query: Cell<u32>,
+    outbox_tx: Sender<OutgoingMessage>,
+    outbox_rx: Receiver<OutgoingMessage>,
 }
 
 impl Default for SessionKeepers {
     fn default() -> Self {
-        let (unsent_tx, unsent_rx) = bounded(MAX_UNSENT);
+        let (outbox_tx, outbox_rx) = bounded(OUTBOX_CAPACITY);
         Self {
             peers: RefCell::default(),
-            are_others_known: Cell::new(false),
-            open: RefCell::default(),
-            next: Cell::new(fastrand::u32(..)),
-            unsent_tx,
-            unsent_rx,
+            is_peer_discovery_done: Cell::new(false),
+            pending: RefCell::default(),
+            next_query: Cell::new(fastrand::u32(..)),
+            outbox_tx,
+            outbox_rx,
         }
     }
 }
 
 /// A question to a session's keepers, forgotten when dropped.
-struct Question<'a> {
+struct PendingQuery<'a> {
     keepers: &'a SessionKeepers,
-    number: u32,
-    answers: Receiver<KeeperAnswer>,
+    query_id: u32,
+    replies: Receiver<KeeperReply>,
 }
 
 impl SessionKeepers {
@@ -120,13 +120,13 @@
     fn keepers(&self, session: SessionKey, now: Millis) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         let Some((peers, _)) = peers.as_ref() else { return Vec::new() };
-        let mut gateways = peers.present(now);
+        let mut gateways = peers.live(now);
         gateways.push(peers.own());
         session.keepers(&gateways, address_hash)
     }
 
     /// Returns the other gateways that keep a session.
-    fn others(&self, session: SessionKey, now: Millis) -> Vec<SocketAddr> {
+    fn other_keepers(&self, session: SessionKey, now: Millis) -> Vec<SocketAddr> {
         let own = self.own();
         let mut keepers = self.keepers(session, now);
         keepers.retain(|keeper| Some(*keeper) != own);
@@ -135,13 +135,13 @@
 
     /// Returns the questions for a session, under a number: to the other gateways that keep it, and to those that kept it
     /// before some were added. Any gateway that was added longer ago than `retention` has been told if the session moved.
-    fn questions(
+    fn query_messages(
         &self,
         session: SessionKey,
-        number: u32,
+        query_id: u32,
         retention: Millis,
         now: Millis,
-    ) -> Vec<Unsent> {
+    ) -> Vec<OutgoingMessage> {
         let peers = self.peers.borrow();
         let Some((peers, _)) = peers.as_ref() else { return Vec::new() };
         let own = peers.own();
@@ -149,9 +149,10 @@
         let keepers = self.keepers(session, now);
         let former = session.former_keepers(&keepers, &settled, address_hash);
         let others = keepers.into_iter().filter(|keeper| *keeper != own);
-        let to_keepers = others.map(|keeper| (keeper, SessionMessage::Ask(number, session.0)));
-        let to_former =
-            former.into_iter().map(|g| (g, SessionMessage::AskFor(number, session.0, own)));
+        let to_keepers = others.map(|keeper| (keeper, SessionMessage::Query(query_id, session.0)));
+        let to_former = former
+            .into_iter()
+            .map(|g| (g, SessionMessage::ForwardedQuery(query_id, session.0, own)));
         to_keepers.chain(to_former).collect()
     }
 
@@ -163,44 +164,44 @@
     fn is_starting(&self, now: Millis) -> bool {
         let peers = self.peers.borrow();
         let Some((peers, since)) = peers.as_ref() else { return false };
-        let is_alone = self.are_others_known.get() && peers.is_empty();
-        now.since(*since) < STARTING && !is_alone
+        let is_alone = self.is_peer_discovery_done.get() && peers.is_empty();
+        now.since(*since) < STARTUP_PERIOD && !is_alone
     }
 
-    fn ask(&self) -> Question<'_> {
-        let number = self.next.get();
-        self.next.set(number.wrapping_add(1));
-        let (tx, answers) = bounded(usize::from(u8::MAX));
-        self.open.borrow_mut().insert(number, tx);
-        Question { keepers: self, number, answers }
+    fn open_query(&self) -> PendingQuery<'_> {
+        let query_id = self.next_query.get();
+        self.next_query.set(query_id.wrapping_add(1));
+        let (tx, replies) = bounded(usize::from(u8::MAX));
+        self.pending.borrow_mut().insert(query_id, tx);
+        PendingQuery { keepers: self, query_id, replies }
     }
 
-    fn answered(&self, number: u32, answer: KeeperAnswer) {
-        let open = self.open.borrow();
+    fn deliver_reply(&self, query_id: u32, reply: KeeperReply) {
+        let pending = self.pending.borrow();
         // Late answers find no question, and more than a question takes are not needed.
-        open.get(&number).iter().for_each(|tx| {
-            tx.try_send(answer).ok();
+        pending.get(&query_id).iter().for_each(|tx| {
+            tx.try_send(reply).ok();
         });
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingQuery<'_> {
     fn drop(&mut self) {
-        self.keepers.open.borrow_mut().remove(&self.number);
+        self.keepers.pending.borrow_mut().remove(&self.query_id);
     }
 }
 
-impl Question<'_> {
+impl PendingQuery<'_> {
     /// Waits for a keeper that knows the session to have moved, or for all of them: at least so many as were asked, or as
     /// one that answers knows.
-    async fn has_moved(&self, mut keepers: usize) -> bool {
-        let mut answered = HashSet::new();
-        while answered.len() < keepers {
-            match self.answers.recv().await {
-                Ok(KeeperAnswer { has_moved: true, .. }) => return true,
-                Ok(answer) => {
-                    answered.insert(answer.from);
-                    keepers = keepers.max(answer.keepers);
+    async fn wait_for_replies(&self, mut keepers: usize) -> bool {
+        let mut replied = HashSet::new();
+        while replied.len() < keepers {
+            match self.replies.recv().await {
+                Ok(KeeperReply { has_moved: true, .. }) => return true,
+                Ok(reply) => {
+                    replied.insert(reply.from);
+                    keepers = keepers.max(reply.keepers);
                 }
                 Err(_) => return false,
             }
@@ -211,82 +212,82 @@
 
 impl Gateway {
     /// Shares sessions with these gateways from now on.
-    pub fn share_sessions(&self, peers: Peers) {
+    pub fn share_sessions_with(&self, peers: PeerTable) {
         *self.session_keepers.peers.borrow_mut() = Some((peers, self.now()));
     }
 
     /// Records that a session has moved to the target of its service's roll-out, here and at its keepers.
     pub(crate) fn session_moved(&self, session: SessionKey) {
         self.with_rollouts(|r| r.moved_sessions.record(session, self.now()));
-        for keeper in self.session_keepers.others(session, self.now()) {
+        for keeper in self.session_keepers.other_keepers(session, self.now()) {
             self.send_session_message(keeper, SessionMessage::Moved(session.0));
         }
     }
 
     /// Asks the keepers of a session whether it has moved; until a time at the latest, if this gateway has just started.
-    pub(crate) async fn ask_keepers(&self, session: SessionKey, until: Millis) -> KeepersAnswer {
+    pub(crate) async fn ask_keepers(&self, session: SessionKey, until: Millis) -> KeepersReply {
         self.telemetry.count("sessions.asked", 1);
-        let answer = loop {
-            let answer = self.ask_keepers_once(session).await;
-            let is_decided = matches!(answer, KeepersAnswer::Moved | KeepersAnswer::NotMoved);
+        let reply = loop {
+            let reply = self.ask_keepers_once(session).await;
+            let is_decided = matches!(reply, KeepersReply::Moved | KeepersReply::NotMoved);
             let now = self.now();
             if is_decided || now >= until || !self.session_keepers.is_starting(now) {
-                break answer;
+                break reply;
             }
         };
-        match answer {
-            KeepersAnswer::Moved => {
+        match reply {
+            KeepersReply::Moved => {
                 self.with_rollouts(|r| r.moved_sessions.record(session, self.now()));
             }
-            KeepersAnswer::NotMoved => {}
-            KeepersAnswer::Incomplete | KeepersAnswer::NobodyAsked => {
+            KeepersReply::NotMoved => {}
+            KeepersReply::Incomplete | KeepersReply::NoKeepers => {
                 self.telemetry.count("sessions.unanswered", 1);
             }
         }
-        answer
+        reply
     }
 
-    async fn ask_keepers_once(&self, session: SessionKey) -> KeepersAnswer {
-        let question = self.session_keepers.ask();
+    async fn ask_keepers_once(&self, session: SessionKey) -> KeepersReply {
+        let query = self.session_keepers.open_query();
         let (retention, now) = (self.settings.session_keep, self.now());
-        let messages = self.session_keepers.questions(session, question.number, retention, now);
+        let messages = self.session_keepers.query_messages(session, query.query_id, retention, now);
         if messages.is_empty() {
             if self.session_keepers.is_starting(now) {
-                sleep(LOOK_EVERY).await;
+                sleep(PEER_CHECK_INTERVAL).await;
             }
-            return KeepersAnswer::NobodyAsked;
+            return KeepersReply::NoKeepers;
         }
         for (to, message) in &messages {
             self.send_session_message(*to, *message);
         }
-        match within(ANSWER_TIMEOUT, question.has_moved(messages.len())).await {
-            Some(true) => KeepersAnswer::Moved,
-            Some(false) => KeepersAnswer::NotMoved,
-            None => KeepersAnswer::Incomplete,
+        match within(REPLY_TIMEOUT, query.wait_for_replies(messages.len())).await {
+            Some(true) => KeepersReply::Moved,
+            Some(false) => KeepersReply::NotMoved,
+            None => KeepersReply::Incomplete,
         }
     }
 
     /// Notes that it is known where the other gateways are, if there are any.
-    pub(crate) fn note_others_known(&self) {
-        self.session_keepers.are_others_known.set(true);
+    pub(crate) fn set_peer_discovery_done(&self) {
+        self.session_keepers.is_peer_discovery_done.set(true);
     }
 
     /// Takes what another gateway says of a session.
-    pub(crate) fn hear_session(&self, from: SocketAddr, message: SessionMessage) {
+    pub(crate) fn handle_session_message(&self, from: SocketAddr, message: SessionMessage) {
         match message {
             SessionMessage::Moved(session) => {
                 let now = self.now();
                 self.with_rollouts(|r| r.moved_sessions.record(SessionKey(session), now));
             }
-            SessionMessage::Ask(number, session) => {
-                self.answer_or_pass_on(from, number, SessionKey(session));
+            SessionMessage::Query(query_id, session) => {
+                self.answer_or_forward(from, query_id, SessionKey(session));
             }
-            SessionMessage::AskFor(number, session, asker) => {
-                self.answer(asker, number, SessionKey(session));
+            SessionMessage::ForwardedQuery(query_id, session, requester) => {
+                self.answer(requester, query_id, SessionKey(session));
             }
-            SessionMessage::Answer(number, has_moved, keepers) => {
-                let answer = KeeperAnswer { from, has_moved, keepers: keepers.into() };
-                self.session_keepers.answered(number, answer);
+            SessionMessage::Reply(query_id, has_moved, keepers) => {
+                let reply = KeeperReply { from, has_moved, keepers: keepers.into() };
+                self.session_keepers.deliver_reply(query_id, reply);
             }
         }
     }
@@ -294,32 +295,32 @@
     /// Answers a question on a session that this gateway keeps, and passes it on otherwise.
     ///
     /// A gateway that has just started knows a few of the others, and ranks the keepers of a session among these.
-    fn answer_or_pass_on(&self, asker: SocketAddr, number: u32, session: SessionKey) {
+    fn answer_or_forward(&self, requester: SocketAddr, query_id: u32, session: SessionKey) {
         let now = self.now();
         let own = self.session_keepers.own();
         let keepers = self.session_keepers.keepers(session, now);
         let is_keeper = keepers.iter().any(|keeper| Some(*keeper) == own);
         if is_keeper || self.with_rollouts(|r| r.moved_sessions.contains(session, now)) {
-            self.answer(asker, number, session);
+            self.answer(requester, query_id, session);
             return;
         }
-        for keeper in keepers.into_iter().filter(|keeper| *keeper != asker) {
-            let message = SessionMessage::AskFor(number, session.0, asker);
+        for keeper in keepers.into_iter().filter(|keeper| *keeper != requester) {
+            let message = SessionMessage::ForwardedQuery(query_id, session.0, requester);
             self.send_session_message(keeper, message);
         }
     }
 
-    fn answer(&self, asker: SocketAddr, number: u32, session: SessionKey) {
+    fn answer(&self, requester: SocketAddr, query_id: u32, session: SessionKey) {
         let now = self.now();
         let has_moved = self.with_rollouts(|r| r.moved_sessions.contains(session, now));
         let keepers = self.session_keepers.keepers(session, now);
-        let keepers = keepers.into_iter().filter(|keeper| *keeper != asker).count();
-        let message = SessionMessage::Answer(number, has_moved, keepers as u8);
-        self.send_session_message(asker, message);
+        let keepers = keepers.into_iter().filter(|keeper| *keeper != requester).count();
+        let message = SessionMessage::Reply(query_id, has_moved, keepers as u8);
+        self.send_session_message(requester, message);
     }
 
     fn send_session_message(&self, to: SocketAddr, message: SessionMessage) {
-        if self.session_keepers.unsent_tx.try_send((to, message)).is_err() {
+        if self.session_keepers.outbox_tx.try_send((to, message)).is_err() {
             self.telemetry.count("sessions.unsent", 1);
         }
     }
@@ -329,8 +330,8 @@
 ///
 /// Apart from other messages to peers, whose bytes a second are bounded: a message here follows a request of this
 /// gateway's own, or of one that asks, so that requests bound them.
-pub async fn tell_keepers(gw: Rc<Gateway>, socket: UdpSocket) {
-    while let Ok((to, message)) = gw.session_keepers.unsent_rx.recv().await {
+pub async fn send_session_messages(gw: Rc<Gateway>, socket: UdpSocket) {
+    while let Ok((to, message)) = gw.session_keepers.outbox_rx.recv().await {
         let message = PeerMessage { session: Some(message), ..PeerMessage::default() };
         let sent = match postcard::to_stdvec(&message) {
             Ok(bytes) => socket.send_to(&bytes, to).await.is_ok(),
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -101,6 +101,6 @@
     /// Notes that the other gateways could be heard from now on, or that there are none.
     pub(crate) fn met_others(&self) {
         self.send_turns.borrow_mut().met(self.now());
-        self.note_others_known();
+        self.set_peer_discovery_done();
     }
 }
