--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -73,7 +73,7 @@
                 gw.gossip_due.notify(usize::MAX);
             }
         }
-        gw.met_others();
+        gw.record_peers_joined();
         if peers.len() != logged_count {
             logged_count = peers.len();
             gw.telemetry.info("peers_known", &[("peers", &logged_count)]);
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -143,7 +143,7 @@
         let fleet = live.len() + 1;
         self.gw.with_feeds(|feeds| feeds.set_fleet_size(fleet));
         self.gw.with_rollouts(|rollouts| rollouts.set_fleet_size(fleet));
-        self.gw.saw_fleet(fleet);
+        self.gw.record_fleet_size(fleet);
         self.turn = self.turn.wrapping_add(1);
         if self.turn.is_multiple_of(ROLLOUT_INTERVAL_TURNS) {
             let part = &live[..live.len().div_ceil(ROLLOUT_PEERS_DIVISOR)];
@@ -156,7 +156,7 @@
             self.send_addresses(&live, one, BYTES_RESERVED_FOR_FEEDS).await;
         }
         let mut loads = PeerMessage::default();
-        loads.set_loads(self.gw.loads.take_news(self.gw.now()), self.gw.now());
+        loads.set_loads(self.gw.loads.take_pending_updates(self.gw.now()), self.gw.now());
         if !loads.is_empty() || self.gw.now().since(self.last_sent_at) >= HEARTBEAT_INTERVAL {
             self.send(loads, &live, BYTES_RESERVED_FOR_FEEDS).await;
         }
@@ -265,11 +265,11 @@
     let fleet = gw.with_feeds(|feeds| feeds.fleet_size());
     let news = message.take_loads(now);
     for (server, limit) in &news.limits {
-        gw.hear_limit(from, *server, *limit);
+        gw.apply_peer_limit(from, *server, *limit);
     }
-    news.leaving.iter().for_each(|server| gw.hear_leaving(from, *server));
-    for server in gw.loads.hear(from, news, fleet, now) {
-        gw.left_out_unreached(server, Some(from));
+    news.leaving.iter().for_each(|server| gw.apply_peer_leaving(from, *server));
+    for server in gw.loads.apply_peer_update(from, news, fleet, now) {
+        gw.log_unreachable_server(server, Some(from));
     }
     if let Some(orders) = message.orders {
         gw.apply_orders_update(from, orders.into());
@@ -282,7 +282,7 @@
                 let next = FeedTold::from(position).next;
                 let heard = gw
                     .with_feeds(|feeds| feeds.apply_servers_update(position.into(), changes, now));
-                gw.take_changes(heard);
+                gw.apply_server_changes(heard);
                 gw.record_peer_position(Feed::Servers, from, next);
             }
             Err(_) => gw.telemetry.count("peers.unreadable", 1),
@@ -291,7 +291,7 @@
     if let Some((position, marks)) = message.marks {
         let marks = marks.into_iter().map(Into::into).collect();
         let heard = gw.with_feeds(|feeds| feeds.apply_marks_update(position.into(), marks, now));
-        gw.hear_marks(from, &heard);
+        gw.apply_peer_marks(from, &heard);
     }
     message.session.iter().for_each(|session| gw.handle_session_message(from, *session));
     for rollout in message.rollouts {
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -249,7 +249,7 @@
 
     async fn ask_keepers_once(&self, session: SessionKey) -> KeepersReply {
         let query = self.session_keepers.open_query();
-        let (retention, now) = (self.settings.session_keep, self.now());
+        let (retention, now) = (self.settings.session_retention, self.now());
         let messages = self.session_keepers.query_messages(session, query.query_id, retention, now);
         if messages.is_empty() {
             if self.session_keepers.is_starting(now) {
