--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -16,7 +16,7 @@
     /// ```
     /// use redwingfold_core::Millis;
     /// let peers = redwingfold_gateway::PeerTable::new("127.0.0.1:7000".parse()?);
-    /// peers.learn(&["127.0.0.1:7001".parse()?], Millis(0));
+    /// peers.add(&["127.0.0.1:7001".parse()?], Millis(0));
     /// assert_eq!(peers.len(), 1);
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
