--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -99,7 +99,7 @@
             Ok(connection) => connection,
             Err(e) => {
                 if e.is_timeout() {
-                    gw.connected(None);
+                    gw.record_connect_time(None);
                 }
                 if e.is_refused() {
                     gw.record_server_gone(&server.id);
@@ -107,7 +107,7 @@
                 return AttemptOutcome::Unreachable(e.to_string());
             }
         };
-        gw.connected(Some(gw.now().since(connecting_at)));
+        gw.record_connect_time(Some(gw.now().since(connecting_at)));
         let time_left = self.time_left();
         if time_left == Millis(0) {
             return AttemptOutcome::Unreachable("no time is left".to_owned());
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -8,21 +8,21 @@
 mod availability;
 mod clock;
 mod cold;
+mod discovery;
 mod evacuation;
 mod exchange;
 mod feeds;
 mod fingerprint;
 mod gateway;
+mod gossip;
 mod header_timer;
 mod limits;
 mod load;
-mod meeting;
 mod metadata;
 mod model_choice;
 mod net;
 mod peer_message;
 mod peer_table;
-mod peers;
 mod pipeline;
 mod quarantine;
 mod relay;
@@ -32,8 +32,8 @@
 #[cfg(test)]
 mod restored_rollouts_tests;
 mod rollout_choice;
-mod rollout_news;
-mod rollout_turns;
+mod rollout_control;
+mod rollout_report;
 mod rollouts;
 mod serve;
 mod server_choice;
@@ -45,22 +45,24 @@
 mod upstream;
 
 pub use clock::Clock;
-pub use exchange::{Fetched, Record, feed_pages, fetch_orders, fetch_servers, watch_orders_age};
+pub use discovery::{AddressStore, discover_peers};
+pub use exchange::{
+    FetchedOrders, Record, feed_pages, fetch_newer_orders, fetch_newer_servers, watch_orders_age,
+};
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
-pub use gateway::{ConfigSource, Gateway, Standing, StoreCopy};
-pub use meeting::{Directory, meet};
+pub use gateway::{ConfigSource, Gateway, Lifecycle, StoreCopy};
+pub use gossip::{receive_gossip, send_gossip};
 pub use metadata::{
     AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
     ResponseMetadata, Usage,
 };
 pub use net::{bind, connect, with_timeouts};
-pub use peer_table::Peers;
-pub use peers::{hear_peers, tell_peers};
+pub use peer_table::PeerTable;
 pub use quarantine::TrialClaim;
 pub use response::{GatewayResponse, ResponseBody, text_response};
-pub use rollout_news::{Recorded, RolloutNews};
+pub use rollout_report::{RolloutReport, StoredStatus};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
-pub use session_keepers::tell_keepers;
+pub use session_keepers::send_session_messages;
 pub use settings::GatewaySettings;
 pub use upstream::{CallError, HttpConnection, ResponseReader};
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::within;
 use crate::fingerprint::fingerprint;
-use crate::gateway::{Gateway, Standing};
+use crate::gateway::{Gateway, Lifecycle};
 use crate::metadata::RequestMetadata;
 use crate::request::{InFlightRequest, RequestParts};
 use crate::response::{GatewayResponse, RequestError, error_response, set_connection_close};
@@ -44,7 +44,7 @@
             res
         }
     };
-    if gw.standing() != Standing::Serving {
+    if gw.lifecycle() != Lifecycle::Serving {
         set_connection_close(&mut res);
     }
     res
@@ -139,7 +139,7 @@
 ) -> Result<(), RequestError> {
     let longest = route.timeout.unwrap_or(Millis(u64::MAX));
     let takes = metadata.timeout.unwrap_or(longest).min(longest);
-    if gw.standing() != Standing::Ending || gw.now().after(takes) < gw.ends_at() {
+    if gw.lifecycle() != Lifecycle::Stopping || gw.now().after(takes) < gw.stop_deadline() {
         return Ok(());
     }
     let failed = RequestError::new(ErrorKind::Stopping, "this process stops");
@@ -163,8 +163,8 @@
     let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let limit = Millis(timeout.0 / CONFIG_WAIT_DIVISOR).min(MAX_CONFIG_WAIT);
     within(limit, async {
-        gw.known().await;
-        gw.marks_known().await;
+        gw.wait_until_configured().await;
+        gw.wait_for_marks().await;
     })
     .await;
     gw.catalog().ok_or_else(|| {
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -87,9 +87,9 @@
 
     /// Waits until a claim is pending or marks are to be written, at most for `limit`.
     pub async fn wait_for_mark_work(&self, limit: Millis) {
-        let moved = self.marks_moved.listen();
+        let changed = self.marks_changed.listen();
         if self.claims.borrow().is_empty() {
-            within(limit, moved).await;
+            within(limit, changed).await;
         }
     }
 
@@ -115,17 +115,17 @@
         marks: Vec<MarkChange>,
     ) {
         let now = self.now();
-        let fleet = self.with_feeds(|feeds| feeds.fleet());
+        let fleet = self.with_feeds(|feeds| feeds.fleet_size());
         let quarantined = self.with_quarantine(|q| match all_of {
             None => q.hear(&marks, now),
-            Some(StoreCopy::Present) => q.hear_all(&marks, now),
+            Some(StoreCopy::Current) => q.hear_all(&marks, now),
             Some(StoreCopy::Older) => q.hear_older_copy(&marks, fleet, now, fastrand::u64(..)),
         });
         self.log_quarantined(&quarantined, None);
         let forwarded = if all_of.is_some() { Vec::new() } else { marks };
-        self.with_feeds(|feeds| feeds.read_marks(began, next, forwarded));
-        self.moved.notify(usize::MAX);
-        self.news.notify(usize::MAX);
+        self.with_feeds(|feeds| feeds.record_marks_read(began, next, forwarded));
+        self.state_changed.notify(usize::MAX);
+        self.gossip_due.notify(usize::MAX);
     }
 
     /// Applies marks that were received from a peer.
@@ -133,7 +133,7 @@
         let quarantined = self.with_quarantine(|q| q.hear(marks, self.now()));
         self.log_quarantined(&quarantined, Some(peer));
         if self.with_quarantine(|q| q.is_urgent()) {
-            self.marks_moved.notify(usize::MAX);
+            self.marks_changed.notify(usize::MAX);
         }
     }
 
@@ -151,7 +151,7 @@
                 self.log_quarantined(&[run.request], None);
             }
         }
-        self.marks_moved.notify(usize::MAX);
+        self.marks_changed.notify(usize::MAX);
     }
 
     /// Records that a server completed a request, which lifts its quarantine.
@@ -159,7 +159,7 @@
         if self.with_quarantine(|q| q.completed(request, self.now())) {
             self.telemetry.count("quarantine.lifted", 1);
             self.telemetry.info("request_cleared", &[("content", &request)]);
-            self.marks_moved.notify(usize::MAX);
+            self.marks_changed.notify(usize::MAX);
         }
     }
 
@@ -180,7 +180,7 @@
         let (result_tx, result_rx): (_, Receiver<bool>) = bounded(1);
         self.with_quarantine(|q| q.claims(request, self.now()));
         self.claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
-        self.marks_moved.notify(usize::MAX);
+        self.marks_changed.notify(usize::MAX);
         let is_granted =
             matches!(within(CLAIM_TIMEOUT.min(patience), result_rx.recv()).await, Some(Ok(true)));
         self.telemetry.info(
@@ -247,7 +247,7 @@
             _ => q.gave_up(self.fingerprint, now),
         });
         if self.gw.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now) {
-            self.gw.marks_moved.notify(usize::MAX);
+            self.gw.marks_changed.notify(usize::MAX);
         }
     }
 }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -14,7 +14,7 @@
 use crate::clock::sleep;
 use crate::request::InFlightRequest;
 use crate::response::{GatewayResponse, boxed_body, forwarded_response};
-use crate::rollouts::Sight;
+use crate::rollouts::AnswerSignal;
 
 /// Chunks between a server and a caller; a slow caller holds its server back.
 const MAX_BUFFERED_CHUNKS: usize = 4;
@@ -137,7 +137,7 @@
                 response.in_flight.record_prefill_done();
                 self.record_survival(response);
                 if let Some(pause) = pace.record_events(whole.count, self.request.gw.now()) {
-                    self.request.record_observation(response, Sight::Pace(pause));
+                    self.request.record_observation(response, AnswerSignal::EventGap(pause));
                 }
             }
             let bytes = if is_resumable { whole.bytes.into() } else { chunk };
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -17,9 +17,9 @@
 use crate::metadata::{RequestMetadata, RequestedModel};
 use crate::quarantine::Trial;
 use crate::response::{GatewayResponse, RequestError, forwarded_response, full_body};
-use crate::rollout_choice::BoundBy;
-use crate::rollouts::{Rollouts, Seen, Sight};
-use crate::session_keepers::KeepersAnswer;
+use crate::rollout_choice::BindingReason;
+use crate::rollouts::{AnswerSample, AnswerSignal, Rollouts};
+use crate::session_keepers::KeepersReply;
 
 /// Failed connection attempts after which a request fails.
 const MAX_CONNECT_FAILURES: u32 = 6;
@@ -50,9 +50,9 @@
     /// The version that it was sent to; the target version if any attempt was sent there.
     pub(crate) sent_arm: Option<Arm>,
     /// Answer of the keepers of its session, if they were asked.
-    pub(crate) keepers_answer: Option<KeepersAnswer>,
+    pub(crate) keepers_answer: Option<KeepersReply>,
     /// The version of its first send, and what bound the request to that version, for the log.
-    pub(crate) first_send: Option<(VersionName, BoundBy)>,
+    pub(crate) first_send: Option<(VersionName, BindingReason)>,
     /// Servers that are not tried again.
     pub(crate) excluded_servers: Vec<BackendId>,
     connect_failures: u32,
@@ -100,7 +100,7 @@
         // After a restart of all processes, hundreds of streams are resumed at once; sending all of them to
         // the largest model kept the engines full for ten seconds.
         let size = is_chosen_here.then_some(0);
-        gw.under_way.set(gw.under_way.get() + 1);
+        gw.in_flight.set(gw.in_flight.get() + 1);
         gw.held_bytes.set(gw.held_bytes.get() + parts.body.len());
         gw.count_request(&service);
         Self {
@@ -157,10 +157,11 @@
     pub(crate) fn record_send(&mut self, server: &BackendServer) {
         self.trial.iter_mut().for_each(Trial::record_send);
         let (bound, sent_arm, now) = (self.bound(), self.sent_arm, self.gw.now());
-        let bound_by = self.gw.with_rollouts(|r| r.bound_by(bound, now));
+        let bound_by = self.gw.with_rollouts(|r| r.binding_reason(bound, now));
         self.first_send.get_or_insert_with(|| (server.version.clone(), bound_by));
         self.record_session_move(server, now);
-        let sent = |r: &mut Rollouts| r.sent(&server.service, &server.version, sent_arm, now);
+        let sent =
+            |r: &mut Rollouts| r.record_send(&server.service, &server.version, sent_arm, now);
         self.sent_arm = self.gw.with_rollouts(sent).or(sent_arm);
     }
 
@@ -245,8 +246,8 @@
     fn accept_response(&mut self, response: &UpstreamResponse) -> bool {
         let is_failure = response.head.status.is_server_error();
         let expected = self.prefill_time(response.size.unwrap_or(0));
-        let first = Sight::FirstByte { took: response.time_to_first_byte, expected };
-        self.record_observation(response, if is_failure { Sight::Failed } else { first });
+        let first = AnswerSignal::FirstByte { took: response.time_to_first_byte, expected };
+        self.record_observation(response, if is_failure { AnswerSignal::Failed } else { first });
         (self.server, self.confidence) =
             (Some(response.server.clone()), response.metadata.confidence);
         self.time_to_first_byte = Some(self.gw.now().since(self.received_at));
@@ -260,7 +261,7 @@
             return true;
         };
         if size == 0 {
-            self.gw.first_try(response.time_to_first_byte, self.route.aim);
+            self.gw.record_first_attempt(response.time_to_first_byte, self.route.aim);
         }
         let own = self.unshared_tokens();
         self.gw.rates.borrow_mut().learn(&self.service, size, own, response.time_to_first_byte);
@@ -292,17 +293,17 @@
         }
     }
 
-    pub(crate) fn record_observation(&self, response: &UpstreamResponse, sight: Sight) {
-        let seen = Seen {
+    pub(crate) fn record_observation(&self, response: &UpstreamResponse, sight: AnswerSignal) {
+        let seen = AnswerSample {
             service: &self.service,
             version: &response.server.version,
             route: &self.route.name,
             size: response.size.unwrap_or(0),
             load: response.load(),
             is_first_half: is_in_first_half(&response.server.id),
-            sight,
+            signal: sight,
         };
-        self.gw.with_rollouts(|r| r.saw_answer(&seen, self.gw.now()));
+        self.gw.with_rollouts(|r| r.record_answer(&seen, self.gw.now()));
     }
 
     /// Buffers the whole response before forwarding it. If it breaks off, the request is retried if that is allowed.
@@ -377,7 +378,7 @@
     ) -> Result<(), RequestError> {
         self.connect_failures += 1;
         self.record_failure(server, Fault::Lost);
-        let fleet = self.gw.with_feeds(|feeds| feeds.fleet());
+        let fleet = self.gw.with_feeds(|feeds| feeds.fleet_size());
         if self.gw.loads.record_connect_failure(server, fleet, self.gw.now()) {
             self.gw.log_unreachable_server(id_hash(&server.id), None);
         }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -14,7 +14,7 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::clock::sleep;
-use crate::gateway::{Gateway, Standing};
+use crate::gateway::{Gateway, Lifecycle};
 use crate::header_timer::HeaderTimer;
 use crate::net::with_timeouts;
 use crate::pipeline::handle_request;
@@ -66,7 +66,7 @@
             Ok::<_, Infallible>(Response::from_parts(head, timer.wrap_body(body)))
         }
     });
-    let is_shutting_down = gw.standing() == Standing::Ending;
+    let is_shutting_down = gw.lifecycle() == Lifecycle::Stopping;
     let conn = http1::Builder::new()
         .keep_alive(!is_shutting_down)
         .timer(SmolTimer::new())
@@ -79,7 +79,7 @@
         if is_shutting_down {
             std::future::pending::<()>().await;
         }
-        gw.ending().await;
+        gw.wait_until_stopping().await;
         None
     };
     let header_timeout = async {
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -10,8 +10,8 @@
 use crate::metadata::RequestedModel;
 use crate::request::InFlightRequest;
 use crate::response::RequestError;
-use crate::rollout_choice::{Bound, BoundBy};
-use crate::session_keepers::KeepersAnswer;
+use crate::rollout_choice::{BindingInputs, BindingReason};
+use crate::session_keepers::KeepersReply;
 
 /// Divisor of the time left that bounds a request's wait for a turn at a cold or limited server, or for the keepers of its
 /// session. The rest is left for the response, or for the caller to retry elsewhere.
@@ -174,7 +174,7 @@
                     |s: &&&BackendServer| r.is_last_resort(&self.service, &s.version);
                 let last_resort_servers: Vec<_> =
                     servers.iter().filter(is_last_resort).copied().collect();
-                let bound_by = r.bound_by(bound, now);
+                let bound_by = r.binding_reason(bound, now);
                 (
                     choice,
                     bound_by,
@@ -201,7 +201,7 @@
             Arm::Current => pool(current_servers),
             Arm::Target => {
                 let target = Pool { lead_count: load_trial, ..pool(target_servers)? };
-                let is_unbound = bound_by == BoundBy::Nothing;
+                let is_unbound = bound_by == BindingReason::Nothing;
                 let may_use_current = target.available.is_empty() && is_unbound;
                 if may_use_current && bound.session.is_some() && self.keepers_answer.is_none() {
                     return Some(PoolChoice::AskKeepers);
@@ -214,18 +214,22 @@
     }
 
     /// Returns the facts that may bind this request to a version.
-    pub(crate) fn bound(&self) -> Bound {
+    pub(crate) fn bound(&self) -> BindingInputs {
         let session = self.metadata.session.as_deref();
         let session =
             session.and_then(|s| self.gw.with_rollouts(|r| r.session_key(&self.service, s)));
-        Bound { reached: self.sent_arm, session, draw: xxh3_64(self.metadata.id.as_bytes()) }
+        BindingInputs {
+            reached: self.sent_arm,
+            session,
+            draw: xxh3_64(self.metadata.id.as_bytes()),
+        }
     }
 
     /// Asks the session's keepers whether it has moved to the new version, and records their answer.
     async fn ask_keepers(&mut self, until: Millis) {
         self.keepers_answer = Some(match self.bound().session {
             Some(session) => self.gw.ask_keepers(session, until).await,
-            None => KeepersAnswer::NotMoved,
+            None => KeepersReply::NotMoved,
         });
     }
 
--- a/gateway/src/server_probe.rs
+++ b/gateway/src/server_probe.rs
@@ -41,7 +41,7 @@
     /// Waits until the server has been probed.
     async fn wait_for_probe(&self, id: &BackendId) {
         loop {
-            let probed = self.looked.listen();
+            let probed = self.server_checked.listen();
             if !self.ends.borrow().is_unseen(id) {
                 return;
             }
@@ -88,7 +88,7 @@
             gw.record_server_end(&server.id);
         }
         gw.ends.borrow_mut().looked_at(&server.id);
-        gw.looked.notify(usize::MAX);
+        gw.server_checked.notify(usize::MAX);
         if is_refused {
             return;
         }
