--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -1,4 +1,4 @@
-//! Backend servers that announce in answers that they are leaving, or request a delay with `Retry-After`.
+//! Backend servers that announce in responses that they are leaving, or request a delay with `Retry-After`.
 
 use std::net::SocketAddr;
 
@@ -8,39 +8,39 @@
 use crate::limits::incarnation_hash;
 
 impl Gateway {
-    /// Records that a server announced in an answer that it is leaving, and queues this for the peers.
+    /// Records that a server announced in a response that it is leaving, and queues notices for the peers.
     pub(crate) fn record_leaving(&self, server: &BackendServer) {
         let hash = incarnation_hash(server);
         if self.insert_leaving(hash) {
-            self.loads.tell_leaving(hash, self.now());
+            self.loads.queue_leaving_notices(hash, self.now());
             self.log_leaving(server, "self".to_owned());
         }
     }
 
-    /// Records that a server announced in an answer to a peer that it is leaving.
-    pub(crate) fn hear_leaving(&self, from: SocketAddr, hash: u64) {
+    /// Records a peer's notice that a server is leaving.
+    pub(crate) fn apply_peer_leaving(&self, peer: SocketAddr, hash: u64) {
         if !self.insert_leaving(hash) {
             return;
         }
         let registry = self.registry.borrow();
         let found = registry.servers(self.now()).find(|s| incarnation_hash(s) == hash);
-        found.iter().for_each(|server| self.log_leaving(server, from.to_string()));
+        found.iter().for_each(|server| self.log_leaving(server, peer.to_string()));
     }
 
     /// Adds a server to those that are leaving and returns whether it is new among them.
     fn insert_leaving(&self, hash: u64) -> bool {
-        let is_new = self.leaving.borrow_mut().record(hash, self.now());
+        let is_new = self.leaving_servers.borrow_mut().record(hash, self.now());
         if is_new {
             // The list cached for other gateways may still contain the server as ready.
-            self.servers_written.take();
+            self.encoded_servers.take();
         }
         is_new
     }
 
-    fn log_leaving(&self, server: &BackendServer, told_by: String) {
+    fn log_leaving(&self, server: &BackendServer, source: String) {
         self.telemetry.info(
             "server_leaving",
-            &[("server", &server.id), ("service", &server.service), ("told_by", &told_by)],
+            &[("server", &server.id), ("service", &server.service), ("told_by", &source)],
         );
     }
 
@@ -56,7 +56,7 @@
 
     /// Returns whether a server has announced that it is leaving.
     pub(crate) fn is_leaving(&self, server: &BackendServer) -> bool {
-        let leaving = self.leaving.borrow();
+        let leaving = self.leaving_servers.borrow();
         !leaving.is_empty() && leaving.contains(incarnation_hash(server))
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Updates the gauges of servers that are leaving or whose requested delay is still in effect.
-    pub fn show_availability(&self) {
+    pub fn update_availability_gauges(&self) {
         let now = self.now();
         let (leaving, delayed) = self.with_registry(|r| {
             let leaving = r.servers(now).filter(|server| self.is_leaving(server)).count();
--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -28,12 +28,12 @@
     }
 
     /// Takes from a server's answer how much longer it is cold.
-    pub(crate) fn heard_cold(&self, server: &BackendServer, left: Millis) {
-        self.with_registry(|r| r.set_cold(&server.id, left, self.now()));
+    pub(crate) fn record_cold(&self, server: &BackendServer, remaining: Millis) {
+        self.with_registry(|r| r.set_cold(&server.id, remaining, self.now()));
     }
 
     /// Shows on the metrics page how many servers are cold.
-    pub fn show_cold(&self) {
+    pub fn update_cold_gauge(&self) {
         let now = self.now();
         let cold = self.with_registry(|r| {
             r.servers(now).filter(|server| self.cold_limit(server, r, now).is_some()).count()
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -17,7 +17,7 @@
     /// Takes all orders to empty failure domains that stand, as a copy of the store has them.
     pub fn replace_evacuations(&self, orders: &[FailureDomain], copy: StoreCopy) {
         let changes = self.with_evacuations(|e, now| match copy {
-            StoreCopy::Present => e.replace(orders, now),
+            StoreCopy::Current => e.replace(orders, now),
             StoreCopy::Older => e.replace_by_copy(orders, now),
         });
         self.log_evacuations(&changes);
@@ -47,13 +47,13 @@
                 .info(event, &[("domain", domain), ("servers", &servers), ("config", &config)]);
         }
         if !changes.is_empty() {
-            self.show_evacuations();
-            self.moved.notify(usize::MAX);
+            self.update_evacuation_gauges();
+            self.state_changed.notify(usize::MAX);
         }
     }
 
     /// Shows on the metrics page how many domains are emptied, and for how long the first of them has been.
-    pub fn show_evacuations(&self) {
+    pub fn update_evacuation_gauges(&self) {
         let evacuations = self.evacuations.borrow();
         let first = evacuations.emptied().map(|(_, since)| since).min();
         let longest = first.map_or(Millis(0), |since| self.now().since(since));
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -6,8 +6,8 @@
 
 use redwingfold_core::{BackendServer, Millis, Registry, RequestRate, ServiceName};
 
-use crate::choice::UpcomingTurns;
 use crate::gateway::Gateway;
+use crate::server_choice::UpcomingTurns;
 
 /// Number of requests waiting for a turn, by service.
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
     }
 
     /// Notes a send to a server.
-    pub(crate) fn sends_to(&self, server: &BackendServer) {
+    pub(crate) fn record_send_turn(&self, server: &BackendServer) {
         let now = self.now();
         let (is_cold, rate) = self.with_registry(|r| {
             (self.cold_limit(server, r, now).is_some(), self.shared_rate(server, r, now))
@@ -94,13 +94,13 @@
     }
 
     /// Notes how many gateways know of each other, this one included.
-    pub(crate) fn saw_fleet(&self, fleet: usize) {
+    pub(crate) fn record_fleet_size(&self, fleet: usize) {
         self.send_turns.borrow_mut().record_fleet(fleet, self.now());
     }
 
     /// Notes that the other gateways could be heard from now on, or that there are none.
-    pub(crate) fn met_others(&self) {
+    pub(crate) fn record_peers_joined(&self) {
         self.send_turns.borrow_mut().start_settling(self.now());
-        self.note_others_known();
+        self.set_peer_discovery_done();
     }
 }
