--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -205,15 +205,15 @@
     ) -> Option<AttemptOutcome> {
         match metadata {
             f if f.id.as_ref().is_some_and(|id| *id != self.metadata.id) => {
-                Some(AttemptOutcome::Lost("response to another request".to_owned()))
+                Some(AttemptOutcome::Lost("answer to another request".to_owned()))
             }
             f if f.is_other_server => Some(AttemptOutcome::OtherServer),
             f if f.is_not_run => Some(AttemptOutcome::NotRun(format!("status {}", head.status))),
             f if head.status.is_success() && !f.is_signed => {
-                Some(AttemptOutcome::Lost("response is not signed".to_owned()))
+                Some(AttemptOutcome::Lost("unsigned answer".to_owned()))
             }
             _ if head.headers.contains_key(CONTENT_ENCODING) => {
-                Some(AttemptOutcome::Lost("response has a content encoding".to_owned()))
+                Some(AttemptOutcome::Lost("encoded answer".to_owned()))
             }
             _ => None,
         }
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -1,19 +1,19 @@
-//! The present, and waiting.
+//! Clock, timeouts and sleep.
 
 use std::time::Duration;
 
 use redwingfold_core::Millis;
 use rustix::time::{ClockId, clock_gettime};
 
-/// A clock that goes on while the host is suspended.
+/// A monotonic clock that includes the time for which the host was suspended.
 ///
-/// The steady clock stands still meanwhile. With it, a request whose caller left during the
-/// suspension would look young, and be sent on for nobody when the host wakes.
+/// `CLOCK_MONOTONIC` stops during a suspension. A request whose caller disconnected meanwhile would appear recent, and be
+/// sent to a server in vain after the host resumes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
 impl Clock {
-    /// Returns the time since the host was started.
+    /// Returns the time since the host was booted.
     ///
     /// ```
     /// let clock = redwingfold_gateway::Clock;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Waits for a future, at most for a span; `None` if the span ended first.
+/// Waits for a future, at most for `limit`; returns `None` on timeout.
 pub(crate) async fn within<T>(limit: Millis, future: impl Future<Output = T>) -> Option<T> {
     let late = async {
         sleep(limit).await;
--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -1,14 +1,14 @@
-//! Backend servers that have just started, as this gateway sees them.
+//! Cold backend servers: those that have just started and accept only a limited request rate.
 
 use redwingfold_core::{BackendServer, ColdLimit, Millis, Registry};
 
 use crate::gateway::Gateway;
 
 impl Gateway {
-    /// Returns what a server bears if it is cold.
+    /// Returns the limit of a server if it is cold.
     ///
-    /// Servers of a domain that was emptied became cold as the order was taken back, or shortly before; their own records
-    /// say so only with the next heartbeat.
+    /// Servers of an evacuated domain are cold when the order is withdrawn, but their records reflect this only with the
+    /// next heartbeat. Until the limit's duration has passed, they count as cold here.
     pub(crate) fn cold_limit(
         &self,
         server: &BackendServer,
@@ -16,7 +16,7 @@
         now: Millis,
     ) -> Option<ColdLimit> {
         let evacuations = self.evacuations.borrow();
-        // Mostly no server is cold, and this is asked of each for every request.
+        // Called for each server on every request; skips the lookups in the common case that no server is cold.
         if !registry.has_cold(now) && !evacuations.has_returned() {
             return None;
         }
@@ -27,12 +27,12 @@
         is_cold.then_some(limit)
     }
 
-    /// Takes from a server's answer how much longer it is cold.
+    /// Records the remaining time for which a server is cold, as reported in its response.
     pub(crate) fn record_cold(&self, server: &BackendServer, remaining: Millis) {
         self.with_registry(|r| r.is_cold(&server.id, remaining, self.now()));
     }
 
-    /// Shows on the metrics page how many servers are cold.
+    /// Updates the gauge of cold servers.
     pub fn update_cold_gauge(&self) {
         let now = self.now();
         let cold = self.with_registry(|r| {
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -1,11 +1,11 @@
-//! Emptying failure domains as the operator orders it.
+//! Evacuation of failure domains by order of the operator.
 
 use redwingfold_core::{EvacuationChange, Evacuations, FailureDomain, Millis};
 
 use crate::gateway::{Gateway, StoreCopy};
 
 impl Gateway {
-    /// Takes the operator's order to empty a failure domain, or that it is taken back.
+    /// Applies the operator's order to evacuate a failure domain, or its withdrawal.
     pub fn order_evacuation(&self, domain: &FailureDomain, is_ordered: bool) {
         let change = self.with_evacuations(|e, now| match is_ordered {
             true => e.order(domain, now),
@@ -14,7 +14,7 @@
         self.log_evacuations(&change.into_iter().collect::<Vec<_>>());
     }
 
-    /// Takes all orders to empty failure domains that stand, as a copy of the store has them.
+    /// Replaces all evacuation orders with those in a copy of the store.
     pub fn replace_evacuations(&self, orders: &[FailureDomain], copy: StoreCopy) {
         let changes = self.with_evacuations(|e, now| match copy {
             StoreCopy::Current => e.replace(orders, now),
@@ -23,7 +23,7 @@
         self.log_evacuations(&changes);
     }
 
-    /// Ends orders that a store from an older copy lacks, and that were not written again.
+    /// Removes orders that were missing after the store was restored from an older copy, and were not written again in time.
     pub fn expire_evacuations(&self) {
         let changes = self.with_evacuations(Evacuations::expire);
         self.log_evacuations(&changes);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Shows on the metrics page how many domains are emptied, and for how long the first of them has been.
+    /// Updates the gauges of the number of evacuated domains and of the longest evacuation in milliseconds.
     pub fn update_evacuation_gauges(&self) {
         let evacuations = self.evacuations.borrow();
         let first = evacuations.emptied().map(|(_, since)| since).min();
--- a/gateway/src/fingerprint.rs
+++ b/gateway/src/fingerprint.rs
@@ -1,11 +1,11 @@
-//! Which requests are the same.
+//! Fingerprints that identify repeated requests.
 
 use http::request::Parts;
 use redwingfold_core::{Customer, Fingerprint};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes what a request asks for and who asks it. Its id, its headers and its customer's key are left out: they
-/// differ between repeats of the same request.
+/// Hashes the request's method, target, body and customer. Its id, headers and API key are excluded, as they may differ
+/// between repeats of the same request.
 pub(crate) fn fingerprint(
     head: &Parts,
     host: &str,
@@ -16,7 +16,7 @@
     let customer = customer.map_or("", |customer| customer.name.as_str());
     let mut hash = Xxh3::new();
     for part in [head.method.as_str(), host, target, customer] {
-        // With its length, so that no two lists of parts are the same bytes.
+        // The length prefix prevents different lists of parts from hashing the same bytes.
         hash.update(&(part.len() as u64).to_be_bytes());
         hash.update(part.as_bytes());
     }
--- a/gateway/src/header_timer.rs
+++ b/gateway/src/header_timer.rs
@@ -1,4 +1,4 @@
-//! How long a caller takes to send the head of a request.
+//! Timeout for receiving the head of a request.
 
 use std::io;
 use std::pin::Pin;
@@ -14,41 +14,41 @@
 use crate::clock::{Clock, sleep};
 use crate::response::ResponseBody;
 
-/// No byte of a further head has come.
+/// No byte of the next head has been received.
 const IDLE: u64 = 0;
 
-/// A request is being answered.
+/// A request is being processed.
 const BUSY: u64 = 1;
 
-/// Added to the time at which a head began, so that it is neither of the above.
+/// Offset added to the start time of a head in milliseconds, so that it differs from `IDLE` and `BUSY`.
 const STARTED: u64 = 2;
 
-/// Where a caller's connection stands.
+/// State of a caller's connection: idle, busy, or receiving a head since some time.
 ///
-/// The parser has one timer for idle connections and heads. With that alone a caller that sends a byte
-/// now and then keeps its connection for as long as an idle one may be kept, and some thousand such
-/// take all that a gateway has. So the head's own time is watched beside it.
+/// The HTTP parser has a single timer for idle connections and heads. With it alone, a caller that sends a byte now and
+/// then keeps its connection for as long as an idle one may be kept, and about a thousand of them exhaust the gateway's
+/// connections. Therefore the head has a separate, shorter timeout.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeaderTimer(Arc<AtomicU64>);
 
 impl HeaderTimer {
     fn record_bytes(&self, now: Millis) {
         let started_at = now.0.saturating_add(STARTED);
-        // Bytes that come while a request is answered belong to it, or to one that has to wait.
+        // Bytes received while a request is processed belong to it, or to a pipelined request that has to wait.
         self.0.compare_exchange(IDLE, started_at, Ordering::Relaxed, Ordering::Relaxed).ok();
     }
 
-    /// Notes that a head has come whole.
+    /// Records that a complete head was received.
     pub(crate) fn record_complete(&self) {
         self.0.store(BUSY, Ordering::Relaxed);
     }
 
-    /// Returns since when a head is on its way.
+    /// Returns when the first byte of an incomplete head was received.
     fn started_at(&self) -> Option<Millis> {
         self.0.load(Ordering::Relaxed).checked_sub(STARTED).map(Millis)
     }
 
-    /// Waits until a head has taken longer than `limit`, up to twice of it.
+    /// Waits until a head has been incomplete for `limit`. Detection takes at most twice as long.
     pub(crate) async fn wait_for_timeout(&self, limit: Millis) {
         loop {
             sleep(limit).await;
@@ -59,18 +59,18 @@
         }
     }
 
-    /// Watches a connection's bytes.
+    /// Wraps a connection to record received bytes.
     pub(crate) fn wrap_stream<S>(&self, inner: S) -> TimedStream<S> {
         TimedStream { inner, timer: self.clone() }
     }
 
-    /// Watches an answer: once it is gone, the next head may come.
+    /// Wraps a response body; when it is dropped, the connection is idle again.
     pub(crate) fn wrap_body(&self, body: ResponseBody) -> TimedBody {
         TimedBody { inner: body, timer: self.clone() }
     }
 }
 
-/// A connection of which it is known when a head begins.
+/// A connection that records when the head of a request starts.
 #[derive(Debug)]
 pub(crate) struct TimedStream<S> {
     inner: S,
@@ -109,7 +109,7 @@
     }
 }
 
-/// The body of an answer, after which the connection is idle.
+/// A response body that marks the connection as idle when dropped.
 pub(crate) struct TimedBody {
     inner: ResponseBody,
     timer: HeaderTimer,
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! Answers HTTP requests from backend servers that it chooses, watches and goes on from.
+//! HTTP gateway that forwards requests to backend servers, monitors these, and resumes broken streams.
 //!
-//! One pipeline: caller, request facts, route and customer, choice of version, model and server,
-//! attempt, relay, caller. What a deployment says on its wire comes in through a [`HeaderCodec`], and
-//! what it believes through [`Gateway`]'s methods; decisions are made in `redwingfold-core`.
+//! A request passes these steps: decoding of its metadata, lookup of route and customer, choice of version, model and
+//! server, attempt, and relay of the response. The headers of a deployment are converted by a [`HeaderCodec`], and its state
+//! is applied through the methods of [`Gateway`]. Decisions are made in `redwingfold-core`.
 
 mod attempt;
 mod availability;
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits of backend servers, as known to this gateway.
+//! Rate limits that backend servers report in responses, shared between gateways.
 
 use std::net::SocketAddr;
 
@@ -15,19 +15,19 @@
 }
 
 impl Gateway {
-    /// Records the limit in a server's answer and queues it for the peers.
+    /// Records the limit in a server's response and queues it for the peers.
     pub(crate) fn record_limit(&self, server: &BackendServer, limit: Option<RequestRate>) {
         let hash = incarnation_hash(server);
         let update = LimitUpdate { limit, reported_at: self.now() };
         let change = self.server_limits.borrow_mut().record(hash, limit, update.reported_at);
-        // Repeated with every answer, so that gateways that have just started or missed a message learn the limit.
+        // Repeated with every response, for gateways that have just started or missed a message.
         if self.server_limits.borrow().has(hash) {
             self.loads.queue_limit(hash, update);
         }
         self.log_limit(server, change, None);
     }
 
-    /// Records the limit in an answer that a peer received.
+    /// Records the limit in a response that a peer received.
     pub(crate) fn apply_peer_limit(&self, peer: SocketAddr, hash: u64, update: LimitUpdate) {
         let change = self.server_limits.borrow_mut().record(hash, update.limit, update.reported_at);
         if change.is_none() {
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -1,11 +1,12 @@
-//! Whether a model's answer is kept, or a larger one is asked.
+//! Decision whether to forward a model's answer or to retry with a larger model.
 
 use redwingfold_core::{Larger, Millis, RepeatUse};
 
 use crate::request::InFlightRequest;
 
 impl InFlightRequest {
-    /// Says whether an answer is kept with a model's confidence in it; if not, a larger model is next.
+    /// Returns whether an answer is accepted with the model's confidence in it. If not, takes a retry from the budget and
+    /// selects a larger model for it.
     pub(crate) fn accept_confidence(&mut self, size: usize, confidence: u8) -> bool {
         match self.last_confidence.replace((size, confidence)) {
             Some(smaller) if smaller.0 < size => {
@@ -24,20 +25,19 @@
         }
     }
 
-    /// Says whether a model's answer is expected to end while its caller still waits.
+    /// Returns whether a model's answer is expected to complete before the deadline.
     ///
-    /// Load pattern: all gateways were lost, and callers come back in one wave when their patience with the
-    /// silent stream has ended, some with a second left. What a larger model begins for these is cut, and it
-    /// keeps the servers from those who can still be served in time.
+    /// After the loss of all gateways, callers resume their broken streams in one wave, some with only a second left. A
+    /// larger model could not complete these in time, and would occupy servers that can still serve others in time.
     fn is_expected_in_time(&self, size: usize) -> bool {
         let usage = self.metadata.usage;
         let whole = self.gw.stream_times.borrow().estimate(&self.service, usage.max_output);
-        // Who comes back has some of the answer: a half, where nothing tells.
+        // A caller that resumes already has an unknown part of the answer; assumes half.
         let rest = if self.metadata.resume_after.is_some() { Millis(whole.0 / 2) } else { whole };
         self.prefill_time(size).after(rest) <= self.time_left()
     }
 
-    /// Chooses the model that should answer instead, if any.
+    /// Selects a larger model for a retry, if one is worth it.
     fn choose_larger(&self, size: usize, confidence: u8) -> Option<usize> {
         let spent = self.gw.now().since(self.received_at);
         let larger: Vec<_> = (size + 1..self.route.sizes.len())
--- a/gateway/src/net.rs
+++ b/gateway/src/net.rs
@@ -1,4 +1,4 @@
-//! Sockets with the timeouts that every connection of ours has.
+//! TCP sockets with the timeouts used for all connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,26 +10,25 @@
 
 use crate::clock::within;
 
-/// Time after which a peer that acknowledges nothing is taken for gone.
+/// Time after which a connection is closed if sent data is not acknowledged.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Silence after which a connection is probed.
+/// Idle time before the first keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Time between probes.
+/// Interval of keepalive probes.
 const KEEPALIVE_EVERY: Duration = Duration::from_secs(1);
 
 /// Sets the timeouts of a connection.
 ///
-/// Something between two hosts may lose track of a connection, or a host its power. Neither end
-/// hears of it, and a request would wait on it until its deadline. Probes show it in about three
-/// seconds.
+/// A middlebox may drop a connection's state, or a host may lose power, without any notice to the other end. A request
+/// would then wait until its deadline; keepalive probes detect the loss in about three seconds.
 ///
 /// # Errors
 ///
-/// If the system refuses an option.
+/// If the operating system rejects an option.
 pub fn with_timeouts(stream: &TcpStream) -> io::Result<()> {
-    // Small writes would wait for the peer's delayed acknowledgement, some 40 ms an event.
+    // With Nagle's algorithm, small writes would wait for the peer's delayed acknowledgement, about 40 ms per event.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -40,11 +39,11 @@
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-/// Connects to an address within a time.
+/// Connects to an address within `limit`.
 ///
 /// # Errors
 ///
-/// If there is no connection by then; nothing was sent.
+/// If connecting fails or times out; nothing was sent.
 pub async fn connect(addr: SocketAddr, limit: Millis) -> io::Result<TcpStream> {
     let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "no connection in time");
     let stream = within(limit, TcpStream::connect(addr)).await.ok_or_else(timed_out)??;
@@ -56,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// If it is taken, or not this host's.
+/// If the address is in use or does not belong to this host.
 pub async fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(addr).await
 }
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its flight: what is refused before any server is chosen.
+//! Admission of requests, before a server is chosen, and their execution.
 
 use std::rc::Rc;
 
@@ -16,22 +16,22 @@
 use crate::request::{InFlightRequest, RequestParts};
 use crate::response::{GatewayResponse, RequestError, error_response, set_connection_close};
 
-/// How long a caller is taken to wait that does not say so.
+/// Assumed timeout of a caller whose request has none.
 const DEFAULT_TIMEOUT: Millis = Millis(10_000);
 
-/// Part of a caller's patience, as a divisor, for which it waits for the first configuration: the
-/// rest is left for a repeat elsewhere.
+/// Divisor of the caller's timeout that bounds its wait for the first configuration. The rest is left for a retry at
+/// another gateway.
 const CONFIG_WAIT_DIVISOR: u64 = 5;
 
-/// Longest wait for the first configuration: a process that has none for longer is cut off, and
-/// its callers are better off elsewhere.
+/// Maximum wait for the first configuration. A process without one for longer is cut off from the store, and its callers
+/// should retry elsewhere.
 const MAX_CONFIG_WAIT: Millis = Millis(4_000);
 
-/// Shortest time until a refused caller should come back; up to twice of it, so that callers do not
-/// return together.
+/// Minimum `Retry-After` of a rejected request. Up to as much again is added at random, so that callers do not all retry
+/// at once.
 const MIN_RETRY_AFTER: Millis = Millis(1_000);
 
-/// Answers a caller's request.
+/// Processes a caller's request and returns the response, including errors.
 pub(crate) async fn handle_request(gw: Rc<Gateway>, req: Request<Incoming>) -> GatewayResponse {
     let answered = Box::pin(process_request(&gw, req)).await;
     let mut res = match answered {
@@ -90,8 +90,8 @@
 
 type Admitted = (Rc<Catalog>, Rc<Route>, Option<Customer>, RequestMetadata, RequestParts);
 
-/// Reads a request and looks at whether it is well-formed and allowed; `id` is set as soon as it is
-/// known.
+/// Reads a request and checks that it is valid and allowed. Sets `id` as soon as the request's id is decoded, so that
+/// rejections are logged with it.
 async fn admit(
     gw: &Rc<Gateway>,
     req: Request<Incoming>,
@@ -105,7 +105,7 @@
     let metadata = (gw.header_codec.decode_request)(&head.headers)
         .map_err(|why| RequestError::new(ErrorKind::BadRequest, why))?;
     id.clone_from(&metadata.id);
-    // Taken anew after the body: a slow sender must not be answered by an old configuration.
+    // Fetched again after the body, so that a slowly sent request is not processed with an outdated configuration.
     let catalog = wait_for_catalog(gw, &metadata).await?;
     let host = head.headers.get(HOST).and_then(|v| v.to_str().ok());
     let host = host.or(head.uri.host()).unwrap_or_default();
@@ -127,11 +127,11 @@
     Ok((catalog, route, customer, metadata, parts))
 }
 
-/// Refuses what might still run when this process ends.
+/// Rejects requests that might still run when this process exits.
 ///
-/// Load pattern: the entries are restarted one after the other, faster than each ends, and callers
-/// reach only ones that stop. A closed listener would take the one repeat that a caller has; told
-/// when to come back, it meets one that is up again.
+/// During a rolling restart that is faster than the shutdown of each gateway, callers may reach only gateways that are
+/// shutting down. A closed listener would cost a caller its only retry; with `Retry-After`, it reaches a gateway that has
+/// restarted.
 fn check_shutdown(
     gw: &Gateway,
     route: &Route,
@@ -146,16 +146,16 @@
     Err(RequestError { retry_after: Some(random_retry_after()), ..failed })
 }
 
-/// Returns a time to come back that spreads callers.
+/// Returns a random `Retry-After`, which spreads the callers' retries.
 fn random_retry_after() -> Millis {
     MIN_RETRY_AFTER.after(Millis(fastrand::u64(0..MIN_RETRY_AFTER.0)))
 }
 
-/// Returns the configuration in force; waits for the first one.
+/// Returns the current configuration, waiting for the first one if necessary.
 ///
-/// Load pattern: all processes are killed at once, and their callers come back before the store has
-/// answered. Refused at once, each would spend the one repeat that it has on a process that knows
-/// nothing; most are served if they wait a moment.
+/// When all processes are killed at once, callers retry before the restarted ones have read the store. Rejected
+/// immediately, each caller would spend its only retry on a process without a configuration; after a short wait, most are
+/// served.
 async fn wait_for_catalog(
     gw: &Gateway,
     metadata: &RequestMetadata,
@@ -186,10 +186,10 @@
     found.cloned().map(Some).ok_or_else(none)
 }
 
-/// Refuses requests whose end two readers could see in different places.
+/// Rejects requests with ambiguous framing, which allow request smuggling.
 ///
-/// A request that hides in the body of another would run without its customer's key being looked
-/// at. The parser below refuses most such heads; a length together with chunks it lets pass.
+/// A request smuggled in the body of another one would run without a check of its API key. The HTTP parser rejects most
+/// such heads, but accepts `Content-Length` together with `Transfer-Encoding`.
 fn check_framing(headers: &HeaderMap) -> Result<(), RequestError> {
     let bad = |why: &str| Err(RequestError::new(ErrorKind::BadRequest, why));
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on, and going on with it at another server when it breaks.
+//! Forwards a streamed response, and resumes it at another server when it breaks off.
 
 use std::io;
 use std::pin::Pin;
@@ -16,13 +16,13 @@
 use crate::response::{GatewayResponse, boxed_body, forwarded_response};
 use crate::rollouts::AnswerSignal;
 
-/// Chunks between a server and a caller; a slow caller holds its server back.
+/// Capacity of the buffer between server and caller; a full one applies backpressure to the server.
 const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// Time after which a stream has run on: servers that end under a request do so within a few tenths of a second.
+/// Duration of a stream that shows that the request does not terminate servers; those that do take a few tenths of a second.
 const SURVIVAL_TIME: Millis = Millis(500);
 
-/// Begins to pass a stream on; the rest goes on in a task of its own.
+/// Starts forwarding a stream in a separate task, and returns the response for the caller.
 pub(crate) fn start(request: InFlightRequest, response: Box<UpstreamResponse>) -> GatewayResponse {
     let (tx, rx) = bounded(MAX_BUFFERED_CHUNKS);
     let res = forwarded_response(&response, boxed_body(ChannelBody { rx: Box::pin(rx) }));
@@ -41,23 +41,23 @@
     request: InFlightRequest,
     events: EventSplitter,
     tx: Sender<io::Result<Bytes>>,
-    /// Whether going on at another server is paid for already.
+    /// Whether a retry has already been taken from the budget.
     is_retry_budgeted: bool,
-    /// When the last event was passed on.
+    /// When the last event was received.
     last_event_at: Option<Millis>,
 }
 
 /// How a stream ended.
 enum StreamEnd {
-    /// The caller has gone.
+    /// The caller disconnected.
     CallerGone,
-    /// All of it was passed on.
+    /// The whole stream was forwarded.
     Complete,
-    /// It could not be finished.
+    /// The stream broke off and could not be resumed.
     Cut(String),
 }
 
-/// What happens next in a stream.
+/// The next event in the relay of a stream.
 enum RelayStep {
     CallerGone,
     Deadline,
@@ -73,7 +73,7 @@
                 Err(why) => why,
             };
             self.request.record_broken_response(&response, &why).await;
-            // Dropped first: two servers must not work on one stream.
+            // Dropped before the next attempt, so that two servers never work on the same stream.
             drop(response);
             self.events.drop_piece();
             if !std::mem::take(&mut self.is_retry_budgeted) && !self.request.try_retry() {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Passes on what one server sends; `Err` if it broke off and another may go on.
+    /// Forwards the response of one server; `Err` if it broke off and may be resumed at another server.
     async fn forward(&mut self, response: &mut UpstreamResponse) -> Result<StreamEnd, String> {
         let is_resumable = self.request.route.stream.is_some_and(|s| s.resumable);
         let mut pace = Pace::default();
@@ -114,7 +114,7 @@
             let chunk = match self.next_step(response).await {
                 RelayStep::CallerGone => return Ok(StreamEnd::CallerGone),
                 RelayStep::Deadline => return Ok(StreamEnd::Cut("deadline".to_owned())),
-                // Silence alone ends nothing: only if another server may be asked.
+                // A silent server is given up only if a retry is allowed.
                 RelayStep::Silent if self.request.try_retry() => {
                     self.is_retry_budgeted = true;
                     return Err("silent".to_owned());
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Notes that a server has run the request for so long that it is most likely not one under which servers end.
+    /// Records that a server has run the request for so long that it is unlikely to terminate servers.
     fn record_survival(&self, response: &UpstreamResponse) {
         let (request, now) = (&self.request, self.request.gw.now());
         if now.since(response.sent_at.after(response.time_to_first_byte)) >= SURVIVAL_TIME {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Counts events for the request's log line: a pause is what makes a stream late that began in time.
+    /// Counts events and pauses for the request's log line, as a long pause makes a stream late that began in time.
     fn record_events(&mut self, count: usize) {
         let now = self.request.gw.now();
         let pause = self.last_event_at.map_or(Millis(0), |at| now.since(at));
@@ -191,7 +191,7 @@
             .await
     }
 
-    /// Learns how long a stream takes that ran without a break from its first event on.
+    /// Records the duration of a stream from its first byte, unless it resumed an earlier one.
     fn record_stream_duration(&self) {
         let request = &self.request;
         let first = match request.time_to_first_byte {
@@ -220,11 +220,11 @@
     }
 }
 
-/// Events after which the pace of a stream is known: later ones would tell of a slow version only
-/// after it has had many requests more.
+/// Number of events over which the pace of a stream is measured. With more, a slow version would be detected only after it
+/// has received many more requests.
 const PACE_EVENTS: usize = 5;
 
-/// The pace of a stream, measured once over its first events.
+/// Measures the mean interval between the first events of a stream.
 #[derive(Debug, Default)]
 struct Pace {
     first: Option<Millis>,
@@ -233,7 +233,7 @@
 }
 
 impl Pace {
-    /// Counts events, and returns the mean pause once enough have come.
+    /// Counts events, and returns the mean interval once, when enough events were received.
     fn record_events(&mut self, count: usize, now: Millis) -> Option<Millis> {
         let first = *self.first.get_or_insert(now);
         self.count += count;
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -216,7 +216,7 @@
                     // The attempt did not reach the server that it was meant for.
                     self.sends -= 1;
                     self.gw.with_registry(|r| r.forget(&server.id));
-                    self.record_refusal(&server, "the address belongs to another server now")?;
+                    self.record_refusal(&server, "the address has another server now")?;
                 }
                 AttemptOutcome::NotRun(why) => {
                     self.run_state = run_before;
@@ -342,7 +342,7 @@
                 Some(BodyRead::End) => return Ok(bytes.into()),
                 Some(BodyRead::Broken(why)) => return Err(why),
                 Some(BodyRead::Chunk(chunk)) if bytes.len() + chunk.len() > max => {
-                    return Err(format!("response is larger than {max} bytes"));
+                    return Err(format!("an answer of more than {max} bytes"));
                 }
                 Some(BodyRead::Chunk(chunk)) => bytes.extend_from_slice(&chunk),
             }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Accepting callers, and the pages that a process shows of itself.
+//! HTTP servers for callers and for internal pages.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -20,17 +20,17 @@
 use crate::pipeline::handle_request;
 use crate::response::{GatewayResponse, text_response};
 
-/// Pause after a failed accept: out of descriptors, most likely, until some are closed.
+/// Delay after a failed accept, most likely because file descriptors are exhausted until some are closed.
 const ACCEPT_RETRY_DELAY: Millis = Millis(10);
 
-/// Time for which a connection may be idle beyond what callers are told: one that sends at the
-/// last moment must not meet a closed connection.
+/// Time added to the documented idle timeout, so that a caller that sends at the last moment does not reach a closed
+/// connection.
 const IDLE_TIMEOUT_MARGIN: Millis = Millis(1_000);
 
-/// Smallest buffer for heads that the HTTP library takes.
+/// Minimum size of the header buffer that the HTTP library accepts.
 const MIN_HEADER_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Serves callers until the caller drops the future.
+/// Accepts and serves callers' connections until the returned future is dropped.
 pub async fn serve_callers(gw: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -75,7 +75,7 @@
         .serve_connection(FuturesIo::new(timer.wrap_stream(stream)), service);
     let mut conn = pin!(conn);
     let shutdown = async {
-        // A connection that came while the process ends is for one request, and stays for it.
+        // A connection accepted during shutdown has no keep-alive, and stays open for its only request.
         if is_shutting_down {
             std::future::pending::<()>().await;
         }
@@ -107,8 +107,8 @@
     }
 }
 
-/// Serves pages on at most `max` connections at a time: `page` makes the answer to a target, or says that there
-/// is none. One connection more is closed at once.
+/// Serves pages on at most `max` concurrent connections; further ones are closed immediately. `page` returns the response
+/// for a URI, or `None` for status 404.
 pub async fn serve_pages(
     gw: Rc<Gateway>,
     listener: TcpListener,
@@ -138,7 +138,7 @@
                 std::future::ready(Ok::<_, Infallible>(res))
             });
             let conn = http1::Builder::new().serve_connection(FuturesIo::new(stream), service);
-            // Whoever asked for the page sees that it did not come.
+            // An error needs no handling here, as the client notices that its request failed.
             conn.await.ok();
             drop(open_guard);
         });
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers, as it comes from the store and from other gateways.
+//! Updates of the list of backend servers from the store and from other gateways.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::load::id_hash;
 
 impl Gateway {
-    /// Takes a backend server's record.
+    /// Adds or updates a backend server.
     pub fn put_server(&self, server: BackendServer) {
         let now = self.now();
         let known = self.registry.borrow().get(&server.id).cloned();
@@ -34,21 +34,21 @@
         }
     }
 
-    /// Forgets what is believed of a server's earlier start.
+    /// Discards the load and health of a server's previous incarnation, and records that it ended.
     fn reset_restarted_server(&self, id: &BackendId) {
         self.loads.forget(id);
         self.record_server_end(id);
         self.telemetry.info("server_restarted", &[("server", id)]);
     }
 
-    /// Takes the removal of a backend server's record.
+    /// Removes a backend server whose record was removed.
     pub fn remove_server(&self, id: &BackendId) {
         self.telemetry.info("server_removed", &[("server", id)]);
         self.record_server_lapse(id);
         self.registry.borrow_mut().remove(id, self.now());
     }
 
-    /// Takes changes in the list of backend servers.
+    /// Applies changes in the list of backend servers.
     pub fn apply_server_changes(&self, changes: Vec<ServerChange>) {
         for change in changes {
             match change {
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Returns what of some records is new to this gateway.
+    /// Returns those of the changes that this gateway has not applied yet.
     pub fn retain_new_changes(&self, changes: Vec<ServerChange>) -> Vec<ServerChange> {
         let (registry, now) = (self.registry.borrow(), self.now());
-        // A server that lapsed and registered again is known as it was, but its removal comes first.
+        // A server that was removed and registered again with the same record must be kept, as its removal is applied first.
         let mut changed = HashSet::new();
         let is_new = |change: &ServerChange| match change {
             ServerChange::Removed(id) => {
@@ -79,7 +79,7 @@
         changes.into_iter().filter(is_new).collect()
     }
 
-    /// Takes the whole list of backend servers, as the store knows it.
+    /// Replaces the list of backend servers with that of the store.
     pub fn replace_servers(&self, servers: Vec<BackendServer>, copy: StoreCopy) {
         let now = self.now();
         self.record_listed_versions(&servers);
@@ -90,7 +90,7 @@
         self.finish_list_update(&restarted);
     }
 
-    /// Takes the list of backend servers that another gateway passes on, as of a time.
+    /// Replaces the list of backend servers with that of another gateway, as of `as_of`.
     pub(crate) fn replace_servers_from_peer(&self, list: PassedServers, as_of: Millis) {
         self.record_listed_versions(&list.servers);
         let restarted = self.registry.borrow_mut().replace_by_passed(list, as_of, self.now());
@@ -112,12 +112,12 @@
         self.state_changed.notify(usize::MAX);
     }
 
-    /// Notes that the store that lists the servers was in trouble.
+    /// Records that the store was unavailable or restored, so that it may list fewer servers than are running.
     pub fn record_store_outage(&self) {
         self.registry.borrow_mut().store_was_away(self.now());
     }
 
-    /// Forgets servers whose grace has ended.
+    /// Removes servers whose grace period has expired.
     pub fn expire_servers(&self) {
         for id in self.registry.borrow_mut().expire(self.now()) {
             self.loads.forget(&id);
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Logs that a server is left out because gateways could not reach it, this one the last or another.
+    /// Logs that a server is excluded because gateways failed to connect to it; `source` is the peer that reported the last
+    /// failure, or `None` for this gateway.
     pub(crate) fn log_unreachable_server(&self, server: u32, source: Option<SocketAddr>) {
         self.telemetry.count("servers.unreached", 1);
         let registry = self.registry.borrow();
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -7,53 +7,54 @@
 
 use crate::feeds::FeedPeriods;
 
-/// What a gateway is told at its start.
+/// Settings of a gateway, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Connections from callers at a time.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Bytes of request bodies that are held at a time.
+    /// Maximum total size of request bodies in memory, in bytes.
     pub max_request_body_bytes: usize,
-    /// Second sends for each request.
+    /// Maximum ratio of retries to requests.
     pub retry_ratio: f64,
-    /// Second sends for each request that may go to larger models.
+    /// Maximum ratio of retries to requests up to which retries may be used for larger models.
     pub larger_model_ratio: f64,
-    /// Second sends that are allowed without requests.
+    /// Number of retries that are allowed in addition to the ratio.
     pub retry_reserve: f64,
-    /// Window of the budget of second sends.
+    /// Time window of the retry budget.
     pub retry_window: Millis,
-    /// How long a session's version is remembered after its last request.
+    /// Time for which a session's version is retained after its last request.
     pub session_retention: Millis,
-    /// Longest time within which a connection to a backend server must stand.
+    /// Maximum timeout of connecting to a backend server.
     pub connect_timeout: Millis,
-    /// Bytes of a whole answer that are held back until it is complete.
+    /// Maximum size of a response that is buffered before it is forwarded, in bytes; the limit on request bodies applies if
+    /// it is larger.
     pub max_buffered_response_bytes: usize,
-    /// How roll-outs go on.
+    /// Policy of rollouts.
     pub canary: CanaryPolicy,
-    /// When servers are left out.
+    /// Policy for excluding unhealthy servers.
     pub health: HealthPolicy,
-    /// How servers are chosen.
+    /// Policy for choosing servers.
     pub placement: PlacementPolicy,
-    /// When requests are kept from servers that end under them.
+    /// Policy for quarantining requests that terminate servers.
     pub quarantine: QuarantinePolicy,
-    /// When silent servers are given up.
+    /// Policy for giving up silent servers.
     pub silence: SilencePolicy,
-    /// When larger models are asked.
+    /// Policy for retries with larger models.
     pub sizes: SizePolicy,
-    /// How requests are ranked at servers.
+    /// Policy for the priority of requests at servers.
     pub urgency: UrgencyPolicy,
-    /// How much cold servers get.
+    /// Policy for the request rate of cold servers.
     pub cold: ColdPolicy,
-    /// Bounds on requests to servers that report a limit.
+    /// Policy for the request rate of servers that report a limit.
     pub limits: LimitPolicy,
-    /// How often the store's feeds are read.
+    /// Periods of reading the store's feeds.
     pub feeds: FeedPeriods,
-    /// Bytes of the operator's newest records that are taken from another gateway.
+    /// Maximum size of the operator's records fetched from another gateway, in bytes.
     pub max_orders_bytes: usize,
 }
 
 impl Default for GatewaySettings {
-    /// Figures for where the platform names none.
+    /// Returns the defaults for settings that the platform does not set.
     ///
     /// ```
     /// use redwingfold_gateway::GatewaySettings;
@@ -69,8 +70,8 @@
             retry_reserve: 2.0,
             retry_window: Millis(10_000),
             session_retention: Millis(10_000),
-            // Round trips within a region take a few milliseconds; a lost first packet comes again
-            // after a second, which is too long for most calls.
+            // Round trips within a region take a few milliseconds. The kernel retransmits a lost SYN only after a
+            // second, which is too long for most calls.
             connect_timeout: Millis(250),
             max_buffered_response_bytes: 256 * 1024,
             canary: CanaryPolicy::default(),
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -60,7 +60,7 @@
         Some(UpcomingTurns { wait, rate: own_rate.unwrap_or_default() })
     }
 
-    /// Notes a send to a server.
+    /// Counts a send to a server, which takes a turn if the server is cold or limited.
     pub(crate) fn record_send_turn(&self, server: &BackendServer) {
         let now = self.now();
         let (is_cold, rate) = self.with_registry(|r| {
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Notes how many gateways know of each other, this one included.
+    /// Records the number of gateways in the fleet, including this one.
     pub(crate) fn record_fleet_size(&self, fleet: usize) {
         self.send_turns.borrow_mut().saw_fleet(fleet, self.now());
     }
 
-    /// Notes that the other gateways could be heard from now on, or that there are none.
+    /// Records that this gateway receives messages from its peers from now on, or has none.
     pub(crate) fn record_peers_joined(&self) {
         self.send_turns.borrow_mut().met(self.now());
         self.set_peer_discovery_done();
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls to HTTP servers, each on a connection of its own unless it is kept by hand.
+//! HTTP client connections. There is no pool; callers keep a connection if they reuse it.
 
 use std::fmt;
 use std::io;
@@ -17,14 +17,14 @@
 use crate::clock::{Clock, within};
 use crate::net::connect;
 
-/// Why a call has no answer.
+/// Error of a call without a complete response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection could be made: the server has not received the call.
+    /// No connection was established, so the server has not received the request.
     Unreachable(io::Error),
-    /// The server may have received the call, and said nothing more for as long as was waited.
+    /// The server may have received the request, and sent nothing for the maximum silence.
     Silent(String),
-    /// The server may have received the call; its answer is not known.
+    /// The server may have received the request, but there is no complete response.
     Unknown(String),
 }
 
@@ -40,27 +40,27 @@
 impl std::error::Error for CallError {}
 
 impl CallError {
-    /// Says whether nobody listens at the server's address.
+    /// Returns whether the connection was refused, as no process listens at the address.
     pub(crate) fn is_refused(&self) -> bool {
         matches!(self, Self::Unreachable(e) if e.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Says whether a connection did not come in time.
+    /// Returns whether connecting timed out.
     pub(crate) fn is_timeout(&self) -> bool {
         matches!(self, Self::Unreachable(e) if e.kind() == io::ErrorKind::TimedOut)
     }
 }
 
-/// A connection to a server. Dropping it closes it, which stops what the server does for it.
+/// A connection to a server. Dropping it closes it, which makes the server stop working on its request.
 #[derive(Debug)]
 pub struct HttpConnection {
     tx: SendRequest<Full<Bytes>>,
-    /// Drives the connection; it ends when this is dropped.
+    /// Task that drives the connection; dropping it closes the connection.
     _conn: Task<()>,
 }
 
 impl HttpConnection {
-    /// Connects.
+    /// Connects to `addr` within `limit`.
     ///
     /// # Errors
     ///
@@ -74,13 +74,13 @@
         let made = http1::Builder::new().handshake(FuturesIo::new(stream)).await;
         let (tx, conn) = made.map_err(|e| CallError::Unreachable(io::Error::other(e)))?;
         let driven = async move {
-            // What ends the connection is seen by the call that it carries.
+            // Errors are returned by the request on this connection.
             conn.await.ok();
         };
         Ok(Self { tx, _conn: executor.spawn(driven) })
     }
 
-    /// Sends a request and returns the answer's head, its body unread.
+    /// Sends a request and returns the response with its body unread.
     ///
     /// # Errors
     ///
@@ -92,12 +92,13 @@
         self.tx.send_request(req).await.map_err(|e| CallError::Unknown(error_chain(&e)))
     }
 
-    /// Sends a request and returns the answer as it begins; its body may have up to `max` bytes.
+    /// Sends a request and returns a reader for the response, whose body may have up to `max` bytes and pause for up to
+    /// `silence`.
     ///
     /// # Errors
     ///
-    /// [`CallError::Silent`] if nothing came for a span, else [`CallError::Unknown`]: the server may have
-    /// received it.
+    /// [`CallError::Silent`] if nothing was received for `silence`, else [`CallError::Unknown`]: the server may have
+    /// received the request.
     pub async fn send_and_read(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -122,19 +123,19 @@
     }
 }
 
-/// An answer whose body is being read.
+/// Reads the body of a response.
 ///
-/// It may take as long as its bytes need, as long as some come: see [`redwingfold_core::Patience`].
+/// There is no limit on the total time, only on the time without any bytes: see [`redwingfold_core::Patience`].
 #[derive(Debug)]
 pub struct ResponseReader {
     head: response::Parts,
     body: Incoming,
     buf: BytesMut,
-    /// Length that the head names.
+    /// Length of the body, if the head declares it.
     content_length: Option<u64>,
     max: usize,
     silence: Millis,
-    /// The longest silence so far.
+    /// The longest time without any bytes so far.
     longest: Millis,
 }
 
@@ -149,21 +150,22 @@
         &self.head.headers
     }
 
-    /// Returns the length of the body, if the head names it.
+    /// Returns the length of the body in bytes, if the head declares it.
     pub fn content_length(&self) -> Option<u64> {
         self.content_length
     }
 
-    /// Returns the longest silence before the answer and within it.
+    /// Returns the longest time without any bytes, before or within the response.
     pub fn longest_silence(&self) -> Millis {
         self.longest
     }
 
-    /// Reads on until the body has a length or ends, and returns what there is of it.
+    /// Reads until `len` bytes are buffered or the body ends, and returns the buffered bytes.
     ///
     /// # Errors
     ///
-    /// [`CallError::Silent`] if nothing came for a span; [`CallError::Unknown`] if it broke off or is too long.
+    /// [`CallError::Silent`] if nothing was received for the maximum silence; [`CallError::Unknown`] if the body broke off or
+    /// is too long.
     pub async fn read_until(&mut self, len: usize) -> Result<&[u8], CallError> {
         while self.buf.len() < len && self.read_frame().await? {}
         Ok(&self.buf)
@@ -195,13 +197,15 @@
                 self.buf.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
                 match self.buf.len() > self.max {
                     false => Ok(true),
-                    true => Err(CallError::Unknown(format!("longer than {} bytes", self.max))),
+                    true => {
+                        Err(CallError::Unknown(format!("body is longer than {} bytes", self.max)))
+                    }
                 }
             }
         }
     }
 
-    /// Says how much has come: who looks at a failed call sees whether nothing did, or too slowly.
+    /// Describes how much was received, so that an error shows whether the server sent nothing or was too slow.
     fn progress(&self) -> String {
         match self.content_length {
             Some(content_length) => format!("{} of {content_length} bytes", self.buf.len()),
@@ -210,7 +214,7 @@
     }
 }
 
-/// Writes an error with its causes.
+/// Formats an error with its sources.
 pub(crate) fn error_chain(e: &dyn std::error::Error) -> String {
     let mut text = e.to_string();
     let mut cause = e.source();
