--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -57,11 +57,11 @@
 
 impl UpstreamResponse {
     /// Returns the number of running and waiting requests per slot that the server reported; 0 if it reported none.
-    pub(crate) fn load(&self) -> f64 {
-        let of = |load: ReportedLoad| {
+    pub(crate) fn load_per_slot(&self) -> f64 {
+        let per_slot = |load: ReportedLoad| {
             f64::from(load.running + load.waiting) / f64::from(load.slots.max(1))
         };
-        self.metadata.load.map_or(0.0, of)
+        self.metadata.load.map_or(0.0, per_slot)
     }
 
     /// Reads the next chunk of the body.
--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the rest of the delay that a server requested, or zero if none is in effect.
-    pub(crate) fn retry_after_left(&self, server: &BackendServer, now: Millis) -> Millis {
+    pub(crate) fn retry_after_remaining(&self, server: &BackendServer, now: Millis) -> Millis {
         let times = self.retry_after.borrow();
         if times.is_empty() { Millis(0) } else { times.left(incarnation_hash(server), now) }
     }
@@ -71,7 +71,7 @@
         if self.is_leaving(server) {
             self.telemetry.count("leaving.sent", 1);
         }
-        if self.retry_after_left(server, self.now()) > Millis(0) {
+        if self.retry_after_remaining(server, self.now()) > Millis(0) {
             self.telemetry.count("rest.sent", 1);
         }
     }
@@ -82,7 +82,7 @@
         let (leaving, delayed) = self.with_registry(|r| {
             let leaving = r.servers(now).filter(|server| self.is_leaving(server)).count();
             let is_delayed =
-                |server: &&BackendServer| self.retry_after_left(server, now) > Millis(0);
+                |server: &&BackendServer| self.retry_after_remaining(server, now) > Millis(0);
             (leaving, r.servers(now).filter(is_delayed).count())
         });
         self.telemetry.gauge("servers.leaving", leaving as u64);
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -27,11 +27,11 @@
 
 /// Waits for a future, at most for `limit`; returns `None` on timeout.
 pub(crate) async fn within<T>(limit: Millis, future: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timeout = async {
         sleep(limit).await;
         None
     };
-    smol::future::or(async { Some(future.await) }, late).await
+    smol::future::or(async { Some(future.await) }, timeout).await
 }
 
 pub(crate) async fn sleep(span: Millis) {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -56,7 +56,7 @@
     AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
     ResponseMetadata, Usage,
 };
-pub use net::{bind, connect, with_timeouts};
+pub use net::{bind, connect, set_socket_options};
 pub use peer_table::PeerTable;
 pub use quarantine::TrialClaim;
 pub use response::{GatewayResponse, ResponseBody, text_response};
--- a/gateway/src/net.rs
+++ b/gateway/src/net.rs
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// If the operating system rejects an option.
-pub fn with_timeouts(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     // With Nagle's algorithm, small writes would wait for the peer's delayed acknowledgement, about 40 ms per event.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -47,7 +47,7 @@
 pub async fn connect(addr: SocketAddr, limit: Millis) -> io::Result<TcpStream> {
     let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "no connection in time");
     let stream = within(limit, TcpStream::connect(addr)).await.ok_or_else(timed_out)??;
-    with_timeouts(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -173,7 +173,7 @@
     }
 
     /// Queues a claim to a trial and waits for its result; the store grants each trial to one gateway.
-    async fn claim_trial(&self, request: Fingerprint, trial: u8, patience: Millis) -> bool {
+    async fn claim_trial(&self, request: Fingerprint, trial: u8, time_left: Millis) -> bool {
         if self.claims.borrow().len() >= MAX_PENDING_CLAIMS {
             return false;
         }
@@ -182,7 +182,7 @@
         self.claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
         self.marks_changed.notify(usize::MAX);
         let is_granted =
-            matches!(within(CLAIM_TIMEOUT.min(patience), result_rx.recv()).await, Some(Ok(true)));
+            matches!(within(CLAIM_TIMEOUT.min(time_left), result_rx.recv()).await, Some(Ok(true)));
         self.telemetry.info(
             "trial_claimed",
             &[("content", &request), ("trial", &trial), ("granted", &is_granted)],
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -50,7 +50,7 @@
     /// The version that it was sent to; the target version if any attempt was sent there.
     pub(crate) sent_arm: Option<Arm>,
     /// Answer of the keepers of its session, if they were asked.
-    pub(crate) keepers_answer: Option<KeepersReply>,
+    pub(crate) keepers_reply: Option<KeepersReply>,
     /// The version of its first send, and what bound the request to that version, for the log.
     pub(crate) first_send: Option<(VersionName, BindingReason)>,
     /// Servers that are not tried again.
@@ -121,7 +121,7 @@
             run_state: RunState::NotRun,
             sends: 0,
             sent_arm: None,
-            keepers_answer: None,
+            keepers_reply: None,
             first_send: None,
             excluded_servers: Vec::new(),
             connect_failures: 0,
@@ -156,7 +156,7 @@
     /// Records a send to a server for the service's rollout.
     pub(crate) fn record_send(&mut self, server: &BackendServer) {
         self.trial.iter_mut().for_each(Trial::record_send);
-        let (bound, sent_arm, now) = (self.bound(), self.sent_arm, self.gw.now());
+        let (bound, sent_arm, now) = (self.binding_inputs(), self.sent_arm, self.gw.now());
         let bound_by = self.gw.with_rollouts(|r| r.binding_reason(bound, now));
         self.first_send.get_or_insert_with(|| (server.version.clone(), bound_by));
         self.record_session_move(server, now);
@@ -171,7 +171,7 @@
     pub(crate) fn record_session_move(&self, server: &BackendServer, now: Millis) {
         let moves =
             self.gw.with_rollouts(|r| r.moves_session(&server.service, &server.version, now));
-        if let (true, Some(session)) = (moves, self.bound().session) {
+        if let (true, Some(session)) = (moves, self.binding_inputs().session) {
             self.gw.session_moved(session);
         }
     }
@@ -252,7 +252,7 @@
             (Some(response.server.clone()), response.metadata.confidence);
         self.time_to_first_byte = Some(self.gw.now().since(self.received_at));
         if is_failure {
-            self.log_failure(response);
+            self.log_error_response(response);
             self.record_failure(&response.server, Fault::Answered);
             return !self.try_retry();
         }
@@ -293,17 +293,17 @@
         }
     }
 
-    pub(crate) fn record_observation(&self, response: &UpstreamResponse, sight: AnswerSignal) {
-        let seen = AnswerSample {
+    pub(crate) fn record_observation(&self, response: &UpstreamResponse, signal: AnswerSignal) {
+        let sample = AnswerSample {
             service: &self.service,
             version: &response.server.version,
             route: &self.route.name,
             size: response.size.unwrap_or(0),
-            load: response.load(),
+            load: response.load_per_slot(),
             is_first_half: is_in_first_half(&response.server.id),
-            signal: sight,
+            signal,
         };
-        self.gw.with_rollouts(|r| r.record_answer(&seen, self.gw.now()));
+        self.gw.with_rollouts(|r| r.record_answer(&sample, self.gw.now()));
     }
 
     /// Buffers the whole response before forwarding it. If it breaks off, the request is retried if that is allowed.
@@ -420,7 +420,7 @@
 
     /// Records that a response broke off after its head.
     pub(crate) async fn record_broken_response(&mut self, response: &UpstreamResponse, why: &str) {
-        self.log_broken(&response.server, why);
+        self.log_broken_response(&response.server, why);
         self.record_failure(&response.server, Fault::Lost);
         self.record_broken_run(&response.server, response.sent_at).await;
     }
--- a/gateway/src/request_log.rs
+++ b/gateway/src/request_log.rs
@@ -33,7 +33,7 @@
     }
 
     /// Logs a response with an error status, and the load that the server reported with it.
-    pub(crate) fn log_failure(&self, response: &UpstreamResponse) {
+    pub(crate) fn log_error_response(&self, response: &UpstreamResponse) {
         let load = response.metadata.load.unwrap_or_default();
         self.gw.telemetry.count("attempt.failure", 1);
         self.gw.telemetry.info(
@@ -53,7 +53,7 @@
     }
 
     /// Logs a response that broke off after its head.
-    pub(crate) fn log_broken(&self, server: &BackendServer, why: &str) {
+    pub(crate) fn log_broken_response(&self, server: &BackendServer, why: &str) {
         self.gw.telemetry.count("attempt.broken", 1);
         self.gw.telemetry.info(
             "answer_broken",
@@ -116,7 +116,7 @@
             Some((version, bound_by)) => (version.as_str(), bound_by.to_string()),
             None => ("", String::new()),
         };
-        let keepers = self.keepers_answer.map_or_else(String::new, |answer| answer.to_string());
+        let keepers = self.keepers_reply.map_or_else(String::new, |answer| answer.to_string());
         let resumed = self.metadata.resume_after.map_or_else(String::new, |id| id.to_string());
         gw.telemetry.count("request.count", 1);
         gw.telemetry.time("request.ms", took.0);
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -16,7 +16,7 @@
 use crate::clock::sleep;
 use crate::gateway::{Gateway, Lifecycle};
 use crate::header_timer::HeaderTimer;
-use crate::net::with_timeouts;
+use crate::net::set_socket_options;
 use crate::pipeline::handle_request;
 use crate::response::{GatewayResponse, text_response};
 
@@ -51,7 +51,7 @@
 }
 
 async fn serve_connection(gw: &Rc<Gateway>, stream: TcpStream) {
-    if let Err(e) = with_timeouts(&stream) {
+    if let Err(e) = set_socket_options(&stream) {
         gw.telemetry.warn("connection_options", &[("why", &e)]);
         return;
     }
@@ -128,7 +128,7 @@
         let (page, open_guard) = (page.clone(), open.clone());
         let gateway = gw.clone();
         gw.spawn(async move {
-            if let Err(e) = with_timeouts(&stream) {
+            if let Err(e) = set_socket_options(&stream) {
                 gateway.telemetry.warn("connection_options", &[("why", &e)]);
                 return;
             }
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -79,7 +79,7 @@
     pub(crate) async fn choose_server_in_turn(
         &mut self,
     ) -> Result<(BackendServer, Millis), RequestError> {
-        let until = self.gw.now().after(Millis(self.time_left().0 / WAIT_DIVISOR));
+        let wait_deadline = self.gw.now().after(Millis(self.time_left().0 / WAIT_DIVISOR));
         let mut waiter = None;
         loop {
             let turns = match self.choose_server()? {
@@ -87,7 +87,7 @@
                 ServerChoice::WaitForTurn(turns) => turns,
                 ServerChoice::RetryAfter(left) => return Err(self.all_delayed(left)),
                 ServerChoice::AskKeepers => {
-                    self.ask_keepers(until).await;
+                    self.ask_keepers(wait_deadline).await;
                     continue;
                 }
             };
@@ -95,7 +95,7 @@
                 None => turns.wait_behind(self.gw.turn_waiters.count(&self.service)),
                 Some(_) => turns.wait,
             };
-            if self.gw.now().after(wait) > until {
+            if self.gw.now().after(wait) > wait_deadline {
                 let why = format!("all servers of {} are cold or limited", self.service);
                 return Err(RequestError { retry_after: Some(wait), ..self.overloaded_error(why) });
             }
@@ -156,7 +156,7 @@
         registry: &Registry,
         now: Millis,
     ) -> Option<PoolChoice<'a>> {
-        let bound = self.bound();
+        let bound = self.binding_inputs();
         let (choice, bound_by, load_trial, target_servers, current_servers, last_resort_servers) =
             self.gw.with_rollouts(|r| {
                 let servers_of_arm = |arm: Arm| -> Vec<&'a BackendServer> {
@@ -186,7 +186,7 @@
             });
         let arm = match choice {
             ArmChoice::Arm(arm) => arm,
-            ArmChoice::AskKeepers if self.keepers_answer.is_none() => {
+            ArmChoice::AskKeepers if self.keepers_reply.is_none() => {
                 return Some(PoolChoice::AskKeepers);
             }
             ArmChoice::AskKeepers => Arm::Current,
@@ -203,7 +203,7 @@
                 let target = Pool { lead_count: load_trial, ..pool(target_servers)? };
                 let is_unbound = bound_by == BindingReason::Nothing;
                 let may_use_current = target.available.is_empty() && is_unbound;
-                if may_use_current && bound.session.is_some() && self.keepers_answer.is_none() {
+                if may_use_current && bound.session.is_some() && self.keepers_reply.is_none() {
                     return Some(PoolChoice::AskKeepers);
                 }
                 let current = if may_use_current { pool(current_servers) } else { None };
@@ -214,7 +214,7 @@
     }
 
     /// Returns the facts that may bind this request to a version.
-    pub(crate) fn bound(&self) -> BindingInputs {
+    pub(crate) fn binding_inputs(&self) -> BindingInputs {
         let session = self.metadata.session.as_deref();
         let session =
             session.and_then(|s| self.gw.with_rollouts(|r| r.session_key(&self.service, s)));
@@ -226,9 +226,9 @@
     }
 
     /// Asks the session's keepers whether it has moved to the new version, and records their answer.
-    async fn ask_keepers(&mut self, until: Millis) {
-        self.keepers_answer = Some(match self.bound().session {
-            Some(session) => self.gw.ask_keepers(session, until).await,
+    async fn ask_keepers(&mut self, wait_deadline: Millis) {
+        self.keepers_reply = Some(match self.binding_inputs().session {
+            Some(session) => self.gw.ask_keepers(session, wait_deadline).await,
             None => KeepersReply::NotMoved,
         });
     }
@@ -243,7 +243,7 @@
         let mut pool =
             Pool { available: Vec::new(), upcoming: None, retry_after: None, lead_count: None };
         for server in servers {
-            let left = self.gw.retry_after_left(server, now);
+            let left = self.gw.retry_after_remaining(server, now);
             if left > Millis(0) {
                 pool.retry_after =
                     Some(pool.retry_after.map_or(left, |shortest| shortest.min(left)));
