--- a/gateway/src/net.rs
+++ b/gateway/src/net.rs
@@ -19,7 +19,7 @@
 /// Interval of keepalive probes.
 const KEEPALIVE_EVERY: Duration = Duration::from_secs(1);
 
-/// Sets the timeouts of a connection.
+/// Sets the timeouts of a connection and disables Nagle's algorithm.
 ///
 /// A middlebox may drop a connection's state, or a host may lose power, without any notice to the other end. A request
 /// would then wait until its deadline; keepalive probes detect the loss in about three seconds.
