--- a/gateway/src/exchange/age.rs
+++ b/gateway/src/exchange/age.rs
@@ -1,4 +1,4 @@
-//! How old a gateway's knowledge of the operator's topic is, in the log and on the metrics page.
+//! Staleness of the feeds, in the log and on the metrics page.
 
 use std::rc::Rc;
 
@@ -8,19 +8,20 @@
 use crate::feeds::Feed;
 use crate::gateway::Gateway;
 
-/// Time between looks.
+/// Time between two checks.
 const CHECK_INTERVAL: Millis = Millis(500);
 
-/// Time between lines while it stays old.
+/// Time between two log lines while the operator's topic stays stale.
 const LOG_INTERVAL: Millis = Millis(2_000);
 
-/// Periods of reads after which it is old: a calm gateway reads after two, and the third is for the read.
+/// Read periods after which the operator's topic is stale. An unloaded gateway reads after two at the latest, and the
+/// third is for the read itself.
 const STALE_AFTER_PERIODS: u64 = 3;
 
-/// Watches the age for ever, and says how old it is and why while it is old.
+/// Watches the age of the operator's topic forever, and logs it with the reason while it is stale.
 ///
-/// A configuration that is not in force cannot be told from one that was never written by what callers see:
-/// 404 either way. These lines tell on which hosts, since when, and what keeps them.
+/// Callers get 404 both for a configuration that is not in force yet and for one that was never written. These log lines
+/// show which hosts are behind, since when and why.
 pub async fn watch_orders_age(gw: Rc<Gateway>) {
     let stale_after = Millis(gw.settings.feeds.orders.0 * STALE_AFTER_PERIODS);
     let mut logged_at = Millis(0);
@@ -46,13 +47,13 @@
 }
 
 impl Gateway {
-    /// Returns for how long nothing has been known of the operator's topic; `None` before the first time.
+    /// Returns the age of what is known of the operator's topic; `None` before the first read.
     fn orders_age(&self) -> Option<Millis> {
         let as_of = self.with_feeds(|feeds| feeds.as_of(Feed::Orders))?;
         Some(self.now().since(as_of))
     }
 
-    /// Notes why the operator's topic could not be read.
+    /// Sets the reason why the last read of the operator's topic failed.
     pub fn set_orders_read_error(&self, why: &str) {
         *self.orders_read_error.borrow_mut() = Some(why.to_owned());
     }
@@ -60,7 +61,7 @@
     fn log_stale_orders(&self, age: Millis) {
         let version = self.catalog().map_or(0, |catalog| catalog.version);
         let error = self.orders_read_error.borrow();
-        let why = error.as_deref().unwrap_or("a read is under way");
+        let why = error.as_deref().unwrap_or("a read is in progress");
         self.telemetry.warn(
             "orders_old",
             &[
@@ -72,7 +73,7 @@
         );
     }
 
-    /// Shows on the metrics page how old is what the gateway knows of each feed.
+    /// Exports the age of each feed to the metrics page.
     pub fn export_feed_ages(&self) {
         let feeds = [(Feed::Orders, "orders"), (Feed::Servers, "servers"), (Feed::Marks, "marks")];
         for (feed, name) in feeds {
--- a/gateway/src/exchange/delta.rs
+++ b/gateway/src/exchange/delta.rs
@@ -1,25 +1,25 @@
-//! Bytes written as what differs from others.
+//! Delta compression of bytes against a base.
 
 use std::io::{self, Read, Write};
 
 use zstd::stream::{read::Decoder, write::Encoder};
 
-/// How hard the writer tries. For a configuration of 4,250 routes, 0.77 MB, a whole core takes 1.6 ms at this
-/// level; a change of one route comes to 112 bytes, 1,400 new ones to 15 kB, and all of it without a base to 47 kB.
+/// Level of zstd. For a configuration of 4,250 routes (0.77 MB), encoding takes 1.6 ms of a whole core at this level. A
+/// change of one route takes 112 bytes, 1,400 new routes take 15 kB, and the whole configuration without a base 47 kB.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// Bytes that a reference can reach back, as a power of two, at least and at most.
+/// Smallest and largest window, as the base-2 logarithm of its bytes.
 const WINDOW_LOG_BOUNDS: (u32, u32) = (10, 27);
 
-/// Writes bytes as what differs from `base`, which may be empty.
+/// Encodes `bytes` as a delta to `base`, which may be empty.
 ///
 /// # Errors
 ///
-/// If there is no memory for it.
+/// If zstd can't allocate its memory.
 pub(super) fn encode(bytes: &[u8], base: &[u8]) -> io::Result<Vec<u8>> {
     let mut writer = Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
-    // A window that is shorter than both together loses sight of the base midway, and references that far back
-    // are only looked for if asked for: without them a change of one route comes to 39 kB.
+    // If the window is shorter than the base and the bytes together, the base drops out of it midway. Matches that far
+    // back are found by long-distance matching only: without it, a change of one route takes 39 kB.
     let window = (bytes.len() + base.len()).max(1).ilog2() + 1;
     writer.window_log(window.clamp(WINDOW_LOG_BOUNDS.0, WINDOW_LOG_BOUNDS.1))?;
     writer.long_distance_matching(!base.is_empty())?;
@@ -28,16 +28,16 @@
     writer.finish()
 }
 
-/// Reads bytes of a length that were written with the same base.
+/// Decodes `len` bytes that were encoded with the same base.
 ///
 /// # Errors
 ///
-/// If they were not.
+/// If the delta is invalid for this base, or the decoded length differs from `len`.
 pub(super) fn decode(delta: &[u8], base: &[u8], len: usize) -> io::Result<Vec<u8>> {
     let mut reader = Decoder::with_ref_prefix(delta, base)?;
     reader.window_log_max(WINDOW_LOG_BOUNDS.1)?;
     let mut bytes = Vec::with_capacity(len);
-    // One byte more shows that there are more than were named.
+    // One more byte than `len` is read to detect a longer content.
     reader.take(len as u64 + 1).read_to_end(&mut bytes)?;
     match bytes.len() == len {
         true => Ok(bytes),
--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -1,4 +1,4 @@
-//! Asking a gateway that knows more.
+//! Fetching orders and backend servers from a gateway that is ahead.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -16,36 +16,34 @@
 use crate::gateway::Gateway;
 use crate::upstream::HttpConnection;
 
-/// Longest silence of a gateway that is asked. It writes its answer in some 10 ms of a whole core; a host with
-/// a tenth of one takes ten times as long.
+/// Longest wait for data from the other gateway. Encoding a reply takes about 10 ms of a whole core, and ten times as long on
+/// a host with a tenth of a core.
 const IDLE_TIMEOUT: Millis = Millis(1_000);
 
-/// Time between two gateways of a fleet that ask one, on average: it serves each in some 0.2 ms of a whole core, and
-/// hosts have a tenth of one.
+/// Average time between two requests of the fleet to one gateway. Serving a request takes about 0.2 ms of a whole core, and
+/// hosts have a tenth of a core.
 const REQUEST_SPACING: Millis = Millis(2);
 
-/// Longest time over which those that ask are spread: it is less than the head start that they have before the store
-/// is asked.
+/// Longest random delay of a request. It is shorter than the time after which a waiting gateway reads the store.
 const MAX_REQUEST_DELAY: Millis = Millis(200);
 
-/// Longest wait for word of another gateway that is ahead: what was heard may be of use again by then, as a
-/// gateway that failed is asked once more.
+/// Longest wait for another gateway that is ahead. After it, a gateway that failed may be due for a retry.
 const RECHECK_INTERVAL: Millis = Millis(100);
 
-/// What another gateway knows.
+/// The operator's records, as fetched from another gateway.
 #[derive(Clone, Debug)]
 pub struct FetchedOrders {
     /// The newest record of each key.
     pub records: Vec<Record>,
-    /// Offset from which to read on.
+    /// Offset from which to continue reading.
     pub next: u64,
-    /// Begin of the read of the store that brought them.
+    /// Start time of the store read that returned them.
     pub as_of: Millis,
 }
 
-/// Waits until another gateway is ahead and has said what it knows.
+/// Waits until another gateway is ahead, and fetches its orders.
 ///
-/// It never ends without; whoever waits reads the store meanwhile.
+/// It waits forever if none is; callers read the store concurrently.
 pub async fn fetch_newer_orders(gw: &Gateway) -> FetchedOrders {
     let mut base = gw.with_orders(|orders| orders.digest());
     loop {
@@ -56,20 +54,20 @@
         };
         match request_orders(gw, peer, base).await {
             Ok(Some(fetched)) => return fetched,
-            // It knows no more than this gateway, which has learnt something meanwhile.
+            // It is no longer ahead, as this gateway has caught up meanwhile.
             Ok(None) => gw.record_peer_failure(Feed::Orders, peer),
             Err(why) => {
                 record_fetch_failure(gw, Feed::Orders, peer, &why);
-                // The next one is asked for all, in case this gateway's own image is at fault.
+                // The next request asks for all records, in case this gateway's own snapshot is wrong.
                 base = None;
             }
         }
     }
 }
 
-/// Waits until another gateway knows more of the backend servers and has said what, and takes it.
+/// Waits until another gateway is ahead in backend servers, fetches its list and applies it.
 ///
-/// It never ends without; whoever waits reads the store meanwhile.
+/// It waits forever if none is; callers read the store concurrently.
 pub async fn fetch_newer_servers(gw: &Gateway) {
     loop {
         let peer_ahead = gw.peer_ahead.listen();
@@ -77,7 +75,7 @@
             within(RECHECK_INTERVAL, peer_ahead).await;
             continue;
         }
-        // All learn at once that one gateway knows more; those that ask a little later find others that do.
+        // All gateways hear at once that one is ahead. Those that wait a little longer find others that have caught up.
         let max_delay = REQUEST_SPACING.0 * gw.with_feeds(|feeds| feeds.fleet_size()) as u64;
         sleep(Millis(fastrand::u64(..=max_delay.min(MAX_REQUEST_DELAY.0)))).await;
         let Some(peer) = gw.pick_peer_ahead(Feed::Servers) else { continue };
@@ -127,13 +125,13 @@
     let max = gw.settings.max_orders_bytes;
     let Some(body) = get(gw, peer, &query.request_target(), max).await? else { return Ok(None) };
     let reply: OrdersReply = postcard::from_bytes(&body).map_err(|e| e.to_string())?;
-    // What the answer took is counted as its age, too: the store may have moved on meanwhile.
+    // The duration of the request counts towards the age, as the store may have received records meanwhile.
     let as_of = Millis(began.0.saturating_sub(reply.age));
     let records = gw.with_orders(|orders| orders.apply_reply(&reply, as_of, max));
     let records = records.map_err(|error| match error {
-        ReplyError::UnknownBase => "it differs from what is not known here".to_owned(),
-        ReplyError::ContentMismatch => "it is not what it says".to_owned(),
-        ReplyError::TooLong => format!("it has {} bytes", reply.len),
+        ReplyError::UnknownBase => "the delta is based on an unknown snapshot".to_owned(),
+        ReplyError::ContentMismatch => "the decoded records do not match the digest".to_owned(),
+        ReplyError::TooLong => format!("the snapshot has {} bytes, more than the limit", reply.len),
     })?;
     gw.telemetry.info(
         "orders_heard",
@@ -165,6 +163,6 @@
     match reading.status() {
         StatusCode::OK => Ok(Some(body)),
         StatusCode::NO_CONTENT => Ok(None),
-        status => Err(format!("refused with {status}")),
+        status => Err(format!("the gateway responded with status {status}")),
     }
 }
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -1,4 +1,4 @@
-//! The page on which a gateway answers those that know less.
+//! HTTP pages on which a gateway serves its feeds to gateways that are behind.
 
 use std::rc::Rc;
 
@@ -12,10 +12,12 @@
 
 pub(super) const PATH: &str = "/orders";
 
-/// What a gateway has that asks for more.
+/// Position of the gateway that sends the request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) struct FeedQuery {
+    /// Digest of its newest snapshot.
     pub(super) base: Option<Digest>,
+    /// Offset up to which it knows the feed.
     pub(super) next: Option<u64>,
 }
 
@@ -34,7 +36,7 @@
     }
 }
 
-/// Makes the pages of what a gateway knows of the store's feeds.
+/// Makes the handler of the pages with this gateway's copy of the store's feeds.
 pub fn feed_pages(gw: Rc<Gateway>) -> impl Fn(&Uri) -> Option<GatewayResponse> + Clone {
     move |uri| {
         let query = FeedQuery::parse(uri.query().unwrap_or_default());
@@ -56,8 +58,8 @@
     }
 }
 
-/// Returns the servers, with the age of what is known of them, for a gateway that knows them up to an offset, unless
-/// that is all that is known here.
+/// Encodes the server list and its age for a gateway that knows the feed up to `next`; `None` if this gateway is not ahead
+/// of it.
 fn encode_servers_reply(gw: &Gateway, next: Option<u64>) -> Option<Vec<u8>> {
     let (own_next, as_of) =
         gw.with_feeds(|feeds| (feeds.next(Feed::Servers), feeds.as_of(Feed::Servers)));
--- a/gateway/src/exchange/progress.rs
+++ b/gateway/src/exchange/progress.rs
@@ -1,4 +1,4 @@
-//! What a gateway keeps of the operator's topic, and of the gateways that know more of it.
+//! Positions in the feeds: this gateway's own, and those of other gateways that are ahead.
 
 use std::net::SocketAddr;
 
@@ -13,8 +13,8 @@
         f(&mut self.orders.borrow_mut())
     }
 
-    /// Takes an own read of the operator's topic that began at `began` and ended at offset `next`; `is_all` says
-    /// that it brought the newest record of each key.
+    /// Records this gateway's own read of the operator's topic, which started at `began` and ended at offset `next`.
+    /// `is_all` means that `records` holds the newest record of each key, rather than only new records.
     pub fn record_orders_read(&self, records: &[Record], is_all: bool, next: u64, began: Millis) {
         self.with_orders(|orders| orders.record_read(records, is_all, next, began));
         self.orders_read_error.replace(None);
@@ -22,19 +22,19 @@
         self.gossip_due.notify(usize::MAX);
     }
 
-    /// Notes that the operator's topic is known up to an offset from another gateway.
+    /// Records that the operator's topic was fetched from another gateway up to offset `next`.
     pub fn record_orders_fetched(&self, next: u64, as_of: Millis) {
         self.with_feeds(|feeds| feeds.record_orders(as_of, next, Audience::Few));
         self.gossip_due.notify(usize::MAX);
     }
 
-    /// Takes another gateway's word on how far it knows the operator's topic.
+    /// Applies another gateway's report on its position in the operator's topic.
     pub(crate) fn apply_orders_update(&self, from: SocketAddr, update: FeedTold) {
         self.with_feeds(|feeds| feeds.apply_orders_update(update, self.now()));
         self.record_peer_position(Feed::Orders, from, update.next);
     }
 
-    /// Notes that another gateway knows a feed up to an offset.
+    /// Records another gateway's position in a feed.
     pub(crate) fn record_peer_position(&self, feed: Feed, peer: SocketAddr, next: u64) {
         self.with_leads(feed, |leads| leads.heard(peer, next, self.now()));
         if self.pick_peer_ahead(feed).is_some() {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Says whether another gateway is known to know more of a feed.
+    /// Returns whether another gateway is ahead of this one in a feed.
     pub fn is_behind(&self, feed: Feed) -> bool {
         self.pick_peer_ahead(feed).is_some()
     }
 
-    /// Picks a gateway that knows more of a feed.
+    /// Picks a gateway that is ahead of this one in a feed.
     pub(super) fn pick_peer_ahead(&self, feed: Feed) -> Option<SocketAddr> {
         let own = self.with_feeds(|feeds| feeds.reached(feed));
         self.with_leads(feed, |leads| leads.pick(own, fastrand::u64(..), self.now()))
@@ -61,7 +61,7 @@
         match feed {
             Feed::Orders => f(&mut self.orders_leads.borrow_mut()),
             Feed::Servers => f(&mut self.servers_leads.borrow_mut()),
-            // Few and short, they are read in the store by whoever missed some.
+            // Marks are few and short, so a gateway that missed some reads them from the store.
             Feed::Marks => f(&mut Leads::new()),
         }
     }
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers, as one gateway gives it to another.
+//! The list of backend servers, as gateways send it to each other.
 
 use bytes::Bytes;
 use redwingfold_core::{BackendServer, Millis, PassedServers, Registry, ServerState};
@@ -9,31 +9,31 @@
 
 pub(super) const PATH: &str = "/servers";
 
-/// Returns the target by which a gateway asks that knows the list up to an offset.
+/// Returns the request target for a gateway that knows the list up to an offset.
 pub(super) fn request_target(next: Option<u64>) -> String {
     format!("{PATH}?next={}", next.map_or_else(String::new, |next| next.to_string()))
 }
 
-/// All servers that a gateway believes in.
+/// All servers in a gateway's registry.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct ServerList {
     /// Offset up to which the list is known.
     pub(super) next: u64,
     servers: Vec<ServerWire>,
-    /// Servers among them whose records are gone, and the milliseconds until they are taken as gone.
+    /// Servers in the list whose records were removed, and the milliseconds until they count as gone.
     ///
-    /// A removal soon after an outage of the store may only mean that the record could not be renewed, so that a
-    /// server stays for a while. Passed on as one that is there, it stayed for good where its removal had been
-    /// read already: a server that had left got requests 4.2 s later, where 4 s are allowed.
+    /// A removal soon after an outage of the store may only mean that the record could not be renewed, so the server is kept
+    /// for a while. Without this field, a receiver that had already read the removal kept the server forever: a server that
+    /// had left got requests 4.2 s later, where 4 s are allowed.
     lapsing: Vec<(String, u32)>,
-    /// Milliseconds for which the writer's lists may yet be of an older copy of the store.
+    /// Milliseconds for which lists that the sender reads may still come from an older copy of the store.
     copies_left: u32,
 }
 
-/// A list as it was written for others.
+/// An encoded server list, cached for requests of other gateways.
 ///
-/// A hundred gateways ask at once when many servers have come: writing it for each of them took some 0.1 s of a core,
-/// a second of a host that has a tenth of one.
+/// A hundred gateways request the list at once after many servers have registered. Encoding it for each of them took about
+/// 0.1 s of a core, which is a second on a host with a tenth of a core.
 #[derive(Clone, Debug)]
 pub(crate) struct EncodedServerList {
     next: u64,
@@ -41,7 +41,7 @@
 }
 
 impl EncodedServerList {
-    /// Returns it for a gateway that knows the list up to the same offset.
+    /// Returns the bytes if the list is of offset `next`.
     pub(super) fn bytes_at(&self, next: u64) -> Option<Bytes> {
         (self.next == next).then(|| self.bytes.clone())
     }
@@ -73,7 +73,7 @@
         Self { next, servers, lapsing: lapsing.collect(), copies_left }
     }
 
-    /// Writes it, with its length before it.
+    /// Encodes the list: its uncompressed length, then its compressed bytes.
     pub(super) fn encode(&self) -> Option<EncodedServerList> {
         let bytes = postcard::to_stdvec(self).ok()?;
         let compressed = Bytes::from(delta::encode(&bytes, &[]).ok()?);
@@ -81,10 +81,10 @@
         Some(EncodedServerList { next: self.next, bytes: encoded.into() })
     }
 
-    /// Reads one of at most `max` bytes.
+    /// Decodes a list of at most `max` uncompressed bytes.
     pub(super) fn decode(bytes: &[u8], max: usize) -> eyre::Result<Self> {
         let (len, compressed): (usize, Bytes) = postcard::from_bytes(bytes)?;
-        eyre::ensure!(len <= max, "it has {len} bytes");
+        eyre::ensure!(len <= max, "the server list has {len} bytes, more than the limit");
         Ok(postcard::from_bytes(&delta::decode(&compressed, &[], len)?)?)
     }
 
--- a/gateway/src/exchange/snapshot.rs
+++ b/gateway/src/exchange/snapshot.rs
@@ -1,4 +1,4 @@
-//! The newest records of the operator's topic, as of an offset.
+//! Snapshots of the operator's topic: the newest record of each key, as of an offset.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,65 +9,65 @@
 
 use super::delta;
 
-/// The newest value of a key; `None` if the key was dropped.
+/// The newest value of a key; `None` if the key was deleted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value.
+    /// Value of the record.
     pub value: Option<Bytes>,
 }
 
-/// Names an image by its bytes.
+/// Hash that identifies a snapshot by its bytes.
 pub(super) type Digest = u64;
 
-/// The newest records, as bytes.
+/// The newest record of each key, encoded.
 #[derive(Clone, Debug)]
 struct Snapshot {
     digest: Digest,
     bytes: Bytes,
 }
 
-/// What a gateway answers to one that knows less.
+/// Reply to a gateway that is behind.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct OrdersReply {
     /// Offset up to which the records are known.
     pub(super) next: u64,
-    /// How long ago that was read, in milliseconds.
+    /// Time since the records were read, in milliseconds.
     pub(super) age: u64,
     pub(super) digest: Digest,
-    /// Length of the image.
+    /// Length of the snapshot, in bytes.
     pub(super) len: usize,
-    /// The image from which it differs by `delta`; `None` for an empty one.
+    /// The snapshot that `delta` is based on; `None` for an empty one.
     pub(super) base: Option<Digest>,
     pub(super) delta: Bytes,
 }
 
-/// Why an offer is of no use.
+/// Why a reply can't be applied.
 #[derive(Debug)]
 pub(super) enum ReplyError {
-    /// It differs from an image that is not known here.
+    /// The delta is based on an unknown snapshot.
     UnknownBase,
-    /// It does not give the image that it names.
+    /// The decoded content does not match the digest.
     ContentMismatch,
-    /// It is longer than what is taken.
+    /// The snapshot exceeds the size limit.
     TooLong,
 }
 
-/// Earlier images that are kept, as those of gateways that are somewhat behind.
+/// Earlier snapshots that are kept as bases for gateways that are slightly behind.
 const MAX_EARLIER_SNAPSHOTS: usize = 4;
 
-/// Bytes of earlier images that are kept: an image of usual length is 20 kB, and one of 4 MB may stand once more.
+/// Limit on the bytes of earlier snapshots. A typical snapshot is 20 kB; one of 4 MB is still kept once.
 const MAX_EARLIER_BYTES: usize = 4 * 1024 * 1024;
 
-/// The records that a gateway knows, and what it has of earlier ones.
+/// The newest snapshot of the operator's topic, and some earlier ones.
 #[derive(Debug, Default)]
 pub(crate) struct OrderSnapshots {
     next: u64,
     as_of: Millis,
     newest: Option<Snapshot>,
     earlier: VecDeque<Snapshot>,
-    /// What was written of the newest image, by its base: many ask at once, and from the same one.
+    /// Cached deltas to the newest snapshot, by base: many gateways ask at once, and mostly with the same base.
     deltas: Vec<(Option<Digest>, Bytes)>,
 }
 
@@ -78,13 +78,13 @@
     }
 
     fn records(&self) -> BTreeMap<String, Bytes> {
-        // What is not an image of ours does not get here: its digest was compared.
+        // Invalid bytes can't get here, as the digest was compared.
         postcard::from_bytes(&self.bytes).unwrap_or_default()
     }
 }
 
 impl OrderSnapshots {
-    /// Takes what a read brought that began at `as_of`: the newest of each key, or what is new.
+    /// Applies the records of a read that started at `as_of`: the newest record of each key if `is_all`, otherwise new ones.
     pub(crate) fn record_read(
         &mut self,
         records: &[Record],
@@ -127,13 +127,13 @@
         self.earlier.iter().chain(&self.newest).find(|snapshot| snapshot.digest == digest)
     }
 
-    /// Returns the name of the newest image.
+    /// Returns the digest of the newest snapshot.
     pub(super) fn digest(&self) -> Option<Digest> {
         self.newest.as_ref().map(|snapshot| snapshot.digest)
     }
 
-    /// Makes the answer to a gateway that has the image `have` and knows the feed up to `next`; `None` if that
-    /// is not less than what is known here.
+    /// Builds the reply to a gateway that has the snapshot `caller_base` and knows the feed up to `next`; `None` if this
+    /// gateway is not ahead of it.
     pub(super) fn reply_to(
         &mut self,
         caller_base: Option<Digest>,
@@ -158,7 +158,7 @@
         Some(OrdersReply { next: self.next, age, digest, len, base: base_digest, delta })
     }
 
-    /// Takes another gateway's answer of at most `max` bytes, and returns its records.
+    /// Applies another gateway's reply with a snapshot of at most `max` bytes, and returns its records.
     pub(super) fn apply_reply(
         &mut self,
         reply: &OrdersReply,
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -1,4 +1,4 @@
-//! The feeds of the store that gateways read together: orders, backend servers, and marks of requests.
+//! The feeds of the store whose reads the gateways share: orders, backend servers, and marks of requests.
 
 use redwingfold_core::{
     BackendId, BackendServer, FeedHeard, FeedPast, FeedTold, FeedView, MarkChange, Millis,
@@ -7,68 +7,67 @@
 /// A feed of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Feed {
-    /// The configuration and orders of roll-outs. Its records are large and rare: others are told
-    /// that there are some, and read them.
+    /// The configuration and rollout orders. Records are large and rare: messages announce only their offset, and the
+    /// receivers fetch them.
     Orders,
-    /// Backend servers. Its records come many times a second and mostly repeat what is known:
-    /// others are told what changed.
+    /// Backend servers. Records arrive many times a second and mostly repeat known state: messages carry the changes.
     Servers,
-    /// Marks of requests under which servers ended. They are rare and short, and others are told of them.
+    /// Marks of requests during which servers ended. They are rare and short: messages carry them.
     Marks,
 }
 
-/// Who is told of what a feed brought.
+/// Which gateways get a message on a feed update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Audience {
-    /// All gateways: somebody has read the store, so that they need not.
+    /// All gateways, so that none of them needs to read the store.
     All,
-    /// A few, who have one more to ask: all know already that somebody has read it, and that one cannot
-    /// serve all of them at once.
+    /// A few, so that they have one more gateway to fetch from. All have already heard from the gateway that read the store,
+    /// which can't serve all of them at once.
     Few,
 }
 
-/// Something that changed in the list of backend servers.
+/// A change in the list of backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerChange {
     /// A server's record was removed.
     Removed(BackendId),
-    /// A server has a new record.
+    /// A server's record was added or replaced.
     Put(BackendServer),
 }
 
-/// How often the feeds are read by whichever gateway comes first.
+/// Read periods of the feeds; the gateway whose random wait ends first reads for all.
 ///
-/// Each gateway reads after twice this time at the latest. What it takes on top is a message's way, and
-/// for orders a read of its own.
+/// Each gateway reads after twice its period at the latest. The delay of a message comes on top, and for orders the
+/// gateway's own fetch.
 #[derive(Clone, Copy, Debug)]
 pub struct FeedPeriods {
-    /// Orders, which must be in force within a time that the operator is promised.
+    /// Orders, which must be in force within the time promised to operators.
     pub orders: Millis,
-    /// Servers, of which one that drains may still get work for a while.
+    /// Servers. A draining server may still get requests for a while.
     pub servers: Millis,
-    /// Marks of requests, of which all must know a while after a third server has ended under one.
+    /// Marks of requests. All gateways must have them shortly after a third server has ended during the same request.
     pub marks: Millis,
 }
 
 impl Default for FeedPeriods {
-    /// Fits promises of two and three seconds.
+    /// Periods that keep the promised two and three seconds.
     fn default() -> Self {
         Self { orders: Millis(450), servers: Millis(500), marks: Millis(600) }
     }
 }
 
-/// Changes that a message tells at most; with more, others read themselves.
+/// Largest number of server changes in a message. With more, receivers read the feed themselves.
 const MAX_CHANGES: usize = 12;
 
-/// The same for marks, each of which takes some 30 bytes.
+/// Largest number of marks in a message. Each takes about 30 bytes.
 const MAX_MARKS: usize = 24;
 
-/// What is known of the feeds, and what the others have not been told.
+/// This gateway's position in each feed, and the updates that were not sent to the others yet.
 #[derive(Debug)]
 pub struct Feeds {
     orders: FeedView,
     servers: FeedView,
-    /// Changes of servers, from own reads and from others' messages.
+    /// Recent changes of servers, from own reads and from messages.
     server_history: FeedPast<ServerChange>,
     marks: FeedView,
     mark_history: FeedPast<MarkChange>,
@@ -78,7 +77,7 @@
 }
 
 impl Feeds {
-    /// Makes the feeds of a gateway that knows nothing yet.
+    /// Makes the feeds of a gateway that has read nothing yet.
     pub(crate) fn new(periods: FeedPeriods) -> Self {
         Self {
             orders: FeedView::new(periods.orders),
@@ -92,14 +91,14 @@
         }
     }
 
-    /// Notes how many gateways read together, this one included.
+    /// Sets the number of gateways that share reads, including this one.
     pub(crate) fn set_fleet_size(&mut self, fleet: usize) {
         self.orders.share_with(fleet);
         self.servers.share_with(fleet);
         self.marks.share_with(fleet);
     }
 
-    /// Returns how many gateways read together, this one included.
+    /// Returns the number of gateways that share reads, including this one.
     pub fn fleet_size(&self) -> usize {
         self.servers.fleet()
     }
@@ -112,38 +111,38 @@
         }
     }
 
-    /// Returns the offset from which a feed is to be read; `None` if nothing of it is known.
+    /// Returns the offset from which to continue reading a feed; `None` if the whole feed must be read.
     pub fn next(&mut self, feed: Feed) -> Option<u64> {
         self.view(feed).next()
     }
 
-    /// Returns the position up to which a feed was ever known.
+    /// Returns the highest offset up to which a feed was ever known. It is kept by [`Feeds::reset`].
     pub fn reached(&mut self, feed: Feed) -> Option<u64> {
         self.view(feed).reached()
     }
 
-    /// Returns as of when a feed is known, if it is known at all.
+    /// Returns the time as of which a feed is known, if it ever was.
     pub fn as_of(&mut self, feed: Feed) -> Option<Millis> {
         self.view(feed).as_of()
     }
 
-    /// Says whether this gateway should read a feed.
+    /// Returns whether this gateway should read a feed now.
     pub fn is_due(&mut self, feed: Feed, now: Millis) -> bool {
         self.view(feed).is_due(now)
     }
 
-    /// Forgets how far a feed is known.
+    /// Clears the position in a feed, so that it is read whole.
     pub fn reset(&mut self, feed: Feed) {
         self.view(feed).lose();
     }
 
-    /// Takes what is known of orders as of `as_of`, and tells as many others as `reach` says.
+    /// Records that orders are known up to `next` as of `as_of`, to be announced to `audience`.
     pub(crate) fn record_orders(&mut self, as_of: Millis, next: u64, audience: Audience) {
         self.orders.read(as_of, next, fastrand::u64(..));
         self.unsent_orders = Some((FeedTold { from: next, next, age: Millis(0) }, as_of, audience));
     }
 
-    /// Takes an own read of servers that began at `began`, with what it changed.
+    /// Records this gateway's own read of servers, which started at `began`, and its changes.
     pub(crate) fn record_servers_read(
         &mut self,
         began: Millis,
@@ -166,19 +165,19 @@
         self.unsent_servers = Some((next, began, audience));
     }
 
-    /// Takes the whole list of servers as of `as_of` from another gateway; what changed until then cannot be told,
-    /// but a few may ask here as well.
+    /// Records that the whole list of servers as of `as_of` was fetched from another gateway. The changes up to then are
+    /// unknown, but a few gateways hear that they can fetch the list here as well.
     pub(crate) fn record_fetched_servers(&mut self, as_of: Millis, next: u64) {
         self.servers.lose();
         self.record_servers(as_of, next, Vec::new(), Audience::Few);
     }
 
-    /// Takes a message on orders; `true` if some were missed.
+    /// Applies a message on orders; returns `true` if this gateway has missed some.
     pub(crate) fn apply_orders_update(&mut self, update: FeedTold, now: Millis) -> bool {
         self.orders.hear(update, now, fastrand::u64(..)) == FeedHeard::Missed
     }
 
-    /// Takes a message on servers and returns the changes that it brings.
+    /// Applies a message on servers; returns the changes in it that are new here.
     pub(crate) fn apply_servers_update(
         &mut self,
         update: FeedTold,
@@ -195,13 +194,13 @@
         }
     }
 
-    /// Returns what the others have not been told of orders.
+    /// Takes the unsent update on orders.
     pub(crate) fn take_orders_update(&mut self, now: Millis) -> Option<(FeedTold, Audience)> {
         let (update, as_of, audience) = self.unsent_orders.take()?;
         Some((FeedTold { age: now.since(as_of), ..update }, audience))
     }
 
-    /// Returns what the others have not been told of servers.
+    /// Takes the unsent update on servers.
     pub(crate) fn take_servers_update(
         &mut self,
         now: Millis,
@@ -211,7 +210,7 @@
         Some((FeedTold { from, next, age: now.since(began) }, changes, audience))
     }
 
-    /// Takes an own read of marks that began at `began`, with what it brought.
+    /// Records this gateway's own read of marks, which started at `began`, and the marks read.
     pub(crate) fn record_marks_read(&mut self, began: Millis, next: u64, changes: Vec<MarkChange>) {
         let from = self.marks.next().unwrap_or(next);
         self.marks.read(began, next, fastrand::u64(..));
@@ -219,7 +218,7 @@
         self.unsent_marks = Some((next, began));
     }
 
-    /// Takes a message on marks and returns those that it brings.
+    /// Applies a message on marks; returns those that are new here.
     pub(crate) fn apply_marks_update(
         &mut self,
         update: FeedTold,
@@ -236,7 +235,7 @@
         }
     }
 
-    /// Returns what the others have not been told of marks.
+    /// Takes the unsent update on marks.
     pub(crate) fn take_marks_update(&mut self, now: Millis) -> Option<(FeedTold, Vec<MarkChange>)> {
         let (next, began) = self.unsent_marks.take()?;
         let (from, changes) = self.mark_history.told().unwrap_or((next, Vec::new()));
--- a/gateway/src/rollout_choice.rs
+++ b/gateway/src/rollout_choice.rs
@@ -1,4 +1,4 @@
-//! Which version a request goes to in a roll-out, and what decides it.
+//! Choice between the current version and the target of a rollout for a request, and the reason for it.
 
 use std::fmt;
 
@@ -6,26 +6,26 @@
 
 use crate::rollouts::Rollouts;
 
-/// What may bind a request to a version.
+/// What the choice of a request's version depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BindingInputs {
-    /// The version that it was sent to before.
+    /// The arm that earlier sends of the request reached.
     pub(crate) reached: Option<Arm>,
-    /// Its session.
+    /// The session of the request.
     pub(crate) session: Option<SessionKey>,
-    /// Decides for a request without a session.
+    /// Number that decides the share of the rollout for a request without a session.
     pub(crate) draw: u64,
 }
 
-/// What decided which version a request was sent to.
+/// Why a request was sent to its version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum BindingReason {
-    /// The share of the roll-out, or no roll-out at all.
+    /// The share of the rollout, or there is no rollout.
     #[default]
     Nothing,
-    /// A version that the request itself had reached.
+    /// The request itself had reached the version.
     Request,
-    /// A version that its session was on.
+    /// The session of the request was on the version.
     Session,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Rollouts {
-    /// Chooses between the version in service and the one that is rolled out for a request.
+    /// Chooses between the current version and the target of the rollout for a request.
     pub(crate) fn arm(
         &self,
         service: &ServiceName,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns what binds a request to a version that it, or one of its session, has had before.
+    /// Returns why a request is bound to a version: it was sent there before, or its session has moved there.
     pub(crate) fn binding_reason(&self, inputs: BindingInputs, now: Millis) -> BindingReason {
         match inputs {
             BindingInputs { reached: Some(_), .. } => BindingReason::Request,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the key of a session of a service whose roll-out is under way or has just ended.
+    /// Returns the key of a session for the latest rollout of its service; `None` if there was no rollout.
     pub(crate) fn session_key(&self, service: &ServiceName, session: &str) -> Option<SessionKey> {
         let target = &self.canary(service)?.order().target;
         Some(SessionKey::new(service, target, session))
--- a/gateway/src/rollout_control.rs
+++ b/gateway/src/rollout_control.rs
@@ -1,4 +1,4 @@
-//! What a gateway does about roll-outs, with a line in the log for each change.
+//! Operations of a gateway on rollouts. Each change is logged.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 }
 
 impl Gateway {
-    /// Takes an operator's order that a read of the feed, begun at `began`, has brought from a copy of the store.
+    /// Adds an operator's order that was read from the store. The read started at `began`.
     pub fn order_rollout(
         &self,
         service: &ServiceName,
@@ -42,7 +42,7 @@
         );
     }
 
-    /// Notes that all orders given before `began` are known here.
+    /// Records that all orders written before `began` are known, and starts trials of versions that none of them names.
     pub fn advance_orders_as_of(&self, began: Millis) {
         let started = self.with_rollouts(|r| r.advance_orders_as_of(began, self.now()));
         for (service, version, seen_at) in started {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes which versions of a service the store says are in service.
+    /// Sets the versions of a service that are in service, from the store.
     pub fn set_stored_versions(&self, service: &ServiceName, versions: BTreeSet<VersionName>) {
         self.with_rollouts(|r| r.set_stored_versions(service, versions));
     }
@@ -73,7 +73,7 @@
         self.with_rollouts(|r| r.services_in_service())
     }
 
-    /// Moves all roll-outs on.
+    /// Advances all rollouts.
     pub fn step_rollouts(&self) {
         for change in self.with_rollouts(|r| r.step(self.now())) {
             self.log_phase_change(&change);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Notes that this gateway has written the status of a roll-out in a phase.
+    /// Records that this gateway has written the status of a rollout in a phase.
     pub fn record_written_status(&self, service: &ServiceName, target: &VersionName, phase: Phase) {
         self.telemetry().info(
             "status_written",
--- a/gateway/src/rollout_report.rs
+++ b/gateway/src/rollout_report.rs
@@ -1,36 +1,37 @@
-//! What gateways tell each other of a roll-out.
+//! The report on a rollout that gateways send each other.
 
 use std::collections::HashMap;
 
 use redwingfold_core::{Millis, Phase, RouteEvidence, Sent, ServiceName, VersionName};
 
-/// What one gateway tells the others of a roll-out.
+/// One gateway's report on a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutReport {
     /// The service.
     pub service: ServiceName,
-    /// The version that is rolled out.
+    /// The version being rolled out.
     pub target: VersionName,
     /// Time since the order.
     pub elapsed: Millis,
-    /// Whether the sender, or one that told it, has seen the order come.
+    /// Whether the age of the order is known: the sender, or a gateway that reported to it, was reading orders when the
+    /// order was written.
     pub is_age_known: bool,
-    /// Whether an operator has ordered it.
+    /// Whether an operator ordered the rollout; `false` for a trial.
     pub is_announced: bool,
-    /// Its answers, by a hash of the route's name.
+    /// Evidence from the sender's answers, by a hash of the route's name.
     pub routes: HashMap<u32, RouteEvidence>,
-    /// What it has sent since the order.
+    /// Requests that the sender has sent since the order.
     pub sent: Sent,
-    /// Whether it has found the target bad.
+    /// Whether the sender has rolled the target back.
     pub is_rolled_back: bool,
-    /// What the store says, as far as it knows: nothing, that the roll-out runs, or how it ended.
+    /// The status in the store, as far as the sender knows it.
     pub stored_status: StoredStatus,
-    /// How often the store had come back from an older copy by then.
+    /// Era of the store: how often it had been restored from an older copy.
     pub store_era: u64,
 }
 
 impl RolloutReport {
-    /// Splits it into parts with at most `max` routes each.
+    /// Splits the report into parts with at most `max` routes each.
     pub(crate) fn split(self, max: usize) -> Vec<Self> {
         let routes: Vec<_> = self.routes.iter().map(|(route, e)| (*route, *e)).collect();
         let part = |routes: &[(u32, RouteEvidence)]| Self {
@@ -40,7 +41,7 @@
         if routes.is_empty() { vec![part(&[])] } else { routes.chunks(max).map(part).collect() }
     }
 
-    /// Takes a later part of the same gateway's news.
+    /// Merges a later part of the same gateway's report.
     pub(crate) fn merge(&mut self, mut later: Self) {
         let mut routes = std::mem::take(&mut self.routes);
         routes.extend(std::mem::take(&mut later.routes));
@@ -48,14 +49,14 @@
     }
 }
 
-/// What the store says of a roll-out.
+/// A rollout's status in the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoredStatus {
-    /// Nothing that is known.
+    /// Not known.
     #[default]
     Unknown,
-    /// It runs.
+    /// Running.
     Running,
-    /// It ended so.
+    /// Ended in this phase.
     Ended(Phase),
 }
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -1,4 +1,4 @@
-//! What gateways see of a version's answers, and tell each other.
+//! Evidence on the versions of a service: counting answers, and exchanging the counts with other gateways.
 
 use redwingfold_core::{
     AnswerSums, Arm, Counts, Millis, Phase, RouteName, Sent, ServiceName, Shared, VersionName,
@@ -8,39 +8,43 @@
 use super::{END_REPORTED_FOR, Rollouts, ServiceVersions};
 use crate::rollout_report::{RolloutReport, StoredStatus};
 
-/// Age at which another gateway's requests no longer count as coming on: it is gone or cut off.
+/// Age from which another gateway's request rate is ignored: the gateway has stopped or is cut off.
 const MAX_REPORT_AGE: Millis = Millis(4_000);
 
-/// Time to the first byte beside the reading of the prompt: a few steps of a batch.
+/// Time to the first byte on top of prompt processing: a few steps of a batch.
 const FIRST_BYTE_OVERHEAD: Millis = Millis(40);
 
-/// What was seen of an answer.
+/// One observation on an answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum AnswerSignal {
-    /// The server failed.
+    /// The server failed to answer.
     Failed,
-    /// Its first byte came, where its prompt takes `expected` to read.
+    /// The first byte arrived after `took`; processing the prompt takes `expected`.
     FirstByte { took: Millis, expected: Millis },
-    /// Its events come with this pause.
+    /// The time between two events of the answer.
     EventGap(Millis),
 }
 
-/// An answer as it counts for its version.
+/// An observation on an answer, with what it is compared by.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSample<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) version: &'a VersionName,
     pub(crate) route: &'a RouteName,
+    /// Index of the answering model among the route's sizes; 0 if the caller chose the model.
     pub(crate) size: usize,
-    /// Requests that its server runs and that wait there, for each of its slots.
+    /// Requests running and waiting on the server, divided by its slots.
     pub(crate) load: f64,
-    /// Whether its server belongs to the first half of the version's.
+    /// Whether the server belongs to the first half of the version's servers.
     pub(crate) is_first_half: bool,
     pub(crate) signal: AnswerSignal,
 }
 
 impl Rollouts {
-    /// Counts an answer for its version.
+    /// Adds an observation to the evidence on its version.
+    ///
+    /// Times are compared as ratios to the usual time for the route, model and server load. Ratios of any version
+    /// but the current one are divided by how much slower than usual the current version is at the moment.
     pub(crate) fn record_answer(&mut self, sample: &AnswerSample<'_>, now: Millis) {
         let arm = self.arm_of(sample.service, sample.version);
         let Some(versions) = self.services.get_mut(sample.service) else { return };
@@ -89,14 +93,14 @@
         *counts = counts.plus(Counts { half, ..one.into() });
     }
 
-    /// Returns when another gateway was last heard on a roll-out under way.
+    /// Returns when the last report of another gateway on an active rollout was received.
     pub fn last_report_at(&self) -> Millis {
         let received_at =
             self.services.values().flat_map(|v| v.peer_reports.values()).map(|(_, at)| *at);
         received_at.max().unwrap_or_default()
     }
 
-    /// Returns what the other gateways should know of the roll-outs under way.
+    /// Returns this gateway's reports on active and recently ended rollouts, for the other gateways.
     pub fn reports(&self, now: Millis) -> Vec<RolloutReport> {
         let report = |(service, v): (&ServiceName, &ServiceVersions)| {
             let canary = v.latest()?;
@@ -133,14 +137,15 @@
         self.services.iter().filter_map(report).collect()
     }
 
-    /// Takes another gateway's news; `true` if it found the target bad, and this one had not.
+    /// Merges another gateway's report; returns `true` if it rolled the target back and this gateway had not.
     ///
-    /// Each gateway hears of the others' counts a little late, so that one is over the bar first. The
-    /// others heed it at once: with counts alone, one of three rolled back and two went on to done.
+    /// Counts of other gateways arrive with a delay, so one gateway reaches the threshold for a rollback first. The others
+    /// follow its decision at once. Deciding on counts alone, one of three gateways rolled back while two completed the
+    /// rollout.
     pub fn merge_report(&mut self, from: &str, report: RolloutReport, now: Millis) -> bool {
         let Some(versions) = self.services.get_mut(&report.service) else { return false };
         let Some(canary) = versions.latest_mut() else { return false };
-        // The trial of a version that no order named yet is older than its order.
+        // A trial that began before the order for its version does not count for the rollout of that order.
         if canary.order().target != report.target || canary.is_announced() != report.is_announced {
             return false;
         }
@@ -148,7 +153,7 @@
         let is_newly_rolled_back = report.is_rolled_back && canary.phase() < Phase::Done;
         let (service, target, stored_status) =
             (report.service.clone(), report.target.clone(), report.stored_status);
-        // A gateway that the store cannot reach may not have noticed yet that it came back from an older copy.
+        // A gateway without a connection to the store may not have noticed yet that the store was restored.
         let is_doubted = report.store_era < self.store_era || self.statuses.is_doubted(now);
         match versions.peer_reports.get_mut(from) {
             Some((merged, at)) => {
@@ -163,7 +168,7 @@
             self.end_rollout(&service, Phase::RolledBack, now);
         }
         match stored_status {
-            // What others know of the store may be of before it came back from an older copy.
+            // Other gateways may report what the store said before it was restored from an older copy.
             StoredStatus::Ended(phase) if is_doubted => self.end_rollout(&service, phase, now),
             _ if is_doubted => {}
             StoredStatus::Ended(phase) => self.record_status(&service, &target, Some(phase), now),
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as this gateway sees them, with what the others have told.
+//! State of the rollouts of all services: orders, trials of unannounced versions, evidence and stored statuses.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,78 +15,86 @@
 
 pub(crate) use evidence::{AnswerSample, AnswerSignal};
 
-/// How long the others are told of an end: each of them hears of roll-outs once a second.
+/// Time for which the end of a rollout is reported to other gateways. Each of them receives reports about once a second.
 const END_REPORTED_FOR: Millis = Millis(5_000);
 
-/// Gateways that write that a version without an order has come into service, on average: all see it at the same time.
+/// Average number of gateways that write to the store that an unannounced version is in service. All gateways detect it
+/// at the same time, so each writes with a matching probability.
 const EXPECTED_WRITERS: usize = 2;
 
-/// Time for which an order is remembered that another one took the place of: copies from which the store comes back
-/// are some seconds old.
+/// Time for which superseded orders are remembered. Copies from which the store is restored are some seconds old.
 const SUPERSEDED_RETENTION: Millis = Millis(60_000);
 
+/// Versions of one service, and its rollout.
 #[derive(Debug, Default)]
 struct ServiceVersions {
     /// Versions in service.
     in_service: HashSet<VersionName>,
-    /// Versions that no order has named yet, and when they were first seen.
+    /// Versions that no order has named yet, and when each was first registered.
     unannounced_since: HashMap<VersionName, Millis>,
     /// Versions that were rolled back.
     rolled_back: HashSet<VersionName>,
-    /// Whether the store has said which versions are in service.
+    /// Whether the versions in service were read from the store.
     has_stored_versions: bool,
-    /// The last roll-out that an operator ordered.
+    /// The latest rollout ordered by an operator.
     canary: Option<Canary>,
-    /// The trial of a version that no order names, begun after that roll-out ended.
+    /// The trial of a version that no order names, started after the ordered rollout ended.
     unannounced_trial: Option<Canary>,
-    /// Orders that another one took the place of, and when.
+    /// Orders that were superseded by another one, and when.
     superseded: Vec<(RolloutOrder, Millis)>,
+    /// When the latest rollout or trial ended.
     ended_at: Option<Millis>,
+    /// Evidence from this gateway's own answers, by hash of the route's name.
     route_evidence: HashMap<u32, RouteEvidence>,
+    /// Latest report of each other gateway, and when it was received.
     peer_reports: HashMap<String, (RolloutReport, Millis)>,
+    /// Usual times of the current version by route hash and model index; `true` for gaps between events, `false` for
+    /// times to the first byte.
     usual_times: HashMap<(u32, usize, bool), UsualTime>,
-    /// Times of the version in service at the moment, and pauses between its events.
+    /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between events.
     recent_factors: [PresentTime; 2],
 }
 
-/// The versions of all services, and their roll-outs.
+/// The versions of all services, and their rollouts.
 #[derive(Debug)]
 pub struct Rollouts {
     policy: CanaryPolicy,
-    /// Sessions that have moved, as far as this gateway has sent, keeps or has asked for them.
+    /// Sessions that have moved to the target of a rollout: those that this gateway sent there, keeps for others or has
+    /// queried.
     pub(crate) moved_sessions: MovedSessions,
     services: HashMap<ServiceName, ServiceVersions>,
+    /// What is known of the statuses in the store.
     statuses: StatusBook,
-    /// Services of which this gateway should write which versions are in service.
+    /// Services whose versions in service this gateway should write to the store.
     unwritten_services: Vec<ServiceName>,
-    /// All orders given before then are known.
+    /// All orders written before this time are known.
     orders_as_of: Millis,
-    /// Latest era of the store that is known.
+    /// Latest known era of the store; each restore from an older copy starts a new one.
     store_era: u64,
-    /// Gateways that know of each other, this one included.
+    /// Number of live gateways, including this one.
     fleet_size: usize,
-    /// Whether something has happened that the others should hear at once.
+    /// Whether a report must be sent to the other gateways without delay.
     has_urgent_report: bool,
 }
 
-/// A status that the store lacks.
+/// A rollout status that is missing in the store.
 #[derive(Clone, Debug)]
 pub struct DueStatus {
     /// The service.
     pub service: ServiceName,
-    /// The version that is rolled out.
+    /// The version being rolled out.
     pub target: VersionName,
-    /// Where the roll-out stands.
+    /// Phase of the rollout.
     pub phase: Phase,
 }
 
-/// A roll-out that changed its phase, and on which evidence.
+/// A rollout's change of phase, and the evidence for it.
 #[derive(Clone, Debug)]
 pub(crate) struct PhaseChange {
     pub(crate) service: ServiceName,
     pub(crate) target: VersionName,
     pub(crate) phase: Phase,
-    /// What was known.
+    /// Evidence of the whole fleet at that time.
     pub(crate) evidence: Shared,
 }
 
@@ -105,12 +113,12 @@
         }
     }
 
-    /// Notes how many gateways know of each other, this one included.
+    /// Sets the number of live gateways, including this one.
     pub(crate) fn set_fleet_size(&mut self, fleet: usize) {
         self.fleet_size = fleet;
     }
 
-    /// Takes an operator's order that a copy of the store has; `false` if it is known, or another one has taken its place.
+    /// Starts the rollout for an operator's order read from the store; returns `false` if the order is known or superseded.
     pub(crate) fn add_order(
         &mut self,
         service: &ServiceName,
@@ -123,13 +131,14 @@
         if versions.canary.as_ref().is_some_and(|c| *c.order() == order) {
             return false;
         }
-        // A store that comes back from an older copy has the order before again: carried out once more, it would take a
-        // version out of service that was put there since.
+        // A store restored from an older copy contains the previous order again. Executing it once more would take a version
+        // out of service that has come into service since.
         versions.superseded.retain(|(_, at)| now.since(*at) < SUPERSEDED_RETENTION);
         if versions.superseded.iter().any(|(earlier, _)| *earlier == order) {
             return false;
         }
-        // An order in an older copy may be the one before that under way, which the operator then gives again.
+        // The order in an older copy may be the one before the active order, which the operator then writes again. So the
+        // active order must not count as superseded.
         if copy == StoreCopy::Current {
             versions.superseded.extend(versions.canary.as_ref().map(|c| (c.order().clone(), now)));
         }
@@ -146,8 +155,8 @@
         true
     }
 
-    /// Takes what the store says of a roll-out: how it ended, or that it runs. One that another gateway
-    /// ended has ended here too.
+    /// Records a rollout's status in the store: how it ended, or `None` while it is running. A rollout that another gateway
+    /// ended is ended here as well.
     pub fn record_status(
         &mut self,
         service: &ServiceName,
@@ -163,19 +172,18 @@
         }
     }
 
-    /// Notes the store's era, as its first answer names it.
+    /// Sets the store's era, from its first response.
     pub(crate) fn set_store_era(&mut self, era: u64) {
         self.store_era = era;
     }
 
-    /// Doubts what the store said of roll-outs: it has come back from an older copy, and is in another era.
+    /// Invalidates the known statuses after the store was restored from an older copy, which starts another era.
     pub(crate) fn store_restored(&mut self, era: u64, now: Millis) {
         self.store_era = era;
         self.statuses.doubt(now);
     }
 
-    /// Notes that this gateway has written a status. The others hear of it at once, so that they need not
-    /// look.
+    /// Records that this gateway has written a status. It is reported to the others at once, so that they need not read it.
     pub(crate) fn record_written_status(
         &mut self,
         service: &ServiceName,
@@ -187,7 +195,7 @@
         self.has_urgent_report = true;
     }
 
-    /// Says whether the others should hear at once of what happened here since this was last asked.
+    /// Returns whether a report must be sent without delay, and clears that mark.
     pub(crate) fn take_urgent_report(&mut self) -> bool {
         std::mem::take(&mut self.has_urgent_report)
     }
@@ -196,7 +204,7 @@
         let Some(versions) = self.services.get_mut(service) else { return };
         let had_ended = versions.ended_at.is_some();
         let Some(canary) = versions.latest_mut() else { return };
-        // The word on an end comes again, and other versions may have come into service since.
+        // Reports of an end are repeated, and other versions may have come into service since the first one.
         let was_done = had_ended && canary.phase() == Phase::Done;
         canary.end(phase);
         let (target, is_announced) = (canary.order().target.clone(), canary.is_announced());
@@ -220,13 +228,13 @@
         }
     }
 
-    /// Returns the roll-out of a service that is under way, or the last one.
+    /// Returns the active rollout or trial of a service, or else the last one.
     pub(crate) fn canary(&self, service: &ServiceName) -> Option<&Canary> {
         self.services.get(service)?.latest()
     }
 
-    /// Returns whether the session of a request that was sent to a version has moved with it. Others need not know once
-    /// all gateways know that the target is in service.
+    /// Returns whether sending a request to a version moves its session there. Moves need no record once all gateways know
+    /// that the target is in service.
     pub(crate) fn moves_session(
         &self,
         service: &ServiceName,
@@ -240,8 +248,7 @@
         })
     }
 
-    /// Counts a send of a request that has `reached` a version of its service before; returns what it has
-    /// reached then.
+    /// Counts one send of a request. `reached` is the arm that earlier sends of it reached; returns the arm reached now.
     pub(crate) fn record_send(
         &mut self,
         service: &ServiceName,
@@ -254,7 +261,7 @@
         Some(canary.map_or(arm, |canary| canary.sent(reached, arm, now)))
     }
 
-    /// Moves all roll-outs on; returns those that changed their phase.
+    /// Advances all rollouts; returns those that changed phase.
     pub(crate) fn step(&mut self, now: Millis) -> Vec<PhaseChange> {
         let mut changes = Vec::new();
         for (service, versions) in &mut self.services {
@@ -283,8 +290,7 @@
         changes
     }
 
-    /// Returns the roll-out whose status this gateway should write first, with its phase, and the time after which
-    /// it should.
+    /// Returns the status that this gateway should write next, and the delay after which it should.
     pub fn due_status(&mut self, now: Millis) -> Option<(Millis, DueStatus)> {
         let (fleet, statuses) = (self.fleet_size, &mut self.statuses);
         let due = self.services.iter().filter_map(|(service, v)| {
@@ -298,7 +304,7 @@
         due.min_by_key(|(due, _)| *due)
     }
 
-    /// Says whether no roll-out is under way, and the store lacks no word on any.
+    /// Returns whether no rollout is active and no status is missing in the store.
     pub fn is_idle(&self) -> bool {
         self.services.iter().all(|(service, v)| match &v.canary {
             _ if v.unannounced_trial.as_ref().is_some_and(|c| c.phase() < Phase::Done) => false,
@@ -310,7 +316,7 @@
 }
 
 impl ServiceVersions {
-    /// Returns the roll-out or trial that began last.
+    /// Returns the rollout or trial that started last.
     fn latest(&self) -> Option<&Canary> {
         self.unannounced_trial.as_ref().or(self.canary.as_ref())
     }
@@ -319,7 +325,7 @@
         self.unannounced_trial.as_mut().or(self.canary.as_mut())
     }
 
-    /// Begins a roll-out or a trial, of which nothing is known yet.
+    /// Starts a rollout or a trial, without evidence from earlier ones.
     fn start(&mut self, canary: Canary) {
         self.route_evidence.clear();
         self.peer_reports.clear();
--- a/gateway/src/rollouts/versions.rs
+++ b/gateway/src/rollouts/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service are in service, and what becomes of those that no order names.
+//! Which versions of a service are in service, and how versions without an order are tried.
 
 use std::collections::BTreeSet;
 
@@ -6,15 +6,16 @@
 
 use super::{END_REPORTED_FOR, Rollouts};
 
-/// Time for which a version that no order names gets nothing while others are left: its order may come that much later
-/// than its servers.
+/// Time for which a version that no order names gets no requests while other versions have servers. Its order may be
+/// written that much later than its servers register.
 const UNANNOUNCED_HOLD: Millis = Millis(10_000);
 
 impl Rollouts {
-    /// Takes a version that a backend server has registered with.
+    /// Adds the version of a registered backend server.
     ///
-    /// What the first list shows is in service, but for the target of an order, where the store has not said what is: this
-    /// process has just started, and whatever it has not seen begin was there before it.
+    /// If the store has no record of the versions in service, all versions in the first server list count as in service,
+    /// except the target of an order: this process has just started, so they were there before it. The first version of
+    /// a service is in service as well. Any other waits for an order or a trial.
     pub(crate) fn add_version(
         &mut self,
         service: &ServiceName,
@@ -36,11 +37,11 @@
         }
     }
 
-    /// Notes that all orders given before `began` are known here; returns versions whose trial begins as none names them, and
-    /// when each was first seen.
+    /// Records that all orders written before `began` are known, and starts due trials of versions that none of them names.
+    /// Returns these versions and when each was first registered.
     ///
-    /// Servers of a new version may register some time before the order for it is given. Until then they get nothing while
-    /// others are left: a bad version would have its part of the traffic at each gateway.
+    /// Servers of a new version may register some time before the order for it is written. Until then they get no requests
+    /// while other versions have servers; otherwise a bad version would get its share of the traffic at each gateway.
     pub(crate) fn advance_orders_as_of(
         &mut self,
         began: Millis,
@@ -77,8 +78,8 @@
         started
     }
 
-    /// Takes which versions the store says are in service, before the first list of servers is known. Others on that list have
-    /// been seen to begin by other gateways only, and wait for an order or a trial.
+    /// Sets the versions in service from the store's record, before the first list of servers is read. Any other version on
+    /// that list has appeared since the record was written, and waits for an order or a trial.
     pub(crate) fn set_stored_versions(
         &mut self,
         service: &ServiceName,
@@ -102,19 +103,20 @@
         in_service.map(|(service, _)| service.clone()).collect()
     }
 
-    /// Takes the services of which this gateway should write which versions are in service.
+    /// Removes and returns the services whose versions in service this gateway should write to the store.
     pub fn take_unwritten_services(&mut self) -> Vec<ServiceName> {
         std::mem::take(&mut self.unwritten_services)
     }
 
-    /// Says whether a version that no order names may serve where no other is left.
+    /// Returns whether a version that no order names may serve when no other has servers. It may only once all orders
+    /// written before it was first registered are known.
     pub(crate) fn is_last_resort(&self, service: &ServiceName, version: &VersionName) -> bool {
         let versions = self.services.get(service);
         let seen_at = versions.and_then(|v| v.unannounced_since.get(version));
         seen_at.is_some_and(|at| *at <= self.orders_as_of)
     }
 
-    /// Says to which arm a version belongs; `None` if it may not be used.
+    /// Returns the arm to which a version belongs; `None` if it may not be used.
     pub(crate) fn arm_of(&self, service: &ServiceName, version: &VersionName) -> Option<Arm> {
         let versions = self.services.get(service)?;
         match versions.latest() {
