--- a/gateway/src/exchange/age.rs
+++ b/gateway/src/exchange/age.rs
@@ -20,8 +20,8 @@
 
 /// Watches the age of the operator's topic forever, and logs it with the reason while it is stale.
 ///
-/// Callers get 404 both for a configuration that is not in force yet and for one that was never written. These log lines
-/// show which hosts are behind, since when and why.
+/// Callers get 404 both for a configuration that is not in force yet and for one that was never written. These log
+/// lines show which hosts are behind, since when and why.
 pub async fn watch_orders_age(gw: Rc<Gateway>) {
     let stale_after = Millis(gw.settings.feeds.orders.0 * STALE_AFTER_PERIODS);
     let mut logged_at = Millis(0);
--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -16,12 +16,12 @@
 use crate::gateway::Gateway;
 use crate::upstream::HttpConnection;
 
-/// Longest wait for data from the other gateway. Encoding a reply takes about 10 ms of a whole core, and ten times as long on
-/// a host with a tenth of a core.
+/// Longest wait for data from the other gateway. Encoding a reply takes about 10 ms of a whole core, and ten times as
+/// long on a host with a tenth of a core.
 const IDLE_TIMEOUT: Millis = Millis(1_000);
 
-/// Average time between two requests of the fleet to one gateway. Serving a request takes about 0.2 ms of a whole core, and
-/// hosts have a tenth of a core.
+/// Average time between two requests of the fleet to one gateway. Serving a request takes about 0.2 ms of a whole core,
+/// and hosts have a tenth of a core.
 const REQUEST_SPACING: Millis = Millis(2);
 
 /// Longest random delay of a request. It is shorter than the time after which a waiting gateway reads the store.
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -58,8 +58,8 @@
     }
 }
 
-/// Encodes the server list and its age for a gateway that knows the feed up to `next`; `None` if this gateway is not ahead
-/// of it.
+/// Encodes the server list and its age for a gateway that knows the feed up to `next`; `None` if this gateway is not
+/// ahead of it.
 fn encode_servers_reply(gw: &Gateway, next: Option<u64>) -> Option<Vec<u8>> {
     let (own_next, as_of) =
         gw.with_feeds(|feeds| (feeds.next(Feed::Servers), feeds.as_of(Feed::Servers)));
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -22,9 +22,9 @@
     servers: Vec<ServerWire>,
     /// Servers in the list whose records were removed, and the milliseconds until they count as gone.
     ///
-    /// A removal soon after an outage of the store may only mean that the record could not be renewed, so the server is kept
-    /// for a while. Without this field, a receiver that had already read the removal kept the server forever: a server that
-    /// had left got requests 4.2 s later, where 4 s are allowed.
+    /// A removal soon after an outage of the store may only mean that the record could not be renewed, so the server is
+    /// kept for a while. Without this field, a receiver that had already read the removal kept the server forever: a
+    /// server that had left got requests 4.2 s later, where 4 s are allowed.
     lapsing: Vec<(String, u32)>,
     /// Milliseconds for which lists that the sender reads may still come from an older copy of the store.
     copies_left: u32,
@@ -32,8 +32,8 @@
 
 /// An encoded server list, cached for requests of other gateways.
 ///
-/// A hundred gateways request the list at once after many servers have registered. Encoding it for each of them took about
-/// 0.1 s of a core, which is a second on a host with a tenth of a core.
+/// A hundred gateways request the list at once after many servers have registered. Encoding it for each of them took
+/// about 0.1 s of a core, which is a second on a host with a tenth of a core.
 #[derive(Clone, Debug)]
 pub(crate) struct EncodedServerList {
     next: u64,
--- a/gateway/src/exchange/snapshot.rs
+++ b/gateway/src/exchange/snapshot.rs
@@ -84,7 +84,8 @@
 }
 
 impl OrderSnapshots {
-    /// Applies the records of a read that started at `as_of`: the newest record of each key if `is_all`, otherwise new ones.
+    /// Applies the records of a read that started at `as_of`: the newest record of each key if `is_all`, otherwise new
+    /// ones.
     pub(crate) fn record_read(
         &mut self,
         records: &[Record],
@@ -132,8 +133,8 @@
         self.newest.as_ref().map(|snapshot| snapshot.digest)
     }
 
-    /// Builds the reply to a gateway that has the snapshot `caller_base` and knows the feed up to `next`; `None` if this
-    /// gateway is not ahead of it.
+    /// Builds the reply to a gateway that has the snapshot `caller_base` and knows the feed up to `next`; `None` if
+    /// this gateway is not ahead of it.
     pub(super) fn reply_to(
         &mut self,
         caller_base: Option<Digest>,
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -1,4 +1,5 @@
-//! Passing the operator's records on: what is written is read again, and nothing else is taken.
+//! Exchange of orders and backend servers between gateways: encoded data decodes to the same, and invalid data is
+//! refused.
 
 use bytes::Bytes;
 use redwingfold_core::{BackendServer, Millis, Registry, ServerState};
@@ -9,7 +10,7 @@
 
 const MAX: usize = 16 * 1024 * 1024;
 
-/// Text of a configuration with a number of routes, of which those from `first` on are told apart by a seed.
+/// Returns the text of a configuration with `routes` routes. Those from `first` on depend on the seed.
 fn config(routes: usize, first: usize, seed: u64) -> Bytes {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut other = fastrand::Rng::with_seed(seed);
@@ -49,9 +50,9 @@
     from.reply_to(to.digest(), Some(next), Millis(40)).expect("it ahead more")
 }
 
-/// A change that touches one route of 4,250 is passed on in a thousandth of the configuration's length, and
-/// one that adds a third of the routes in a fiftieth. A gateway behind 10 Mbit/s has it in some
-/// 10 ms, where the store's 0.8 MB take 680 ms.
+/// Guards against a gateway on a slow link waiting for whole configurations. The delta for one new route among 4,250
+/// takes less than a thousandth of the configuration's length, and for a third more routes less than a fiftieth. At 10
+/// Mbit/s, the whole configuration of 0.8 MB takes 680 ms, a delta about 10 ms.
 #[test]
 fn change_in_a_large_configuration_takes_few_bytes() {
     let before = config(4_250, 4_250, 0);
@@ -63,8 +64,8 @@
     }
 }
 
-/// Between two reads of a gateway some versions came. Another one that is as far behind as that gets the difference;
-/// one that is further behind, or has just started, gets all of it; one that knows as much gets nothing.
+/// A gateway that is up to four snapshots behind gets a delta. One that is further behind or has just started gets the
+/// whole snapshot, and one that is not behind gets nothing.
 #[test]
 fn whoever_is_behind_gets_the_newest() {
     let configs: Vec<_> = (0..8).map(|n| config(500 + n, 500, n as u64)).collect();
@@ -86,8 +87,8 @@
     assert!(ahead.reply_to(behind[0].digest(), Some(8), Millis(90)).is_none());
 }
 
-/// A key is dropped, another one changes, and all of them are read anew: whoever fetched them has what was
-/// read, in every order of reads and fetches.
+/// Keys are deleted and changed, and sometimes all are read anew. In every order of reads and fetches, the fetching
+/// gateway has the same records as the reading one.
 #[test]
 fn fetched_records_are_those_that_were_read() {
     let mut rng = fastrand::Rng::with_seed(21);
@@ -104,8 +105,8 @@
     }
 }
 
-/// An answer that was cut, spoilt, or made from what this gateway does not have is not taken, and changes
-/// nothing; nor is one that would take more memory than there is for it.
+/// A reply that is truncated, corrupt, based on an unknown snapshot or above the size limit is refused and changes
+/// nothing.
 #[test]
 fn offer_that_does_not_fit_is_not_taken() {
     let (before, after) = (config(300, 300, 0), config(310, 300, 1));
@@ -146,10 +147,9 @@
     }
 }
 
-/// Requests reach a server 4.2 s after it has left. Its record was removed soon after an outage, so that the gateway
-/// that read it keeps the server for two seconds; another one that missed the removal gets the list of that gateway
-/// meanwhile, in which the server stands like all others, and never hears that it went. Logged:
-/// `servers_heard next=774` at 26.2 s by a gateway that sent to it at 29.5 s, `server_removed` at six of 103.
+/// Guards against requests to a server more than 4 s after it has left. Its record is removed soon after an outage, so
+/// the gateway that read the removal keeps the server for two more seconds. A gateway that missed the removal fetches
+/// that gateway's list meanwhile, and must not keep the server longer than that.
 #[test]
 fn server_that_is_about_to_go_goes_where_the_list_was_passed_on() {
     let mut read = Registry::default();
@@ -168,7 +168,7 @@
     assert_eq!(later, ["stays"]);
 }
 
-/// Guards against a gateway that starts during a store outage and learns of a leaving server as ready from another one.
+/// Guards against a gateway that starts during a store outage and gets a leaving server as ready from another gateway.
 #[test]
 fn leaving_server_is_passed_on_as_draining() {
     let mut read = Registry::default();
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -21,8 +21,8 @@
 pub(crate) enum Audience {
     /// All gateways, so that none of them needs to read the store.
     All,
-    /// A few, so that they have one more gateway to fetch from. All have already heard from the gateway that read the store,
-    /// which can't serve all of them at once.
+    /// A few, so that they have one more gateway to fetch from. All have already heard from the gateway that read the
+    /// store, which can't serve all of them at once.
     Few,
 }
 
@@ -165,8 +165,8 @@
         self.unsent_servers = Some((next, began, audience));
     }
 
-    /// Records that the whole list of servers as of `as_of` was fetched from another gateway. The changes up to then are
-    /// unknown, but a few gateways hear that they can fetch the list here as well.
+    /// Records that the whole list of servers as of `as_of` was fetched from another gateway. The changes up to then
+    /// are unknown, but a few gateways hear that they can fetch the list here as well.
     pub(crate) fn record_fetched_servers(&mut self, as_of: Millis, next: u64) {
         self.servers.lose();
         self.record_servers(as_of, next, Vec::new(), Audience::Few);
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway: what it believes, and what is under way.
+//! The state of a gateway process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -26,42 +26,43 @@
 use crate::settings::GatewaySettings;
 use crate::turns::TurnWaiters;
 
-/// Time after its start for which a gateway's requests wait for what is known of those under which servers ended.
+/// Longest time after its start for which a gateway's requests wait for the marks of requests during which servers
+/// ended.
 const MARKS_WAIT_LIMIT: Millis = Millis(1_000);
 
-/// Whether a gateway takes requests.
+/// Whether a gateway accepts requests.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Lifecycle {
-    /// It takes them.
+    /// It accepts them.
     #[default]
     Serving,
-    /// It will stop: it is not ready, and closes each connection after its answer.
+    /// It will stop: it reports not ready, and closes each connection after the response.
     Draining,
-    /// It ends what is under way, and takes only what surely ends before it does.
+    /// It finishes requests in flight, and accepts only those that are certain to finish before the stop deadline.
     Stopping,
 }
 
-/// Which copy of the store a whole list comes from.
+/// The copy of the store from which a whole list was read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreCopy {
-    /// One that is older than what is known here: the store has come back from it.
+    /// An older copy, from which the store was restored; this gateway may know newer records.
     Older,
-    /// One that has all that it had acknowledged.
+    /// A copy with all writes that the store acknowledged.
     Current,
 }
 
-/// How a configuration came to a gateway.
+/// Size of a configuration, and the time it took to load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigSource {
-    /// Its length on the wire.
+    /// Length on the wire, in bytes.
     pub bytes: usize,
-    /// Time that reading it took.
+    /// Time taken by reading.
     pub read: Millis,
-    /// Time that decoding it took.
+    /// Time taken by decoding.
     pub decode: Millis,
 }
 
-/// What one process believes, decides and has under way. It belongs to one thread.
+/// The state of one gateway process. It belongs to one thread.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) header_codec: HeaderCodec,
@@ -80,9 +81,9 @@
     pub(crate) session_keepers: SessionKeepers,
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<OrderSnapshots>,
-    /// Runs that ended, and servers that did.
+    /// Runs and servers that ended.
     pub(crate) ends: Rc<RefCell<ServerEnds>>,
-    /// A server was looked at whose runs broke off.
+    /// Notified when a server whose runs broke off was checked.
     pub(crate) server_checked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) claims: RefCell<VecDeque<TrialClaim>>,
@@ -93,19 +94,19 @@
     pub(crate) server_limits: RefCell<ServerLimits>,
     pub(crate) leaving_servers: RefCell<LeavingServers>,
     pub(crate) retry_after: RefCell<RetryAfterTimes>,
-    /// Marks of requests are to be written, or a trial is asked for.
+    /// Notified when marks of requests must be written, or a trial is requested.
     pub(crate) marks_changed: Event,
-    /// When the store came back from an older copy.
+    /// When the store was last restored from an older copy.
     pub(crate) restored_at: Cell<Option<Millis>>,
-    /// Why the operator's topic could not be read the last time.
+    /// Why the last read of the operator's topic failed.
     pub(crate) orders_read_error: RefCell<Option<String>>,
-    /// Other gateways that told how far they know the operator's topic.
+    /// Positions of other gateways in the operator's topic.
     pub(crate) orders_leads: RefCell<Leads<SocketAddr>>,
-    /// The same for backend servers.
+    /// Positions of other gateways in the feed of backend servers.
     pub(crate) servers_leads: RefCell<Leads<SocketAddr>>,
-    /// The list of servers as it was last written for another gateway.
+    /// The server list as last encoded for another gateway.
     pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
-    /// Another gateway knows more of one of them.
+    /// Notified when another gateway is ahead in one of these feeds.
     pub(crate) peer_ahead: Event,
     budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
     pub(crate) connect_times: Cell<ConnectTimes>,
@@ -115,8 +116,9 @@
     pressure: Cell<Pressure>,
     lifecycle: Cell<Lifecycle>,
     stop_deadline: Cell<Millis>,
+    /// Notified when the configuration, the servers or the lifecycle changed.
     pub(crate) state_changed: Event,
-    /// Something that the peers should hear at once.
+    /// Notified when there is something to send to the peers at once.
     pub(crate) gossip_due: Event,
 }
 
@@ -127,7 +129,7 @@
 }
 
 impl Gateway {
-    /// Makes a gateway that knows no configuration yet.
+    /// Makes a gateway without a configuration.
     pub fn new(
         settings: GatewaySettings,
         header_codec: HeaderCodec,
@@ -137,7 +139,7 @@
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
         let connect_times = ConnectTimes::new(settings.connect_timeout);
-        // Servers end before many gateways at once; marks that all of them wrote at the same moment would hold each other up.
+        // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
         let hold = settings.quarantine.hold;
         let hold = hold.after(Millis(fastrand::u64(0..=hold.0 / 2)));
         let quarantine = Quarantine::new(QuarantinePolicy { hold, ..settings.quarantine });
@@ -190,17 +192,17 @@
         }
     }
 
-    /// Returns the present.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Returns where it logs and counts.
+    /// Returns the sink of logs and metrics.
     pub fn telemetry(&self) -> &Telemetry {
         &self.telemetry
     }
 
-    /// Takes the regions of failure domains.
+    /// Sets the regions of failure domains.
     pub fn set_regions(&self, regions: Regions) {
         *self.regions.borrow_mut() = regions;
     }
@@ -210,11 +212,10 @@
         self.catalog.borrow().clone()
     }
 
-    /// Puts a configuration in force, unless it is older than the present one.
+    /// Puts a configuration in force, unless the one in force is as new or newer.
     ///
-    /// A store that lost its newest records, or reads that overtake each other, would otherwise
-    /// bring dropped keys and routes back.
-    /// `source` says for the log how it came.
+    /// Otherwise a store that lost its newest records, or reads that overtake each other, would bring deleted keys and
+    /// routes back. `source` is logged.
     pub fn configure(&self, catalog: Catalog, source: &ConfigSource) {
         let version = catalog.version;
         let present = self.catalog().map_or(0, |c| c.version);
@@ -238,15 +239,15 @@
         self.telemetry.gauge("config.version", version);
     }
 
-    /// Takes the store's era, as its first answer names it.
+    /// Sets the store's era, from its first response.
     pub fn set_store_era(&self, era: u64) {
         self.with_rollouts(|r| r.set_store_era(era));
     }
 
-    /// Takes that the store has come back from an older copy, as its eras say.
+    /// Handles a restore of the store from an older copy, which shows in its era.
     ///
-    /// What is in force stays so until the store, written again, says otherwise; what others wrote there is written again
-    /// by them, and what gateways wrote by the tasks that wrote it.
+    /// The state in force is kept until the rewritten store differs from it. Lost records are rewritten by their
+    /// authors: those of gateways by the tasks that wrote them.
     pub fn store_restored(&self, before: u64, era: u64) {
         let now = self.now();
         self.telemetry.count("store.restored", 1);
@@ -257,18 +258,18 @@
         self.with_rollouts(|r| r.store_restored(era, now));
     }
 
-    /// Works with the roll-outs.
+    /// Calls a function with the rollouts.
     pub fn with_rollouts<T>(&self, f: impl FnOnce(&mut Rollouts) -> T) -> T {
         f(&mut self.rollouts.borrow_mut())
     }
 
-    /// Works with the feeds that gateways read together.
+    /// Calls a function with the feeds whose reads the gateways share.
     pub fn with_feeds<T>(&self, f: impl FnOnce(&mut Feeds) -> T) -> T {
         f(&mut self.feeds.borrow_mut())
     }
 
-    /// Takes an own read of servers that began at `began` and ended at offset `next`, with what it
-    /// changed.
+    /// Records this gateway's own read of servers, which started at `began` and ended at offset `next`, and its
+    /// changes.
     pub fn record_servers_read(&self, began: Millis, next: u64, changes: Vec<ServerChange>) {
         self.with_feeds(|feeds| feeds.record_servers_read(began, next, changes));
         self.gossip_due.notify(usize::MAX);
@@ -294,7 +295,7 @@
         self.with_budget(service, |budget| budget.try_take(what, self.now()))
     }
 
-    /// Notes how long a connection to a server took, or that it did not come in time.
+    /// Records how long connecting to a server took; `None` if it timed out.
     pub(crate) fn record_connect_time(&self, took: Option<Millis>) {
         let mut times = self.connect_times.get();
         match took {
@@ -304,23 +305,23 @@
         self.connect_times.set(times);
     }
 
-    /// Counts how long a first try waited for its first byte.
+    /// Records the time to the first byte of a request's first attempt, and the target for it.
     pub(crate) fn record_first_attempt(&self, took: Millis, aim: Millis) {
         let mut pressure = self.pressure.get();
         pressure.tried(took, aim);
         self.pressure.set(pressure);
     }
 
-    /// Returns the pressure on the engines, as first tries feel it.
+    /// Returns the pressure on the engines, measured by first attempts.
     pub(crate) fn pressure(&self) -> f64 {
         self.pressure.get().value()
     }
 
-    /// Says whether callers should be sent here; `Err` says why not.
+    /// Returns whether callers should be routed to this gateway.
     ///
     /// # Errors
     ///
-    /// While it leaves, or knows no configuration or no list of servers.
+    /// The reason, if it is stopping or has no configuration or no list of servers yet.
     pub fn is_ready(&self) -> Result<(), &'static str> {
         match self.lifecycle() {
             Lifecycle::Draining | Lifecycle::Stopping => Err("stopping"),
@@ -330,29 +331,29 @@
         }
     }
 
-    /// Returns whether it takes requests.
+    /// Returns whether the gateway accepts requests.
     pub fn lifecycle(&self) -> Lifecycle {
         self.lifecycle.get()
     }
 
-    /// Begins to leave: it is not ready any more, and ends at a time at the latest.
+    /// Starts draining: the gateway is no longer ready, and stops at `ends_at` at the latest.
     pub fn begin_drain(&self, ends_at: Millis) {
         self.stop_deadline.set(ends_at);
         self.set_lifecycle(Lifecycle::Draining);
     }
 
-    /// Takes nothing new from now on.
+    /// Stops accepting requests.
     pub fn close(&self) {
         self.stop_deadline.set(self.now());
         self.set_lifecycle(Lifecycle::Stopping);
     }
 
-    /// Returns when it ends at the latest.
+    /// Returns the time at which the gateway stops at the latest.
     pub(crate) fn stop_deadline(&self) -> Millis {
         self.stop_deadline.get()
     }
 
-    /// Moves on towards its end.
+    /// Sets the lifecycle state.
     pub fn set_lifecycle(&self, lifecycle: Lifecycle) {
         self.lifecycle.set(lifecycle);
         self.state_changed.notify(usize::MAX);
@@ -369,11 +370,11 @@
         }
     }
 
-    /// Waits until it knows under which requests servers have ended; not for long after its start, as the store may be
-    /// away while other gateways tell the rest.
+    /// Waits until the marks of requests during which servers ended are known. The wait is short and happens only after
+    /// the start, as the store may be unavailable while other gateways send the marks.
     ///
-    /// Load pattern: all gateways are lost while a request comes again and again under which servers end. The first
-    /// to be ready sent it to servers before it had read what was known of it.
+    /// Load pattern: all gateways restart while a request that ends servers is repeated. Without the wait, the first
+    /// ready gateway sent it to servers before it had read its marks.
     pub(crate) async fn wait_for_marks(&self) {
         let until = self.started_at.after(MARKS_WAIT_LIMIT);
         while self.now() < until {
@@ -385,7 +386,7 @@
         }
     }
 
-    /// Waits until it only ends what is under way.
+    /// Waits until the gateway is stopping.
     pub(crate) async fn wait_until_stopping(&self) {
         while self.lifecycle() != Lifecycle::Stopping {
             let changed = self.state_changed.listen();
@@ -396,12 +397,12 @@
         }
     }
 
-    /// Returns the number of requests under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Returns the number of open connections of callers.
+    /// Returns the number of open connections from callers.
     pub fn open_connections(&self) -> usize {
         self.connections.get()
     }
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -1,4 +1,4 @@
-//! Orders and statuses of roll-outs through restores of the store, in virtual time.
+//! Simulations of rollouts while the store is restored from older copies, in virtual time.
 
 use redwingfold_core::{
     CanaryPolicy, Millis, OrderAge, Phase, RolloutOrder, RouteName, ServiceName, VersionName,
@@ -10,35 +10,35 @@
 /// Length of a step, in milliseconds.
 const STEP: u64 = 50;
 
-/// Time in which things go wrong.
+/// Time during which faults are injected, in milliseconds.
 const SPAN: u64 = 36_000;
 
-/// Time in which gateways settle afterwards: those that all start anew begin the roll-out anew, and wait up to twenty
+/// Time to settle afterwards, in milliseconds. If all gateways restart, they restart the rollout, and wait up to twenty
 /// seconds after its window for answers under full traffic.
 const SETTLE: u64 = 36_000;
 
-/// Window of each roll-out.
+/// Window of each rollout, in milliseconds.
 const WINDOW: u64 = 10_000;
 
-/// When the operator orders the second version.
+/// Time of the operator's second order, in milliseconds.
 const SECOND_ORDER_AT: u64 = 20_000;
 
-/// Longest time until the operator writes an order again that the store lacks.
+/// Longest time until the operator rewrites an order that the store has lost, in milliseconds.
 const WRITTEN_AGAIN: u64 = 3_000;
 
-/// Longest time between two reads of the orders by one gateway, and until it has noticed a restore.
+/// Longest time between two reads of the orders by one gateway, and until it notices a restore, in milliseconds.
 const READ_EVERY: u64 = 900;
 
-/// Part of the messages between gateways, and of the store's answers, that is lost.
+/// Share of the messages between gateways, and of the store's responses, that is lost.
 const LOST: f64 = 0.1;
 
-/// What the store has.
+/// Content of the store.
 #[derive(Clone, Default)]
 struct Store {
     order: Option<VersionName>,
-    /// The version, and how its roll-out ended if it has.
+    /// The version, and how its rollout ended if it has.
     status: Option<(VersionName, Option<Phase>)>,
-    /// Number of the records of statuses.
+    /// Number of status records.
     records: usize,
     era: u32,
 }
@@ -46,7 +46,7 @@
 struct Gateway {
     rollouts: Rollouts,
     era: Option<u32>,
-    /// Up to which record it has read statuses.
+    /// Position up to which it has read statuses: era and number of records.
     next: Option<(u32, usize)>,
     reads_at: u64,
     read_at: Option<u64>,
@@ -54,9 +54,9 @@
     read_era: Option<u32>,
     cut_until: u64,
     started_at: u64,
-    /// The version that it rolls out, and whether it has seen the end of that.
+    /// The version that it rolls out, and whether that rollout has ended.
     known: Option<(VersionName, bool)>,
-    /// Versions whose orders it knows to have been replaced.
+    /// Versions whose orders were superseded by another one.
     replaced: Vec<VersionName>,
 }
 
@@ -84,7 +84,7 @@
         self.rollouts.canary(&service()).map(|canary| canary.order().target.clone())
     }
 
-    /// Notices with an answer of the store that it has come back from an older copy.
+    /// Detects by the era in a response that the store was restored from an older copy.
     fn notice(&mut self, store: &Store, now: Millis) {
         match self.era.replace(store.era) {
             None => self.rollouts.set_store_era(store.era.into()),
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Reads a status that it has not read and writes what is due, on the condition that nobody wrote since; returns whether it wrote.
+    /// Reads the status if it is new, and writes the due one; the simulated write is atomic with the read. Returns
+    /// whether it wrote.
     fn write_status(&mut self, store: &mut Store, is_lost: bool, now: Millis) -> bool {
         let next = (store.era, store.records);
         let is_new = self.next.replace(next) != Some(next);
@@ -130,7 +131,7 @@
         true
     }
 
-    /// Checks what a gateway that runs through all of it must not do.
+    /// Checks that a gateway that is not restarted neither repeats a superseded rollout nor resumes one that has ended.
     fn check(&mut self, what: &str) {
         let (Some(target), Some(phase)) = (self.target(), self.phase()) else { return };
         let has_ended = phase >= Phase::Done;
@@ -153,20 +154,20 @@
 
 struct Fleet {
     store: Store,
-    /// What the store had, every step.
+    /// Content of the store at every step.
     copies: Vec<Store>,
     down_until: u64,
-    /// When the operator writes its newest order again.
+    /// When the operator rewrites the newest order.
     written_again_at: Option<u64>,
     gateways: Vec<Gateway>,
     rng: fastrand::Rng,
-    /// Records of statuses by era and version.
+    /// Status records written: era, version and how its rollout ended.
     written: Vec<(u32, VersionName, Option<Phase>)>,
 }
 
 impl Fleet {
     fn new(gateways: usize, seed: u64) -> Self {
-        // Roll-outs draw from the generator of the thread.
+        // Rollouts draw from the thread's generator.
         fastrand::seed(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let gateways = (0..gateways).map(|_| Gateway::new(0, &mut rng)).collect();
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Plays a good or a bad version, and then one that is good.
+    /// Simulates the rollout of a good or a bad version, and then of a good one.
     fn play(mut self, is_bad: bool, what: &str) -> Self {
         for ms in (0..SPAN + SETTLE).step_by(STEP as usize) {
             self.operate(ms);
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Lets a gateway see answers of both versions.
+    /// Records answers of both versions at a gateway.
     fn answer(&mut self, g: usize, is_bad: bool, ms: u64) {
         let (service, route) = (service(), RouteName::from("draft"));
         let gateway = &mut self.gateways[g];
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Checks what stands in the end, and what was written for it.
+    /// Checks the final state, and the statuses written on the way.
     fn check(&self, is_bad: bool, what: &str) {
         let end = Some((version(3), Some(Phase::Done)));
         assert_eq!(self.store.status, end, "{what}: what the operator reads");
@@ -305,8 +306,8 @@
     }
 }
 
-/// A roll-out's end that the store has lost is not written again, or written by each gateway; an order that was replaced is
-/// carried out once more; a gateway that starts anew goes on with a version that was rolled back.
+/// Guards against these faults after a restore: the lost end of a rollout is not written again, or is written by every
+/// gateway; a superseded order is executed once more; a restarted gateway resumes a rollout that was rolled back.
 #[test]
 fn rollouts_hold_through_restores() {
     for (gateways, seeds) in [(3, 60), (24, 12), (103, 2)] {
@@ -318,7 +319,8 @@
     }
 }
 
-/// A gateway that carries out the older order from a copy writes its status over that of the newer one, where it stays.
+/// Guards against a gateway that executes a superseded order from an older copy and overwrites the newer order's status
+/// for good.
 #[test]
 fn status_of_a_replaced_order_does_not_stay() {
     let what = "24 gateways, seed 305";
@@ -330,7 +332,8 @@
     rollouts.add_order(&service(), order, OrderAge::default(), copy, Millis(0))
 }
 
-/// An order that is given again after an older copy had the one before is refused, as if it had been replaced.
+/// Guards against refusing an order as superseded when the operator rewrites it after a restore brought the order
+/// before it back.
 #[test]
 fn order_is_taken_again_after_an_older_copy() {
     let mut rollouts = Gateway::new(0, &mut fastrand::Rng::with_seed(0)).rollouts;
@@ -340,7 +343,8 @@
     assert!(!order(&mut rollouts, version(2), StoreCopy::Older));
 }
 
-/// A gateway that has not noticed a restore says that the end of a roll-out stands, and nobody writes it again.
+/// Guards against a lost end of a rollout that nobody writes again, because a gateway that has not noticed the restore
+/// reports it as stored.
 #[test]
 fn word_of_an_earlier_era_lets_an_end_be_written_again() {
     let mut rng = fastrand::Rng::with_seed(0);
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -139,9 +139,9 @@
 
     /// Merges another gateway's report; returns `true` if it rolled the target back and this gateway had not.
     ///
-    /// Counts of other gateways arrive with a delay, so one gateway reaches the threshold for a rollback first. The others
-    /// follow its decision at once. Deciding on counts alone, one of three gateways rolled back while two completed the
-    /// rollout.
+    /// Counts of other gateways arrive with a delay, so one gateway reaches the threshold for a rollback first. The
+    /// others follow its decision at once. Deciding on counts alone, one of three gateways rolled back while two
+    /// completed the rollout.
     pub fn merge_report(&mut self, from: &str, report: RolloutReport, now: Millis) -> bool {
         let Some(versions) = self.services.get_mut(&report.service) else { return false };
         let Some(canary) = versions.latest_mut() else { return false };
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -15,7 +15,8 @@
 
 pub(crate) use evidence::{AnswerSample, AnswerSignal};
 
-/// Time for which the end of a rollout is reported to other gateways. Each of them receives reports about once a second.
+/// Time for which the end of a rollout is reported to other gateways. Each of them receives reports about once a
+/// second.
 const END_REPORTED_FOR: Millis = Millis(5_000);
 
 /// Average number of gateways that write to the store that an unannounced version is in service. All gateways detect it
@@ -51,7 +52,8 @@
     /// Usual times of the current version by route hash and model index; `true` for gaps between events, `false` for
     /// times to the first byte.
     usual_times: HashMap<(u32, usize, bool), UsualTime>,
-    /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between events.
+    /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between
+    /// events.
     recent_factors: [PresentTime; 2],
 }
 
@@ -118,7 +120,8 @@
         self.fleet_size = fleet;
     }
 
-    /// Starts the rollout for an operator's order read from the store; returns `false` if the order is known or superseded.
+    /// Starts the rollout for an operator's order read from the store; returns `false` if the order is known or
+    /// superseded.
     pub(crate) fn add_order(
         &mut self,
         service: &ServiceName,
@@ -131,14 +134,14 @@
         if versions.canary.as_ref().is_some_and(|c| *c.order() == order) {
             return false;
         }
-        // A store restored from an older copy contains the previous order again. Executing it once more would take a version
-        // out of service that has come into service since.
+        // A store restored from an older copy contains the previous order again. Executing it once more would take a
+        // version out of service that has come into service since.
         versions.superseded.retain(|(_, at)| now.since(*at) < SUPERSEDED_RETENTION);
         if versions.superseded.iter().any(|(earlier, _)| *earlier == order) {
             return false;
         }
-        // The order in an older copy may be the one before the active order, which the operator then writes again. So the
-        // active order must not count as superseded.
+        // The order in an older copy may be the one before the active order, which the operator then writes again. So
+        // the active order must not count as superseded.
         if copy == StoreCopy::Current {
             versions.superseded.extend(versions.canary.as_ref().map(|c| (c.order().clone(), now)));
         }
@@ -155,8 +158,8 @@
         true
     }
 
-    /// Records a rollout's status in the store: how it ended, or `None` while it is running. A rollout that another gateway
-    /// ended is ended here as well.
+    /// Records a rollout's status in the store: how it ended, or `None` while it is running. A rollout that another
+    /// gateway ended is ended here as well.
     pub fn record_status(
         &mut self,
         service: &ServiceName,
@@ -183,7 +186,8 @@
         self.statuses.doubt(now);
     }
 
-    /// Records that this gateway has written a status. It is reported to the others at once, so that they need not read it.
+    /// Records that this gateway has written a status. It is reported to the others at once, so that they need not read
+    /// it.
     pub(crate) fn record_written_status(
         &mut self,
         service: &ServiceName,
@@ -233,8 +237,8 @@
         self.services.get(service)?.latest()
     }
 
-    /// Returns whether sending a request to a version moves its session there. Moves need no record once all gateways know
-    /// that the target is in service.
+    /// Returns whether sending a request to a version moves its session there. Moves need no record once all gateways
+    /// know that the target is in service.
     pub(crate) fn moves_session(
         &self,
         service: &ServiceName,
@@ -248,7 +252,8 @@
         })
     }
 
-    /// Counts one send of a request. `reached` is the arm that earlier sends of it reached; returns the arm reached now.
+    /// Counts one send of a request. `reached` is the arm that earlier sends of it reached; returns the arm reached
+    /// now.
     pub(crate) fn record_send(
         &mut self,
         service: &ServiceName,
--- a/gateway/src/rollouts/versions.rs
+++ b/gateway/src/rollouts/versions.rs
@@ -13,9 +13,9 @@
 impl Rollouts {
     /// Adds the version of a registered backend server.
     ///
-    /// If the store has no record of the versions in service, all versions in the first server list count as in service,
-    /// except the target of an order: this process has just started, so they were there before it. The first version of
-    /// a service is in service as well. Any other waits for an order or a trial.
+    /// If the store has no record of the versions in service, all versions in the first server list count as in
+    /// service, except the target of an order: this process has just started, so they were there before it. The first
+    /// version of a service is in service as well. Any other waits for an order or a trial.
     pub(crate) fn add_version(
         &mut self,
         service: &ServiceName,
@@ -37,11 +37,12 @@
         }
     }
 
-    /// Records that all orders written before `began` are known, and starts due trials of versions that none of them names.
-    /// Returns these versions and when each was first registered.
+    /// Records that all orders written before `began` are known, and starts due trials of versions that none of them
+    /// names. Returns these versions and when each was first registered.
     ///
-    /// Servers of a new version may register some time before the order for it is written. Until then they get no requests
-    /// while other versions have servers; otherwise a bad version would get its share of the traffic at each gateway.
+    /// Servers of a new version may register some time before the order for it is written. Until then they get no
+    /// requests while other versions have servers; otherwise a bad version would get its share of the traffic at each
+    /// gateway.
     pub(crate) fn advance_orders_as_of(
         &mut self,
         began: Millis,
@@ -78,8 +79,8 @@
         started
     }
 
-    /// Sets the versions in service from the store's record, before the first list of servers is read. Any other version on
-    /// that list has appeared since the record was written, and waits for an order or a trial.
+    /// Sets the versions in service from the store's record, before the first list of servers is read. Any other
+    /// version on that list has appeared since the record was written, and waits for an order or a trial.
     pub(crate) fn set_stored_versions(
         &mut self,
         service: &ServiceName,
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -1,4 +1,7 @@
-//! Sessions that have moved to the version that is rolled out, shared with the gateways that keep them.
+//! Replicated records of the sessions that have moved to the target of a rollout.
+//!
+//! Each record is kept by a few gateways, the keepers of the session. They are ranked by a hash of session and address,
+//! so that all gateways find the same ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -17,41 +20,42 @@
 use crate::peer_message::PeerMessage;
 use crate::peer_table::PeerTable;
 
-/// Longest wait for the answers of a session's keepers.
+/// Longest wait for the replies of a session's keepers.
 const REPLY_TIMEOUT: Millis = Millis(100);
 
-/// Time after its start in which a gateway waits for the first others, and asks again those that do not answer.
+/// Time after the start during which a gateway waits for its first peers and repeats queries without a reply.
 ///
-/// A gateway has callers before it has heard the others. Sessions that have moved would go back through it meanwhile.
+/// A gateway gets requests before it has heard from its peers. Without the wait, it sent moved sessions back to the
+/// current version.
 const STARTUP_PERIOD: Millis = Millis(1_000);
 
-/// Time between looks at whether a gateway that starts knows any other.
+/// Time between checks for the first peer of a starting gateway.
 const PEER_CHECK_INTERVAL: Millis = Millis(20);
 
-/// Messages waiting to be sent; beyond that, new ones are dropped.
+/// Most messages waiting to be sent. New ones beyond it are dropped.
 const OUTBOX_CAPACITY: usize = 1_024;
 
-/// What gateways tell each other of sessions. A session and the number of a question are chosen by who sends them.
+/// A message between gateways on a session, which is named by its key. The sender of a query chooses the query id.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum SessionMessage {
     /// The session has moved.
     Moved(u64),
-    /// Whether the session has moved, under a number.
+    /// Query whether a session has moved: query id, session. Answered by its keepers and forwarded to them by others.
     Query(u32, u64),
-    /// The same, to be answered to a gateway also by one that does not keep the session.
+    /// The same query on behalf of the gateway at this address. The receiver answers it even if it is no keeper.
     ForwardedQuery(u32, u64, SocketAddr),
-    /// The answer to the question of that number, and how many gateways may answer it.
+    /// Reply to a query: query id, whether the session has moved, how many gateways may reply.
     Reply(u32, bool, u8),
 }
 
-/// What a session's keepers answered.
+/// Combined replies of a session's keepers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum KeepersReply {
-    /// It has moved.
+    /// The session has moved.
     Moved,
-    /// All say that it has not.
+    /// All keepers replied that it has not moved.
     NotMoved,
-    /// Some did not answer in time, and none said that it has moved.
+    /// Some did not reply in time, and none replied that it has moved.
     Incomplete,
     /// No other gateway is known.
     NoKeepers,
@@ -68,26 +72,26 @@
     }
 }
 
-/// A message and the gateway that it is for.
+/// A message and its recipient.
 type OutgoingMessage = (SocketAddr, SessionMessage);
 
-/// One keeper's answer.
+/// The reply of one keeper.
 #[derive(Clone, Copy, Debug)]
 struct KeeperReply {
     from: SocketAddr,
     has_moved: bool,
-    /// Gateways that may answer, as far as this one knows.
+    /// Number of gateways that may reply, as far as the sender knows.
     keepers: usize,
 }
 
-/// This gateway's part in keeping sessions.
+/// State of the session queries, and the queue of outgoing session messages.
 #[derive(Debug)]
 pub(crate) struct SessionKeepers {
-    /// The other gateways, once they can be reached, and since when that is so.
+    /// The other gateways and since when sessions are shared with them; `None` before that.
     peers: RefCell<Option<(PeerTable, Millis)>>,
-    /// Whether it is known where the others are, if there are any.
+    /// Whether the addresses of all peers are known, or that there are none.
     is_peer_discovery_done: Cell<bool>,
-    /// Questions that wait for answers.
+    /// Queries waiting for replies, by query id.
     pending: RefCell<HashMap<u32, Sender<KeeperReply>>>,
     next_query: Cell<u32>,
     outbox_tx: Sender<OutgoingMessage>,
@@ -108,7 +112,7 @@
     }
 }
 
-/// A question to a session's keepers, forgotten when dropped.
+/// A query to a session's keepers. Dropping it discards late replies.
 struct PendingQuery<'a> {
     keepers: &'a SessionKeepers,
     query_id: u32,
@@ -116,7 +120,7 @@
 }
 
 impl SessionKeepers {
-    /// Returns the gateways that keep a session, this one among them if it does.
+    /// Returns the keepers of a session, including this gateway if it is one.
     fn keepers(&self, session: SessionKey, now: Millis) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         let Some((peers, _)) = peers.as_ref() else { return Vec::new() };
@@ -125,7 +129,7 @@
         session.keepers(&gateways, address_hash)
     }
 
-    /// Returns the other gateways that keep a session.
+    /// Returns the keepers of a session other than this gateway.
     fn other_keepers(&self, session: SessionKey, now: Millis) -> Vec<SocketAddr> {
         let own = self.own();
         let mut keepers = self.keepers(session, now);
@@ -133,8 +137,8 @@
         keepers
     }
 
-    /// Returns the questions for a session, under a number: to the other gateways that keep it, and to those that kept it
-    /// before some were added. Any gateway that was added longer ago than `retention` has been told if the session moved.
+    /// Returns the messages that query a session: to its other keepers, and to those that were keepers before some
+    /// gateways joined. Gateways that joined longer ago than `retention` have received every move that is still valid.
     fn query_messages(
         &self,
         session: SessionKey,
@@ -160,7 +164,7 @@
         self.peers.borrow().as_ref().map(|(peers, _)| peers.own())
     }
 
-    /// Returns whether this gateway has just started and may hear of others yet.
+    /// Returns whether this gateway has just started and may still discover peers.
     fn is_starting(&self, now: Millis) -> bool {
         let peers = self.peers.borrow();
         let Some((peers, since)) = peers.as_ref() else { return false };
@@ -178,7 +182,7 @@
 
     fn deliver_reply(&self, query_id: u32, reply: KeeperReply) {
         let pending = self.pending.borrow();
-        // Late answers find no question, and more than a question takes are not needed.
+        // Late replies find no query, and replies beyond the channel's capacity are not needed.
         pending.get(&query_id).iter().for_each(|tx| {
             tx.try_send(reply).ok();
         });
@@ -192,8 +196,8 @@
 }
 
 impl PendingQuery<'_> {
-    /// Waits for a keeper that knows the session to have moved, or for all of them: at least so many as were asked, or as
-    /// one that answers knows.
+    /// Waits until one keeper replies that the session has moved, or all have replied; returns whether it has moved.
+    /// The number of replies to wait for is the number of queries sent, or a larger one named in a reply.
     async fn wait_for_replies(&self, mut keepers: usize) -> bool {
         let mut replied = HashSet::new();
         while replied.len() < keepers {
@@ -211,12 +215,12 @@
 }
 
 impl Gateway {
-    /// Shares sessions with these gateways from now on.
+    /// Starts sharing sessions with these gateways.
     pub fn share_sessions_with(&self, peers: PeerTable) {
         *self.session_keepers.peers.borrow_mut() = Some((peers, self.now()));
     }
 
-    /// Records that a session has moved to the target of its service's roll-out, here and at its keepers.
+    /// Records that a session has moved to the target of its service's rollout, here and at its keepers.
     pub(crate) fn session_moved(&self, session: SessionKey) {
         self.with_rollouts(|r| r.moved_sessions.record(session, self.now()));
         for keeper in self.session_keepers.other_keepers(session, self.now()) {
@@ -224,7 +228,8 @@
         }
     }
 
-    /// Asks the keepers of a session whether it has moved; until a time at the latest, if this gateway has just started.
+    /// Queries the keepers of a session whether it has moved. A gateway that has just started repeats the query until
+    /// `until`.
     pub(crate) async fn ask_keepers(&self, session: SessionKey, until: Millis) -> KeepersReply {
         self.telemetry.count("sessions.asked", 1);
         let reply = loop {
@@ -267,12 +272,12 @@
         }
     }
 
-    /// Notes that it is known where the other gateways are, if there are any.
+    /// Records that the addresses of all peers are known, or that there are none.
     pub(crate) fn set_peer_discovery_done(&self) {
         self.session_keepers.is_peer_discovery_done.set(true);
     }
 
-    /// Takes what another gateway says of a session.
+    /// Handles another gateway's message on a session.
     pub(crate) fn handle_session_message(&self, from: SocketAddr, message: SessionMessage) {
         match message {
             SessionMessage::Moved(session) => {
@@ -292,9 +297,10 @@
         }
     }
 
-    /// Answers a question on a session that this gateway keeps, and passes it on otherwise.
+    /// Answers a query on a session if this gateway is a keeper of it or knows that it has moved, otherwise forwards it
+    /// to the keepers.
     ///
-    /// A gateway that has just started knows a few of the others, and ranks the keepers of a session among these.
+    /// A gateway that has just started knows only a few peers, and picks the keepers of a session from these.
     fn answer_or_forward(&self, requester: SocketAddr, query_id: u32, session: SessionKey) {
         let now = self.now();
         let own = self.session_keepers.own();
@@ -326,10 +332,10 @@
     }
 }
 
-/// Sends what other gateways should know of sessions, for ever.
+/// Sends session messages forever.
 ///
-/// Apart from other messages to peers, whose bytes a second are bounded: a message here follows a request of this
-/// gateway's own, or of one that asks, so that requests bound them.
+/// They do not count towards the byte budget of gossip: each message follows from a request at this gateway or at the
+/// one that sent the query, so the request rate bounds them.
 pub async fn send_session_messages(gw: Rc<Gateway>, socket: UdpSocket) {
     while let Ok((to, message)) = gw.session_keepers.outbox_rx.recv().await {
         let message = PeerMessage { session: Some(message), ..PeerMessage::default() };
@@ -343,7 +349,7 @@
     }
 }
 
-/// Returns what a gateway's address is ranked by; the same on all gateways.
+/// Hashes a gateway's address for the ranking of keepers. The hash is the same on all gateways.
 fn address_hash(addr: &SocketAddr) -> u64 {
     let ip = match addr.ip() {
         IpAddr::V4(ip) => xxh3_64(&ip.octets()),
