--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! How gateways find each other.
+//! Discovery of the other gateways.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,40 +9,40 @@
 use crate::gateway::Gateway;
 use crate::peer_table::PeerTable;
 
-/// Time over which gateways that start together are spread before one of them reads where the others are. The
-/// first that has read tells the others within some ten milliseconds.
+/// Largest random delay of a starting gateway before it reads the addresses. Of gateways that start together, the first
+/// that has read them sends them to the others within about ten milliseconds.
 const START_SPREAD: Millis = Millis(300);
 
-/// Time that all hosts of a new deployment take to start and to write where they are.
+/// Time in which all hosts of a new deployment start and write their addresses.
 const FIRST_START_WAIT: Millis = Millis(300);
 
-/// Time between two reads by a gateway that knows nobody, up to twice of it.
+/// Time between two reads by a gateway without peers; a random part of up to the same length is added.
 const ALONE_RETRY_INTERVAL: Millis = Millis(3_000);
 
-/// Time between looks at whether it knows anybody.
+/// Time between checks for live peers; a random part of up to the same length is added.
 const CHECK_INTERVAL: Millis = Millis(250);
 
-/// Time after which what was written is in any copy from which the store may come back.
+/// Time after which a write is contained in every copy from which the store may be restored.
 const IN_ALL_COPIES_AFTER: Millis = Millis(60_000);
 
-/// The calls by which the addresses of all gateways are read and written. Each ends only when it was done.
+/// The calls that read and write the addresses of gateways in the store. Each returns only after it has succeeded.
 #[derive(Debug)]
 pub struct AddressStore<R, W> {
-    /// Reads the addresses.
+    /// Reads the addresses of all gateways.
     pub read: R,
-    /// Writes this gateway's own.
+    /// Writes this gateway's own address.
     pub write: W,
 }
 
-/// Finds the other gateways, and goes on to do so whenever it knows none.
+/// Discovers the other gateways, and repeats it whenever it has no live peers.
 ///
-/// Load pattern: all gateways of a fleet lose power and come back. If each writes its address and reads all of them,
-/// as at the first start, 103 gateways make 206 calls of the store for what it has already, while their callers
-/// return. So each waits a drawn time for word of another one, and only those that hear nothing read;
-/// what they read goes on from gateway to gateway. A gateway that is heard of by others is written down already.
-/// One that was cut off from all others for so long that they forgot each other reads again.
+/// Load pattern: all gateways of a fleet lose power and restart. If each wrote its address and read all of them, as on
+/// the first start, 103 gateways would make 206 calls to the store for addresses that it has already, while callers
+/// return. So each gateway waits a random time for a message of another one, and only those that receive none read the
+/// addresses; these spread by gossip. A gateway that is known to others has its address in the store already. One that
+/// was cut off for so long that it has no live peers left reads again.
 ///
-/// `is_first_start` says that the deployment starts for the first time: nobody is written down then.
+/// `is_first_start` is set on the first start of the deployment, when the store has no addresses yet.
 pub async fn discover_peers<R, W>(
     gw: Rc<Gateway>,
     peers: PeerTable,
@@ -62,7 +62,7 @@
         let restored = gw.restored_at.get().filter(|at| rewritten_after != Some(*at));
         if let Some(at) = restored {
             rewritten_after = Some(at);
-            // An address that is older stands in the copy, too.
+            // An address that was written longer ago is contained in the copy.
             if at.since(started_at) < IN_ALL_COPIES_AFTER {
                 (address_store.write)().await;
             }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads where the others are, and sees to it that this gateway is written down, too.
+/// Reads the addresses of all gateways, and writes this gateway's own if it is missing.
 async fn read_addresses<R, W>(
     peers: &PeerTable,
     address_store: &mut AddressStore<R, W>,
@@ -97,6 +97,6 @@
         return known;
     }
     (address_store.write)().await;
-    // Read once more: of two that start at once, one at least sees the other.
+    // Read again, so that of two gateways that start at once, at least one finds the other.
     (address_store.read)().await
 }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -1,8 +1,8 @@
-//! What gateways tell each other: servers' loads, what they read in the store, and what they saw of
-//! roll-outs.
+//! Gossip between gateways: loads of servers, updates of the store's feeds, evidence on rollouts, and addresses of
+//! gateways.
 //!
-//! Datagrams, because each is overtaken by the next: one that is lost is not missed. They are
-//! hints; what must be agreed goes through the store.
+//! It is sent in datagrams without retries, because each message is superseded by the next. Gossip is a hint only:
+//! state that gateways must agree on goes through the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,66 +17,65 @@
 use crate::peer_table::PeerTable;
 use crate::rollout_report::RolloutReport;
 
-/// Time between messages while there is something to tell: a long prompt takes a second to read, and
-/// others should hear of it in a tenth of that.
+/// Time between periodic messages while there is something to send. Processing a long prompt takes a second, and others
+/// should hear of it within a tenth of that.
 const SEND_INTERVAL: Millis = Millis(100);
 
-/// Turns between messages on roll-outs, which need not be known as soon.
+/// Turns between messages on rollouts, which are less urgent than loads.
 const ROLLOUT_INTERVAL_TURNS: u32 = 5;
 
-/// Part of the peers, as a divisor, that hear of roll-outs at a time: each does about once a second, a
-/// fifth of the time in which a bad version must be left.
+/// Divisor for the share of peers that get the messages on rollouts in one turn. Each gets them about once a second, a
+/// fifth of the time in which a bad version must be rolled back.
 const ROLLOUT_PEERS_DIVISOR: usize = 2;
 
-/// Time without news after which the peers are told that this one lives.
+/// Time without messages after which an empty one is sent as a heartbeat.
 const HEARTBEAT_INTERVAL: Millis = Millis(2_000);
 
-/// Bytes a second that this process spends on its peers. An operator grants 9 kB for all control.
+/// Bytes per second for gossip. Operators allow 9 kB per second for all control traffic.
 const BYTES_PER_SECOND: u64 = 7_000;
 
-/// Bytes that are saved up: a message of 60 bytes on a read of the store goes to 330 peers at once.
+/// Largest unused budget, in bytes: a message of 60 bytes on a read of the store goes to 330 peers at once.
 const BURST_BYTES: u64 = 24_000;
 
-/// Bytes of these that only messages on reads of the store may take.
+/// Bytes of that budget that are reserved for messages on reads of the store.
 const BYTES_RESERVED_FOR_FEEDS: u64 = 20_000;
 
-/// Routes in a message on a roll-out: each takes up to 85 bytes, and names the rest.
+/// Most routes in a message on a rollout. Each takes up to 85 bytes, and names take the rest.
 const MAX_ROUTES_PER_MESSAGE: usize = 14;
 
-/// Gateways that are told of what was fetched from another one. With eight each, all of some hundreds have
-/// somebody to ask after three rounds.
+/// Number of gateways that are notified of a fetch from another one. With eight each, all of some hundred gateways have
+/// one to fetch from after three rounds.
 const FEW_PEERS: usize = 8;
 
-/// Turns between two messages to one peer, drawn anew, of all others: whoever missed words hears of all within some
-/// ten seconds. At 330 gateways they take 1 kB a second.
+/// Turns between messages that send the addresses of all peers to one random peer. A gateway that missed messages gets
+/// them within about ten seconds. At 330 gateways they take 1 kB per second.
 const ADDRESSES_INTERVAL_TURNS: u32 = 25;
 
-/// Bytes that messages on other gateways leave. Without them, 298 gateways that came back at once spent all that they
-/// had saved on these, what was read in the store reached nobody, each read it by itself, and callers were served 30 s
-/// later; with them 8.5 s.
+/// Bytes of the budget that address messages to newcomers leave unused. Without this reserve, 298 gateways that
+/// restarted at once spent their whole budget on addresses. Messages on reads of the store then reached nobody, each
+/// gateway read the store itself, and callers waited 30 s instead of 8.5 s.
 const BYTES_RESERVED_FROM_ADDRESSES: u64 = 10_000;
 
-/// Addresses in a message: each takes eight bytes.
+/// Most addresses in a message. Each takes eight bytes.
 const MAX_ADDRESSES_PER_MESSAGE: usize = 150;
 
-/// Marks of requests that fit a datagram beside the news of the other feeds.
+/// Most marks of requests that fit into a datagram together with the positions of the other feeds.
 const MAX_MARKS_IN_LONG_MESSAGE: usize = 24;
 
-/// Largest datagram that passes common links in one piece.
+/// Largest datagram that passes common links without fragmentation, in bytes.
 const MAX_DATAGRAM: usize = 1_400;
 
-/// Tells the peers for ever.
+/// Sends gossip to the peers forever.
 ///
-/// What a read of the store brought goes out at once, to all: each moment later, one more gateway
-/// reads the same. So does the end of a roll-out. What of the rest does not fit the bytes of a second
-/// goes to some of the peers, drawn anew each turn.
+/// The result of a read of the store is sent at once to all, as any delay lets further gateways read the same. So is
+/// the end of a rollout. Other messages that exceed the byte budget reach a random part of the peers in each turn.
 pub async fn send_gossip(gw: Rc<Gateway>, socket: UdpSocket, peers: PeerTable) {
     let budget = ByteBudget::with_depth(BYTES_PER_SECOND, BURST_BYTES, gw.now());
     let mut sender =
         GossipSender { gw: gw.clone(), socket, peers, budget, last_sent_at: Millis(0), turn: 0 };
     let mut next_turn = gw.now();
     loop {
-        // Listened to before the look, so that news in between are not overheard.
+        // The listener is registered before the check, so that no notification in between is lost.
         let news = gw.gossip_due.listen();
         sender.send_urgent().await;
         if gw.now() >= next_turn {
@@ -97,7 +96,7 @@
 }
 
 impl GossipSender {
-    /// Tells all peers what was read, and how a roll-out ended, and a few which gateways there are.
+    /// Sends urgent messages: reads of the store and ends of rollouts to all peers, fetches and new addresses to a few.
     async fn send_urgent(&mut self) {
         self.send_addresses_to_newcomers().await;
         let is_urgent = self.gw.with_rollouts(|r| r.take_urgent_report());
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Tells newcomers which gateways there are, and a few others what was learned.
+    /// Sends the addresses of all peers to newcomers and, if new ones were added, to a few others.
     async fn send_addresses_to_newcomers(&mut self) {
         let (is_news, mut recipients) = self.peers.with(|m| (m.take_news(), m.take_newcomers()));
         if !is_news && recipients.is_empty() {
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Tells of roll-outs, loads, or only that it lives.
+    /// Sends the messages of a turn: rollouts, addresses, and loads or a heartbeat.
     async fn send_periodic(&mut self) {
         let live = self.shuffled_live_peers();
         let fleet = live.len() + 1;
@@ -162,14 +161,14 @@
         }
     }
 
-    /// Returns the peers in an order drawn anew.
+    /// Returns the live peers in random order.
     fn shuffled_live_peers(&self) -> Vec<SocketAddr> {
         let mut live = self.peers.live(self.gw.now());
         fastrand::shuffle(&mut live);
         live
     }
 
-    /// Sends a message to peers while there are bytes for it beyond `kept`.
+    /// Sends a message to peers while the byte budget exceeds `reserved`.
     async fn send(&mut self, message: PeerMessage, peers: &[SocketAddr], reserved: u64) {
         self.last_sent_at = self.gw.now();
         let Some(bytes) = encode_datagram(message) else {
@@ -180,14 +179,14 @@
             if !self.budget.try_take_leaving(bytes.len() as u64, reserved, self.gw.now()) {
                 self.gw.telemetry.count("peers.left_out", 1);
             } else if self.socket.send_to(&bytes, *peer).await.is_err() {
-                // A message that cannot be sent is overtaken by the next.
+                // No retry: the next message supersedes this one.
                 self.gw.telemetry.count("peers.unsent", 1);
             }
         }
     }
 }
 
-/// Makes the message on the feeds of the store, and says who is told.
+/// Builds the message on the feeds of the store, and returns its audience.
 fn feeds_message(gw: &Gateway) -> (PeerMessage, Audience) {
     let now = gw.now();
     gw.with_feeds(|feeds| {
@@ -208,22 +207,22 @@
     })
 }
 
-/// Makes the messages on roll-outs, each with as many routes as a datagram takes.
+/// Builds the messages on rollouts, each with as many routes as a datagram takes.
 ///
-/// A configuration may have hundreds of routes. In one message their evidence would not fit, nobody would
-/// hear of it, and each gateway would judge a version by its own part of the answers.
+/// A configuration may have hundreds of routes, whose evidence does not fit into one message. If it were not sent, each
+/// gateway would judge a version by its own answers only.
 fn rollout_messages(gw: &Gateway) -> Vec<PeerMessage> {
     let reports = gw.with_rollouts(|r| r.reports(gw.now()));
     let mut parts: Vec<_> =
         reports.into_iter().flat_map(|report| report.split(MAX_ROUTES_PER_MESSAGE)).collect();
-    // Where the bytes do not suffice, it is not always the same routes that are left out.
+    // If the byte budget is too small for all parts, different routes are left out each time.
     fastrand::shuffle(&mut parts);
     let message =
         |part| PeerMessage { rollouts: vec![RolloutWire::from(part)], ..PeerMessage::default() };
     parts.iter().map(message).collect()
 }
 
-/// Writes a message; what makes it too long for a datagram is left out, the least needed first.
+/// Encodes a message. If it is too long for a datagram, optional parts are left out; `None` if it is still too long.
 fn encode_datagram(mut message: PeerMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(&message).ok()?;
     if bytes.len() <= MAX_DATAGRAM {
@@ -231,14 +230,14 @@
     }
     message.sent.clear();
     message.reports.clear();
-    // Without their changes they would confirm what they do not tell.
+    // The position must not be sent without its changes, or receivers would advance past them.
     message.servers = None;
     message.marks = message.marks.filter(|(_, marks)| marks.len() <= MAX_MARKS_IN_LONG_MESSAGE);
     let bytes = postcard::to_stdvec(&message).ok()?;
     (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
 }
 
-/// Hears the peers for ever.
+/// Receives gossip from the peers forever.
 pub async fn receive_gossip(gw: Rc<Gateway>, socket: UdpSocket, peers: PeerTable) {
     let mut buf = vec![0; MAX_DATAGRAM + 1];
     loop {
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! The messages that gateways send each other, as they stand in a datagram.
+//! Wire format of the messages between gateways.
 
 use std::net::SocketAddr;
 
@@ -14,22 +14,22 @@
 use crate::rollout_report::{RolloutReport, StoredStatus};
 use crate::session_keepers::SessionMessage;
 
-/// One gateway's message.
+/// A message from one gateway to another. Servers are identified by hashes.
 #[derive(Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct PeerMessage {
-    /// Server, and the milliseconds that a prompt sent there takes.
+    /// Prompts sent: server, and the milliseconds that processing takes there.
     pub(crate) sent: Vec<(u32, u16)>,
-    /// Server, requests that run, and that wait.
+    /// Reported loads: server, running requests, waiting requests.
     pub(crate) reports: Vec<(u32, u16, u16)>,
     /// Servers to which no connection could be made.
     pub(crate) unreached: Vec<u32>,
-    /// Servers that have answered, though somebody could not reach them.
+    /// Servers that have answered, although another gateway could not connect to them.
     pub(crate) answered: Vec<u32>,
     pub(crate) orders: Option<FeedWire>,
     pub(crate) servers: Option<(FeedWire, Vec<ServerChangeWire>)>,
     pub(crate) marks: Option<(FeedWire, Vec<MarkWire>)>,
     pub(crate) rollouts: Vec<RolloutWire>,
-    /// Where other gateways are.
+    /// Addresses of other gateways.
     pub(crate) gateways: Vec<SocketAddr>,
     pub(crate) limits: Vec<LimitWire>,
     /// Incarnation hashes of servers that are leaving.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct LimitWire(u64, Option<f64>, u16);
 
-/// How far a feed was read: from, next, age in milliseconds.
+/// Position in a feed: offset from which changes are included, next offset, age in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct FeedWire(u64, u64, u32);
 
@@ -53,7 +53,7 @@
     Put(Box<ServerWire>),
 }
 
-/// A mark of a request: its fingerprint, what happened, and the milliseconds since, unless it is withdrawn.
+/// A mark of a request: fingerprint, kind, and age in milliseconds (`None` if it was withdrawn).
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct MarkWire(u64, MarkKindWire, Option<u32>);
 
@@ -74,19 +74,19 @@
     is_draining: bool,
     models: Vec<String>,
     born: Option<u64>,
-    /// Milliseconds for which it is still cold.
+    /// Milliseconds for which the server is still cold.
     cold_left: u32,
 }
 
-/// Good, failed; number, sum and sum of squares of times to the first byte, and of pauses.
+/// Good answers, failed answers; number, sum and sum of squares of times to the first byte, and of gaps between events.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct SumsWire(u64, u64, (u64, f32, f32), (u64, f32, f32));
 
-/// All answers, and those of one half of the servers if there are any.
+/// Sums over all answers, and over those of the first half of the servers if there are any.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct CountsWire(SumsWire, Option<SumsWire>);
 
-/// Requests that a gateway has sent in a roll-out, those to the target, and its requests a second.
+/// Requests that a gateway has sent in a rollout, those to the target, and its requests per second.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 struct SentWire(u64, u64, f32);
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// What a gateway saw of a roll-out.
+/// One gateway's report on a rollout.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RolloutWire {
     service: String,
@@ -110,7 +110,7 @@
     elapsed_ms: u64,
     is_age_known: bool,
     is_announced: bool,
-    /// Route; counts of the target, and of the version in service.
+    /// Hash of the route; counts of the target, and of the current version.
     routes: Vec<(u32, [CountsWire; 2])>,
     sent: SentWire,
     is_rolled_back: bool,
@@ -332,12 +332,12 @@
 }
 
 impl PeerMessage {
-    /// Says whether it tells nothing but that its sender lives.
+    /// Returns whether the message is empty, which makes it a heartbeat.
     pub(crate) fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Adds what is told of loads.
+    /// Sets the fields on loads.
     pub(crate) fn set_loads(&mut self, news: LoadUpdate, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
         self.sent = news.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
@@ -355,7 +355,7 @@
         self.leaving = news.leaving.into_iter().collect();
     }
 
-    /// Takes out what is told of loads.
+    /// Takes the fields on loads out of the message.
     pub(crate) fn take_loads(&mut self, now: Millis) -> LoadUpdate {
         let sent = std::mem::take(&mut self.sent);
         let reports = std::mem::take(&mut self.reports);
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other gateways, as all tasks of this one share them.
+//! The table of the other gateways, shared by all tasks of this one.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 
 use redwingfold_core::{Members, Millis};
 
-/// The other gateways.
+/// The other gateways, by address.
 #[derive(Clone, Debug)]
 pub struct PeerTable(Rc<RefCell<Members<SocketAddr>>>);
 
 impl PeerTable {
-    /// Makes the table of a gateway at `own` that knows nobody.
+    /// Makes an empty table for the gateway at `own`.
     ///
     /// ```
     /// use redwingfold_core::Millis;
@@ -24,7 +24,7 @@
         Self(Rc::new(RefCell::new(Members::new(own))))
     }
 
-    /// Adds peers that somebody named; `true` if one of them is new.
+    /// Adds peers by address; returns `true` if one of them is new.
     pub fn add(&self, named: &[SocketAddr], now: Millis) -> bool {
         self.0.borrow_mut().learn(named, now)
     }
@@ -34,7 +34,7 @@
         self.0.borrow().len()
     }
 
-    /// Says whether there is none.
+    /// Returns whether there are no peers.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
@@ -48,7 +48,7 @@
         f(&mut self.0.borrow_mut())
     }
 
-    /// Returns those that were heard of late.
+    /// Returns the peers that were heard from recently.
     pub(crate) fn live(&self, now: Millis) -> Vec<SocketAddr> {
         self.with(|members| members.present(now))
     }
