--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -68,8 +68,8 @@
             }
         }
         if peers.live(gw.now()).is_empty() {
-            let known = read_addresses(&peers, &mut address_store).await;
-            if peers.add(&known, gw.now()) {
+            let addresses = read_addresses(&peers, &mut address_store).await;
+            if peers.add(&addresses, gw.now()) {
                 gw.gossip_due.notify(usize::MAX);
             }
         }
@@ -92,9 +92,9 @@
     R: AsyncFnMut() -> Vec<SocketAddr>,
     W: AsyncFnMut(),
 {
-    let known = (address_store.read)().await;
-    if known.contains(&peers.own()) {
-        return known;
+    let addresses = (address_store.read)().await;
+    if addresses.contains(&peers.own()) {
+        return addresses;
     }
     (address_store.write)().await;
     // Read again, so that of two gateways that start at once, at least one finds the other.
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -161,10 +161,10 @@
     let list =
         ServerList::new(7, &read, |_| false, Millis(200)).encode().unwrap().bytes_at(7).unwrap();
     let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
-    let mut heard = Registry::default();
-    heard.replace_by_passed(passed, Millis(200), Millis(300));
-    assert_eq!(heard.servers(Millis(1_900)).count(), 2);
-    let later: Vec<_> = heard.servers(Millis(2_100)).map(|s| s.id.as_str()).collect();
+    let mut receiver = Registry::default();
+    receiver.replace_by_passed(passed, Millis(200), Millis(300));
+    assert_eq!(receiver.servers(Millis(1_900)).count(), 2);
+    let later: Vec<_> = receiver.servers(Millis(2_100)).map(|s| s.id.as_str()).collect();
     assert_eq!(later, ["stays"]);
 }
 
@@ -179,11 +179,11 @@
     let list =
         ServerList::new(7, &read, is_leaving, Millis(0)).encode().unwrap().bytes_at(7).unwrap();
     let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
-    let mut heard = Registry::default();
-    heard.replace_by_passed(passed, Millis(0), Millis(0));
+    let mut receiver = Registry::default();
+    receiver.replace_by_passed(passed, Millis(0), Millis(0));
     // A stale record from the store arrives later.
-    heard.put(server("leaves"), Millis(100));
-    let state = |id: &str| heard.get(&id.into()).map(|server| server.state);
+    receiver.put(server("leaves"), Millis(100));
+    let state = |id: &str| receiver.get(&id.into()).map(|server| server.state);
     assert_eq!(state("leaves"), Some(ServerState::Draining));
     assert_eq!(state("stays"), Some(ServerState::Ready));
 }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -76,13 +76,13 @@
     let mut next_turn = gw.now();
     loop {
         // The listener is registered before the check, so that no notification in between is lost.
-        let news = gw.gossip_due.listen();
+        let due = gw.gossip_due.listen();
         sender.send_urgent().await;
         if gw.now() >= next_turn {
             next_turn = gw.now().after(SEND_INTERVAL);
             sender.send_periodic().await;
         }
-        within(next_turn.since(gw.now()), news).await;
+        within(next_turn.since(gw.now()), due).await;
     }
 }
 
@@ -262,12 +262,12 @@
 fn apply_message(gw: &Gateway, from: SocketAddr, mut message: PeerMessage) {
     let now = gw.now();
     let fleet = gw.with_feeds(|feeds| feeds.fleet_size());
-    let news = message.take_loads(now);
-    for (server, limit) in &news.limits {
+    let loads = message.take_loads(now);
+    for (server, limit) in &loads.limits {
         gw.apply_peer_limit(from, *server, *limit);
     }
-    news.leaving.iter().for_each(|server| gw.apply_peer_leaving(from, *server));
-    for server in gw.loads.apply_peer_update(from, news, fleet, now) {
+    loads.leaving.iter().for_each(|server| gw.apply_peer_leaving(from, *server));
+    for server in gw.loads.apply_peer_update(from, loads, fleet, now) {
         gw.log_unreachable_server(server, Some(from));
     }
     if let Some(orders) = message.orders {
@@ -279,9 +279,9 @@
         match changes {
             Ok(changes) => {
                 let next = FeedTold::from(position).next;
-                let heard = gw
+                let new_changes = gw
                     .with_feeds(|feeds| feeds.apply_servers_update(position.into(), changes, now));
-                gw.apply_server_changes(heard);
+                gw.apply_server_changes(new_changes);
                 gw.record_peer_position(Feed::Servers, from, next);
             }
             Err(_) => gw.telemetry.count("peers.unreadable", 1),
@@ -289,8 +289,9 @@
     }
     if let Some((position, marks)) = message.marks {
         let marks = marks.into_iter().map(Into::into).collect();
-        let heard = gw.with_feeds(|feeds| feeds.apply_marks_update(position.into(), marks, now));
-        gw.apply_peer_marks(from, &heard);
+        let new_marks =
+            gw.with_feeds(|feeds| feeds.apply_marks_update(position.into(), marks, now));
+        gw.apply_peer_marks(from, &new_marks);
     }
     message.session.iter().for_each(|session| gw.handle_session_message(from, *session));
     for rollout in message.rollouts {
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -321,7 +321,7 @@
 
 impl LimitWire {
     /// Returns the server's incarnation hash and limit, or `None` if the rate is invalid.
-    fn into_limit_news(self, now: Millis) -> Option<(u64, LimitUpdate)> {
+    fn into_limit_update(self, now: Millis) -> Option<(u64, LimitUpdate)> {
         let Self(server, per_second, age) = self;
         let limit = match per_second {
             Some(per_second) => Some(RequestRate::new(per_second)?),
@@ -338,21 +338,22 @@
     }
 
     /// Sets the fields on loads.
-    pub(crate) fn set_loads(&mut self, news: LoadUpdate, now: Millis) {
+    pub(crate) fn set_loads(&mut self, update: LoadUpdate, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
-        self.sent = news.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
+        self.sent =
+            update.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
         let report = |(server, r): (u32, ServerReport)| {
             (server, short(u64::from(r.running)), short(u64::from(r.waiting)))
         };
-        self.reports = news.reports.into_iter().map(report).collect();
-        self.unreached = news.unreached.into_iter().collect();
-        self.answered = news.answered.into_iter().collect();
-        let limit = |(server, news): (u64, LimitUpdate)| {
-            let age = short(now.since(news.reported_at).0);
-            LimitWire(server, news.limit.map(RequestRate::per_second), age)
+        self.reports = update.reports.into_iter().map(report).collect();
+        self.unreached = update.unreached.into_iter().collect();
+        self.answered = update.answered.into_iter().collect();
+        let limit = |(server, update): (u64, LimitUpdate)| {
+            let age = short(now.since(update.reported_at).0);
+            LimitWire(server, update.limit.map(RequestRate::per_second), age)
         };
-        self.limits = news.limits.into_iter().map(limit).collect();
-        self.leaving = news.leaving.into_iter().collect();
+        self.limits = update.limits.into_iter().map(limit).collect();
+        self.leaving = update.leaving.into_iter().collect();
     }
 
     /// Takes the fields on loads out of the message.
@@ -368,7 +369,7 @@
             reports: reports.into_iter().map(report).collect(),
             unreached: std::mem::take(&mut self.unreached).into_iter().collect(),
             answered: std::mem::take(&mut self.answered).into_iter().collect(),
-            limits: limits.into_iter().filter_map(|limit| limit.into_limit_news(now)).collect(),
+            limits: limits.into_iter().filter_map(|limit| limit.into_limit_update(now)).collect(),
             leaving: std::mem::take(&mut self.leaving).into_iter().collect(),
         }
     }
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -8,14 +8,14 @@
 use crate::rollouts::{AnswerSample, AnswerSignal, Rollouts};
 
 /// Length of a step, in milliseconds.
-const STEP: u64 = 50;
+const STEP_MS: u64 = 50;
 
 /// Time during which faults are injected, in milliseconds.
-const SPAN: u64 = 36_000;
+const FAULTS_UNTIL: u64 = 36_000;
 
 /// Time to settle afterwards, in milliseconds. If all gateways restart, they restart the rollout, and wait up to twenty
 /// seconds after its window for answers under full traffic.
-const SETTLE: u64 = 36_000;
+const SETTLE_TIME: u64 = 36_000;
 
 /// Window of each rollout, in milliseconds.
 const WINDOW: u64 = 10_000;
@@ -24,13 +24,13 @@
 const SECOND_ORDER_AT: u64 = 20_000;
 
 /// Longest time until the operator rewrites an order that the store has lost, in milliseconds.
-const WRITTEN_AGAIN: u64 = 3_000;
+const MAX_REWRITE_DELAY: u64 = 3_000;
 
 /// Longest time between two reads of the orders by one gateway, and until it notices a restore, in milliseconds.
-const READ_EVERY: u64 = 900;
+const MAX_READ_INTERVAL: u64 = 900;
 
 /// Share of the messages between gateways, and of the store's responses, that is lost.
-const LOST: f64 = 0.1;
+const LOSS_RATE: f64 = 0.1;
 
 /// Content of the store.
 #[derive(Clone, Default)]
@@ -48,16 +48,16 @@
     era: Option<u32>,
     /// Position up to which it has read statuses: era and number of records.
     next: Option<(u32, usize)>,
-    reads_at: u64,
-    read_at: Option<u64>,
+    next_read_at: u64,
+    last_read_at: Option<u64>,
     /// Era of its last read of the orders.
     read_era: Option<u32>,
-    cut_until: u64,
+    cut_off_until: u64,
     started_at: u64,
     /// The version that it rolls out, and whether that rollout has ended.
-    known: Option<(VersionName, bool)>,
+    last_state: Option<(VersionName, bool)>,
     /// Versions whose orders were superseded by another one.
-    replaced: Vec<VersionName>,
+    superseded: Vec<VersionName>,
 }
 
 impl Gateway {
@@ -66,13 +66,13 @@
             rollouts: Rollouts::new(CanaryPolicy::for_exposure(0.15), Millis(17_000)),
             era: None,
             next: None,
-            reads_at: at + rng.u64(..READ_EVERY),
-            read_at: None,
+            next_read_at: at + rng.u64(..MAX_READ_INTERVAL),
+            last_read_at: None,
             read_era: None,
-            cut_until: 0,
+            cut_off_until: 0,
             started_at: at,
-            known: None,
-            replaced: Vec::new(),
+            last_state: None,
+            superseded: Vec::new(),
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Detects by the era in a response that the store was restored from an older copy.
-    fn notice(&mut self, store: &Store, now: Millis) {
+    fn detect_restore(&mut self, store: &Store, now: Millis) {
         match self.era.replace(store.era) {
             None => self.rollouts.set_store_era(store.era.into()),
             Some(era) if era < store.era => {
@@ -99,15 +99,15 @@
         let is_older = self.read_era.replace(store.era).is_some_and(|era| era < store.era);
         let copy = if is_older { StoreCopy::Older } else { StoreCopy::Current };
         let least = Millis(0);
-        let most = Millis(self.read_at.map_or(0, |at| ms - at));
-        let age = OrderAge { least, most, is_unknown: self.read_at.is_none() };
-        self.read_at = Some(ms);
+        let most = Millis(self.last_read_at.map_or(0, |at| ms - at));
+        let age = OrderAge { least, most, is_unknown: self.last_read_at.is_none() };
+        self.last_read_at = Some(ms);
         if let Some(target) = store.order.clone() {
             let order = RolloutOrder { target, window: Millis(WINDOW) };
             let before = self.target();
             let is_taken = self.rollouts.add_order(&service(), order, age, copy, Millis(ms));
             if is_taken && copy == StoreCopy::Current {
-                self.replaced.extend(before);
+                self.superseded.extend(before);
             }
         }
     }
@@ -135,12 +135,12 @@
     fn check(&mut self, what: &str) {
         let (Some(target), Some(phase)) = (self.target(), self.phase()) else { return };
         let has_ended = phase >= Phase::Done;
-        if let Some((known, had_ended)) = &self.known {
-            let is_replaced = *known > target && self.replaced.contains(&target);
-            assert!(!is_replaced, "{what}: {target} is rolled out again after {known}");
-            assert!(*known != target || !had_ended || has_ended, "{what}: {target} goes on");
+        if let Some((last_target, had_ended)) = &self.last_state {
+            let is_superseded = *last_target > target && self.superseded.contains(&target);
+            assert!(!is_superseded, "{what}: {target} is rolled out again after {last_target}");
+            assert!(*last_target != target || !had_ended || has_ended, "{what}: {target} goes on");
         }
-        self.known = Some((target, has_ended));
+        self.last_state = Some((target, has_ended));
     }
 }
 
@@ -158,7 +158,7 @@
     copies: Vec<Store>,
     down_until: u64,
     /// When the operator rewrites the newest order.
-    written_again_at: Option<u64>,
+    rewrite_at: Option<u64>,
     gateways: Vec<Gateway>,
     rng: fastrand::Rng,
     /// Status records written: era, version and how its rollout ended.
@@ -175,7 +175,7 @@
             store: Store::default(),
             copies: Vec::new(),
             down_until: 0,
-            written_again_at: None,
+            rewrite_at: None,
             gateways,
             rng,
             written: Vec::new(),
@@ -184,38 +184,38 @@
 
     /// Simulates the rollout of a good or a bad version, and then of a good one.
     fn play(mut self, is_bad: bool, what: &str) -> Self {
-        for ms in (0..SPAN + SETTLE).step_by(STEP as usize) {
-            self.operate(ms);
-            if ms < SPAN {
-                self.go_wrong(ms);
+        for ms in (0..FAULTS_UNTIL + SETTLE_TIME).step_by(STEP_MS as usize) {
+            self.write_orders(ms);
+            if ms < FAULTS_UNTIL {
+                self.inject_faults(ms);
             }
             self.copies.push(self.store.clone());
             for g in 0..self.gateways.len() {
-                self.answer(g, is_bad, ms);
-                self.act(g, ms);
+                self.record_answers(g, is_bad, ms);
+                self.step_gateway(g, ms);
                 self.gateways[g].check(&format!("{what}, {ms} ms, gateway {g}"));
             }
         }
         self
     }
 
-    fn operate(&mut self, ms: u64) {
+    fn write_orders(&mut self, ms: u64) {
         let newest = version(if ms < SECOND_ORDER_AT { 2 } else { 3 });
-        let is_due = self.written_again_at.is_none_or(|at| ms >= at);
+        let is_due = self.rewrite_at.is_none_or(|at| ms >= at);
         if ms >= 1_000 && is_due && ms >= self.down_until {
             self.store.order = Some(newest);
         }
     }
 
-    fn go_wrong(&mut self, ms: u64) {
-        let per_second = |rng: &mut fastrand::Rng, n: f64| rng.f64() < n * STEP as f64 / 1_000.0;
+    fn inject_faults(&mut self, ms: u64) {
+        let per_second = |rng: &mut fastrand::Rng, n: f64| rng.f64() < n * STEP_MS as f64 / 1_000.0;
         if ms >= self.down_until && per_second(&mut self.rng, 0.15) {
             let age = self.rng.u64(1_000..6_000);
-            let copy = (ms.saturating_sub(age) / STEP) as usize;
+            let copy = (ms.saturating_sub(age) / STEP_MS) as usize;
             let era = self.store.era + 1;
             self.store = Store { era, ..self.copies.get(copy).cloned().unwrap_or_default() };
             self.down_until = ms + self.rng.u64(200..2_000);
-            self.written_again_at = Some(self.down_until + self.rng.u64(..WRITTEN_AGAIN));
+            self.rewrite_at = Some(self.down_until + self.rng.u64(..MAX_REWRITE_DELAY));
         }
         let g = self.rng.usize(..self.gateways.len());
         if per_second(&mut self.rng, 0.2) {
@@ -223,12 +223,12 @@
         }
         let g = self.rng.usize(..self.gateways.len());
         if per_second(&mut self.rng, 0.2) {
-            self.gateways[g].cut_until = ms + self.rng.u64(500..5_000);
+            self.gateways[g].cut_off_until = ms + self.rng.u64(500..5_000);
         }
     }
 
     /// Records answers of both versions at a gateway.
-    fn answer(&mut self, g: usize, is_bad: bool, ms: u64) {
+    fn record_answers(&mut self, g: usize, is_bad: bool, ms: u64) {
         let (service, route) = (service(), RouteName::from("draft"));
         let gateway = &mut self.gateways[g];
         let Some(target) = gateway.target() else { return };
@@ -251,37 +251,37 @@
         }
     }
 
-    fn act(&mut self, g: usize, ms: u64) {
+    fn step_gateway(&mut self, g: usize, ms: u64) {
         let (now, rng) = (Millis(ms), &mut self.rng);
         let fleet = self.gateways.len();
         let gateway = &mut self.gateways[g];
         gateway.rollouts.set_fleet_size(fleet);
-        let has_store = ms >= self.down_until.max(gateway.cut_until);
-        if has_store && ms >= gateway.reads_at {
-            gateway.reads_at = ms + rng.u64(READ_EVERY / 2..READ_EVERY);
-            gateway.notice(&self.store, now);
+        let has_store = ms >= self.down_until.max(gateway.cut_off_until);
+        if has_store && ms >= gateway.next_read_at {
+            gateway.next_read_at = ms + rng.u64(MAX_READ_INTERVAL / 2..MAX_READ_INTERVAL);
+            gateway.detect_restore(&self.store, now);
             gateway.read_order(&self.store, ms);
         }
         gateway.rollouts.step(now);
         let is_due = gateway.rollouts.due_status(now).is_some_and(|(due, _)| due == Millis(0));
         if is_due && has_store {
-            gateway.notice(&self.store, now);
-            if gateway.write_status(&mut self.store, rng.f64() < LOST, now) {
+            gateway.detect_restore(&self.store, now);
+            if gateway.write_status(&mut self.store, rng.f64() < LOSS_RATE, now) {
                 let (target, ended) = self.store.status.clone().expect("a status");
                 self.written.push((self.store.era, target, ended));
             }
         }
         let is_urgent = self.gateways[g].rollouts.take_urgent_report();
-        if is_urgent || (ms + g as u64 * STEP).is_multiple_of(500) {
-            self.tell(g, is_urgent, now);
+        if is_urgent || (ms + g as u64 * STEP_MS).is_multiple_of(500) {
+            self.send_reports(g, is_urgent, now);
         }
     }
 
-    fn tell(&mut self, g: usize, is_urgent: bool, now: Millis) {
+    fn send_reports(&mut self, g: usize, is_urgent: bool, now: Millis) {
         let report = self.gateways[g].rollouts.reports(now);
         for other in (0..self.gateways.len()).filter(|other| *other != g) {
-            let is_heard = self.rng.f64() >= LOST && (is_urgent || self.rng.bool());
-            if is_heard {
+            let is_received = self.rng.f64() >= LOSS_RATE && (is_urgent || self.rng.bool());
+            if is_received {
                 for report in report.clone() {
                     self.gateways[other].rollouts.merge_report(&g.to_string(), report, now);
                 }
