--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -4,25 +4,21 @@
 //! attempt, relay, caller. What a deployment says on its wire comes in through a [`HeaderCodec`], and
 //! what it believes through [`Gateway`]'s methods; decisions are made in `redwingfold-core`.
 
-mod answer;
 mod attempt;
 mod availability;
-mod choice;
 mod clock;
 mod cold;
 mod discovery;
-mod ends;
 mod evacuation;
 mod exchange;
-mod facts;
 mod feeds;
 mod fingerprint;
-mod flight_log;
 mod gateway;
 mod gossip;
-mod head_watch;
+mod header_timer;
 mod limits;
 mod load;
+mod metadata;
 mod model_choice;
 mod net;
 mod peer_message;
@@ -31,6 +27,8 @@
 mod quarantine;
 mod relay;
 mod request;
+mod request_log;
+mod response;
 #[cfg(test)]
 mod restored_rollouts_tests;
 mod rollout_choice;
@@ -38,28 +36,30 @@
 mod rollout_report;
 mod rollouts;
 mod serve;
+mod server_choice;
 mod server_list;
+mod server_probe;
 mod session_keepers;
 mod settings;
 mod turns;
 mod upstream;
 
-pub use answer::{GatewayResponse, ResponseBody, text_response};
 pub use clock::Clock;
 pub use discovery::{AddressStore, discover_peers};
 pub use exchange::{
     FetchedOrders, Record, feed_pages, fetch_newer_orders, fetch_newer_servers, watch_orders_age,
 };
-pub use facts::{
-    AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
-    ResponseMetadata, Usage,
-};
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
 pub use gateway::{ConfigSource, Gateway, Lifecycle, StoreCopy};
 pub use gossip::{receive_gossip, send_gossip};
+pub use metadata::{
+    AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
+    ResponseMetadata, Usage,
+};
 pub use net::{bind, connect, with_timeouts};
 pub use peer_table::PeerTable;
 pub use quarantine::TrialClaim;
+pub use response::{GatewayResponse, ResponseBody, text_response};
 pub use rollout_report::{RolloutReport, StoredStatus};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
