--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -57,11 +57,11 @@
 
 impl UpstreamResponse {
     /// Returns the number of running and waiting requests per slot that the server reported; 0 if it reported none.
-    pub(crate) fn load(&self) -> f64 {
-        let of = |load: ReportedLoad| {
+    pub(crate) fn load_per_slot(&self) -> f64 {
+        let per_slot = |load: ReportedLoad| {
             f64::from(load.running + load.waiting) / f64::from(load.slots.max(1))
         };
-        self.metadata.load.map_or(0.0, of)
+        self.metadata.load.map_or(0.0, per_slot)
     }
 
     /// Reads the next chunk of the body.
@@ -205,15 +205,15 @@
     ) -> Option<AttemptOutcome> {
         match metadata {
             f if f.id.as_ref().is_some_and(|id| *id != self.metadata.id) => {
-                Some(AttemptOutcome::Lost("response to another request".to_owned()))
+                Some(AttemptOutcome::Lost("answer to another request".to_owned()))
             }
             f if f.is_other_server => Some(AttemptOutcome::OtherServer),
             f if f.is_not_run => Some(AttemptOutcome::NotRun(format!("status {}", head.status))),
             f if head.status.is_success() && !f.is_signed => {
-                Some(AttemptOutcome::Lost("response is not signed".to_owned()))
+                Some(AttemptOutcome::Lost("unsigned answer".to_owned()))
             }
             _ if head.headers.contains_key(CONTENT_ENCODING) => {
-                Some(AttemptOutcome::Lost("response has a content encoding".to_owned()))
+                Some(AttemptOutcome::Lost("encoded answer".to_owned()))
             }
             _ => None,
         }
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! The messages that gateways send each other, as they stand in a datagram.
+//! Wire format of the messages between gateways.
 
 use std::net::SocketAddr;
 
@@ -14,22 +14,22 @@
 use crate::rollout_report::{RolloutReport, StoredStatus};
 use crate::session_keepers::SessionMessage;
 
-/// One gateway's message.
+/// A message from one gateway to another. Servers are identified by hashes.
 #[derive(Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct PeerMessage {
-    /// Server, and the milliseconds that a prompt sent there takes.
+    /// Prompts sent: server, and the milliseconds that processing takes there.
     pub(crate) sent: Vec<(u32, u16)>,
-    /// Server, requests that run, and that wait.
+    /// Reported loads: server, running requests, waiting requests.
     pub(crate) reports: Vec<(u32, u16, u16)>,
     /// Servers to which no connection could be made.
     pub(crate) unreached: Vec<u32>,
-    /// Servers that have answered, though somebody could not reach them.
+    /// Servers that have answered, although another gateway could not connect to them.
     pub(crate) answered: Vec<u32>,
     pub(crate) orders: Option<FeedWire>,
     pub(crate) servers: Option<(FeedWire, Vec<ServerChangeWire>)>,
     pub(crate) marks: Option<(FeedWire, Vec<MarkWire>)>,
     pub(crate) rollouts: Vec<RolloutWire>,
-    /// Where other gateways are.
+    /// Addresses of other gateways.
     pub(crate) gateways: Vec<SocketAddr>,
     pub(crate) limits: Vec<LimitWire>,
     /// Incarnation hashes of servers that are leaving.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct LimitWire(u64, Option<f64>, u16);
 
-/// How far a feed was read: from, next, age in milliseconds.
+/// Position in a feed: offset from which changes are included, next offset, age in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct FeedWire(u64, u64, u32);
 
@@ -53,7 +53,7 @@
     Put(Box<ServerWire>),
 }
 
-/// A mark of a request: its fingerprint, what happened, and the milliseconds since, unless it is withdrawn.
+/// A mark of a request: fingerprint, kind, and age in milliseconds (`None` if it was withdrawn).
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct MarkWire(u64, MarkKindWire, Option<u32>);
 
@@ -74,19 +74,19 @@
     is_draining: bool,
     models: Vec<String>,
     born: Option<u64>,
-    /// Milliseconds for which it is still cold.
+    /// Milliseconds for which the server is still cold.
     cold_left: u32,
 }
 
-/// Good, failed; number, sum and sum of squares of times to the first byte, and of pauses.
+/// Good answers, failed answers; number, sum and sum of squares of times to the first byte, and of gaps between events.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct SumsWire(u64, u64, (u64, f32, f32), (u64, f32, f32));
 
-/// All answers, and those of one half of the servers if there are any.
+/// Sums over all answers, and over those of the first half of the servers if there are any.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct CountsWire(SumsWire, Option<SumsWire>);
 
-/// Requests that a gateway has sent in a roll-out, those to the target, and its requests a second.
+/// Requests that a gateway has sent in a rollout, those to the target, and its requests per second.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 struct SentWire(u64, u64, f32);
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// What a gateway saw of a roll-out.
+/// One gateway's report on a rollout.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RolloutWire {
     service: String,
@@ -110,7 +110,7 @@
     elapsed_ms: u64,
     is_age_known: bool,
     is_announced: bool,
-    /// Route; counts of the target, and of the version in service.
+    /// Hash of the route; counts of the target, and of the current version.
     routes: Vec<(u32, [CountsWire; 2])>,
     sent: SentWire,
     is_rolled_back: bool,
@@ -321,7 +321,7 @@
 
 impl LimitWire {
     /// Returns the server's incarnation hash and limit, or `None` if the rate is invalid.
-    fn into_limit_news(self, now: Millis) -> Option<(u64, LimitUpdate)> {
+    fn into_limit_update(self, now: Millis) -> Option<(u64, LimitUpdate)> {
         let Self(server, per_second, age) = self;
         let limit = match per_second {
             Some(per_second) => Some(RequestRate::new(per_second)?),
@@ -332,30 +332,31 @@
 }
 
 impl PeerMessage {
-    /// Says whether it tells nothing but that its sender lives.
+    /// Returns whether the message is empty, which makes it a heartbeat.
     pub(crate) fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Adds what is told of loads.
-    pub(crate) fn set_loads(&mut self, news: LoadUpdate, now: Millis) {
+    /// Sets the fields on loads.
+    pub(crate) fn set_loads(&mut self, update: LoadUpdate, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
-        self.sent = news.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
+        self.sent =
+            update.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
         let report = |(server, r): (u32, ServerReport)| {
             (server, short(u64::from(r.running)), short(u64::from(r.waiting)))
         };
-        self.reports = news.reports.into_iter().map(report).collect();
-        self.unreached = news.unreached.into_iter().collect();
-        self.answered = news.answered.into_iter().collect();
-        let limit = |(server, news): (u64, LimitUpdate)| {
-            let age = short(now.since(news.reported_at).0);
-            LimitWire(server, news.limit.map(RequestRate::per_second), age)
+        self.reports = update.reports.into_iter().map(report).collect();
+        self.unreached = update.unreached.into_iter().collect();
+        self.answered = update.answered.into_iter().collect();
+        let limit = |(server, update): (u64, LimitUpdate)| {
+            let age = short(now.since(update.reported_at).0);
+            LimitWire(server, update.limit.map(RequestRate::per_second), age)
         };
-        self.limits = news.limits.into_iter().map(limit).collect();
-        self.leaving = news.leaving.into_iter().collect();
+        self.limits = update.limits.into_iter().map(limit).collect();
+        self.leaving = update.leaving.into_iter().collect();
     }
 
-    /// Takes out what is told of loads.
+    /// Takes the fields on loads out of the message.
     pub(crate) fn take_loads(&mut self, now: Millis) -> LoadUpdate {
         let sent = std::mem::take(&mut self.sent);
         let reports = std::mem::take(&mut self.reports);
@@ -368,7 +369,7 @@
             reports: reports.into_iter().map(report).collect(),
             unreached: std::mem::take(&mut self.unreached).into_iter().collect(),
             answered: std::mem::take(&mut self.answered).into_iter().collect(),
-            limits: limits.into_iter().filter_map(|limit| limit.into_limit_news(now)).collect(),
+            limits: limits.into_iter().filter_map(|limit| limit.into_limit_update(now)).collect(),
             leaving: std::mem::take(&mut self.leaving).into_iter().collect(),
         }
     }
