--- a/gateway/src/exchange/progress.rs
+++ b/gateway/src/exchange/progress.rs
@@ -62,7 +62,7 @@
             Feed::Orders => f(&mut self.orders_leads.borrow_mut()),
             Feed::Servers => f(&mut self.servers_leads.borrow_mut()),
             // Marks are few and short, so a gateway that missed some reads them from the store.
-            Feed::Marks => f(&mut Leads::new()),
+            Feed::Marks => f(&mut FeedPositions::new()),
         }
     }
 }
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -162,7 +162,7 @@
         ServerList::new(7, &read, |_| false, Millis(200)).encode().unwrap().bytes_at(7).unwrap();
     let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
     let mut receiver = Registry::default();
-    receiver.replace_by_passed(passed, Millis(200), Millis(300));
+    receiver.replace_by_peer_list(passed, Millis(200), Millis(300));
     assert_eq!(receiver.servers(Millis(1_900)).count(), 2);
     let later: Vec<_> = receiver.servers(Millis(2_100)).map(|s| s.id.as_str()).collect();
     assert_eq!(later, ["stays"]);
@@ -180,7 +180,7 @@
         ServerList::new(7, &read, is_leaving, Millis(0)).encode().unwrap().bytes_at(7).unwrap();
     let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
     let mut receiver = Registry::default();
-    receiver.replace_by_passed(passed, Millis(0), Millis(0));
+    receiver.replace_by_peer_list(passed, Millis(0), Millis(0));
     // A stale record from the store arrives later.
     receiver.put(server("leaves"), Millis(100));
     let state = |id: &str| receiver.get(&id.into()).map(|server| server.state);
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -83,7 +83,7 @@
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<OrderSnapshots>,
     /// Runs and servers that ended.
-    pub(crate) ends: Rc<RefCell<ServerEnds>>,
+    pub(crate) ends: Rc<RefCell<InterruptedRuns>>,
     /// Notified when a server whose runs broke off was checked.
     pub(crate) server_checked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
@@ -102,9 +102,9 @@
     /// Why the last read of the operator's topic failed.
     pub(crate) orders_read_error: RefCell<Option<String>>,
     /// Positions of other gateways in the operator's topic.
-    pub(crate) orders_leads: RefCell<Leads<SocketAddr>>,
+    pub(crate) orders_leads: RefCell<FeedPositions<SocketAddr>>,
     /// Positions of other gateways in the feed of backend servers.
-    pub(crate) servers_leads: RefCell<Leads<SocketAddr>>,
+    pub(crate) servers_leads: RefCell<FeedPositions<SocketAddr>>,
     /// The server list as last encoded for another gateway.
     pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
     /// Notified when another gateway is ahead in one of these feeds.
@@ -141,9 +141,9 @@
         let feeds = Feeds::new(settings.feeds);
         let connect_times = ConnectTimes::new(settings.connect_timeout);
         // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
-        let hold = settings.quarantine.hold;
-        let hold = hold.after(Millis(fastrand::u64(0..=hold.0 / 2)));
-        let quarantine = Quarantine::new(QuarantinePolicy { hold, ..settings.quarantine });
+        let write_delay = settings.quarantine.write_delay;
+        let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
+        let quarantine = Quarantine::new(QuarantinePolicy { write_delay, ..settings.quarantine });
         Self {
             settings,
             header_codec,
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -154,7 +154,7 @@
         let (service, target, stored_status) =
             (report.service.clone(), report.target.clone(), report.stored_status);
         // A gateway without a connection to the store may not have noticed yet that the store was restored.
-        let is_doubted = report.store_era < self.store_era || self.statuses.is_doubted(now);
+        let is_doubted = report.store_era < self.store_era || self.statuses.is_unreliable(now);
         match versions.peer_reports.get_mut(from) {
             Some((merged, at)) => {
                 merged.merge(report);
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -51,10 +51,10 @@
     peer_reports: HashMap<String, (RolloutReport, Millis)>,
     /// Usual times of the current version by route hash and model index; `true` for gaps between events, `false` for
     /// times to the first byte.
-    usual_times: HashMap<(u32, usize, bool), UsualTime>,
+    usual_times: HashMap<(u32, usize, bool), BaselineLatency>,
     /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between
     /// events.
-    recent_factors: [PresentTime; 2],
+    recent_factors: [CurrentSlowdown; 2],
 }
 
 /// The versions of all services, and their rollouts.
@@ -66,7 +66,7 @@
     pub(crate) moved_sessions: MovedSessions,
     services: HashMap<ServiceName, ServiceVersions>,
     /// What is known of the statuses in the store.
-    statuses: StatusBook,
+    statuses: RolloutStatuses,
     /// Services whose versions in service this gateway should write to the store.
     unwritten_services: Vec<ServiceName>,
     /// All orders written before this time are known.
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -91,7 +91,7 @@
     }
 
     /// Replaces the list of backend servers with that of another gateway, as of `as_of`.
-    pub(crate) fn replace_servers_from_peer(&self, list: PassedServers, as_of: Millis) {
+    pub(crate) fn replace_servers_from_peer(&self, list: PeerServerList, as_of: Millis) {
         self.record_listed_versions(&list.servers);
         let restarted = self.registry.borrow_mut().replace_by_peer_list(list, as_of, self.now());
         self.finish_list_update(&restarted);
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -125,7 +125,7 @@
 
 /// Reads the body of a response.
 ///
-/// There is no limit on the total time, only on the time without any bytes: see [`redwingfold_core::Patience`].
+/// There is no limit on the total time, only on the time without any bytes: see [`redwingfold_core::IdleTimeout`].
 #[derive(Debug)]
 pub struct ResponseReader {
     head: response::Parts,
