--- a/core/src/serving/baseline_latency.rs
+++ b/core/src/serving/baseline_latency.rs
@@ -1,31 +1,31 @@
-//! The baseline time of an answer of the version in service, by the load of its server, and what it takes at the moment.
+//! Baseline latency of the current version as a function of server load, and the current deviation from it.
 
 use crate::ids::Millis;
 
-/// Weight of the newest time.
+/// Weight of the newest sample in the moving averages.
 const NEWEST_WEIGHT: f64 = 0.03;
 
-/// Times before the baseline one says something.
+/// Minimum number of samples for an estimate.
 const MIN_SAMPLES: u32 = 12;
 
-/// Shortest time that is learned, in the unit of the times.
+/// Minimum latency in the fit, in the unit of the samples; avoids the logarithm of zero.
 const MIN_TIME: f64 = 0.05;
 
-/// Variance of the load that is added to the one seen, so that nearly equal loads make no slope of chance.
+/// Variance added to that of the load, so that noise does not produce a slope where loads are nearly equal.
 const MIN_VARIANCE: f64 = 0.01;
 
-/// Standard deviations of the load above its mean up to which the slope is followed.
+/// Standard deviations of the load above its mean up to which the fitted slope applies.
 const MAX_FITTED_DEVIATIONS: f64 = 2.0;
 
-/// Least load from which times are taken to grow with it where it was not seen.
+/// Minimum load above which latency is extrapolated in proportion to load.
 const MIN_FITTED_LOAD: f64 = 0.25;
 
-/// What answers of the version in service usually take, by the load of the server that gives them: the requests that it runs
-/// and that wait there, for each of its slots.
+/// Latency of answers of the current version as a function of the load of the server: the requests running and waiting
+/// there per slot.
 ///
-/// The logarithm of a time is fitted by a line over the load, the newest times counting most. Under a load that was not seen,
-/// times are taken to grow in proportion to it. Compared with times from before a burst alone, a good version that gets
-/// all of the traffic in the burst looks slow.
+/// The logarithm of the latency is fitted by a line over the load, with exponentially decaying weights. Beyond the
+/// observed loads, latency is assumed to grow in proportion to load. A comparison with latencies from before a burst
+/// alone would make a good version look slow that gets all of the traffic in the burst.
 ///
 /// ```
 /// let mut baseline = redwingfold_core::BaselineLatency::default();
@@ -44,18 +44,18 @@
 }
 
 impl BaselineLatency {
-    /// Returns how many times the baseline one a time at a load is, once that is known.
+    /// Returns the ratio of a latency to the baseline at a load, once there are enough samples.
     pub fn ratio(&self, time: f64, load: f64) -> Option<f64> {
         (self.samples >= MIN_SAMPLES).then(|| time / self.log_at(load).exp())
     }
 
-    /// Returns how many times the baseline one a time of another version is. At a load below the mean it is compared with the
-    /// baseline time at the mean: a slope that chance makes would let a version on idle servers look slow.
+    /// Returns the ratio of a latency of another version to the baseline. Below the mean load, the baseline at the mean
+    /// is used: a slope caused by noise would make a version on idle servers look slow.
     pub fn ratio_of_other_version(&self, time: f64, load: f64) -> Option<f64> {
         self.ratio(time, load.max(self.mean_load))
     }
 
-    /// Takes a time of the version in service, of any unit, at a load.
+    /// Records a latency of the current version, in any fixed unit, at a load.
     pub fn record(&mut self, time: f64, load: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = (1.0 / f64::from(self.samples)).max(NEWEST_WEIGHT);
@@ -67,7 +67,7 @@
         self.covariance = (1.0 - weight) * (self.covariance + weight * load_delta * log_delta);
     }
 
-    /// Returns the logarithm of the baseline time at a load.
+    /// Returns the logarithm of the baseline latency at a load.
     fn log_at(&self, load: f64) -> f64 {
         let slope = (self.covariance / (self.variance + MIN_VARIANCE)).max(0.0);
         let fitted =
@@ -77,11 +77,11 @@
     }
 }
 
-/// How many times the baseline time answers of the version in service take at the moment.
+/// Recent ratio of the latency of the current version to its baseline.
 ///
-/// Other versions are compared with that. All answers of a burst, or of a gateway that has little processor time, are late; a
-/// good version that gets most of its requests just then looked several times as slow as the one in service, whose answers
-/// are mostly of before. Where the version in service gets no requests any longer, its last answers count.
+/// Other versions are compared with it. In a burst, or on a gateway that is short of CPU time, all answers are late. A
+/// good version that gets most of the requests just then would look several times as slow as the current version, most
+/// of whose answers are from before. If the current version no longer gets requests, its last answers count.
 ///
 /// ```
 /// use redwingfold_core::{Millis, CurrentSlowdown};
@@ -97,14 +97,14 @@
     at: Millis,
 }
 
-/// Time after which an answer counts half.
+/// Time after which the weight of an answer has halved.
 const HALF_LIFE: Millis = Millis(300);
 
-/// Weight of the answers below which they say nothing.
+/// Minimum total weight of answers for an estimate.
 const MIN_WEIGHT: f64 = 2.0;
 
 impl CurrentSlowdown {
-    /// Takes how many times the baseline one a time of the version in service is.
+    /// Records the ratio of a latency of the current version to the baseline.
     pub fn record(&mut self, ratio: f64, now: Millis) {
         let age = now.since(self.at).0 as f64 / HALF_LIFE.0 as f64;
         self.weight = self.weight * 0.5_f64.powf(age) + 1.0;
@@ -112,7 +112,7 @@
         self.at = now;
     }
 
-    /// Returns how many times the baseline one a time is now; 1 if answers take no longer than baseline, or few are known.
+    /// Returns the current ratio to the baseline; 1 if answers are not slower than it or there are too few.
     pub fn factor(&self) -> f64 {
         if self.weight < MIN_WEIGHT { 1.0 } else { self.mean_log.exp().max(1.0) }
     }
--- a/core/src/serving/feed_positions.rs
+++ b/core/src/serving/feed_positions.rs
@@ -1,14 +1,15 @@
-//! Which other gateway to ask for what it knows and this one does not.
+//! Selection of another gateway from which to fetch the part of a feed that this gateway lacks.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::ids::Millis;
 
-/// How far other gateways know a feed, as they told, by their addresses.
+/// Offsets up to which other gateways have a feed, as they last reported them, by their addresses.
 ///
-/// The store may turn a host away for minutes while it serves the others, and a slow link may take a second for
-/// what a neighbour can say in a few hundred bytes. A gateway that hears that another one is ahead asks it.
+/// The store may be unreachable for one host for minutes while it serves the others, and a read over a slow link may
+/// take a second for what another gateway can send in a few hundred bytes. So a gateway fetches from a gateway that
+/// reports a higher offset than its own.
 #[derive(Clone, Debug)]
 pub struct FeedPositions<P> {
     positions: HashMap<P, Position>,
@@ -18,18 +19,18 @@
 struct Position {
     next: u64,
     recorded_at: Millis,
-    /// Not asked before: it has just failed.
+    /// Earliest time of the next request, after a failed one.
     retry_at: Millis,
 }
 
-/// Time for which what a gateway told is of use: it may have ended since.
+/// Time for which a reported offset is used; the gateway may have stopped since.
 const RETENTION: Millis = Millis(5_000);
 
-/// Time until a gateway that failed to answer is asked again. It may serve as many as it can at once.
+/// Delay before a gateway that failed to answer is asked again. It may be at its limit of concurrent answers.
 const RETRY_DELAY: Millis = Millis(300);
 
 impl<P: Copy + Eq + Hash> FeedPositions<P> {
-    /// Makes a table of nobody.
+    /// Creates an empty table.
     ///
     /// ```
     /// use redwingfold_core::{FeedPositions, Millis};
@@ -42,7 +43,7 @@
         Self { positions: HashMap::new() }
     }
 
-    /// Notes that a gateway knows the feed up to an offset.
+    /// Records that a gateway has the feed up to an offset.
     pub fn record(&mut self, gateway: P, next: u64, now: Millis) {
         self.positions.retain(|_, position| now.since(position.recorded_at) < RETENTION);
         let position = self.positions.entry(gateway).or_insert(Position {
@@ -53,14 +54,14 @@
         (position.next, position.recorded_at) = (next, now);
     }
 
-    /// Notes that a gateway did not answer.
+    /// Records that a gateway did not answer.
     pub fn record_failure(&mut self, gateway: P, now: Millis) {
         if let Some(position) = self.positions.get_mut(&gateway) {
             position.retry_at = now.after(RETRY_DELAY);
         }
     }
 
-    /// Picks one of those that are furthest ahead of `own`; `draw` is a random number.
+    /// Picks one of the gateways with the highest offset above `own`; `draw` is a random number.
     pub fn pick_ahead(&self, own: Option<u64>, draw: u64, now: Millis) -> Option<P> {
         let is_candidate = |position: &Position| {
             own.is_none_or(|own| position.next > own)
--- a/core/src/serving/idle_timeout.rs
+++ b/core/src/serving/idle_timeout.rs
@@ -1,14 +1,13 @@
-//! How long a silent service is waited for.
+//! Adaptive idle timeout for calls to a service.
 
 use crate::ids::Millis;
 
-/// Time for which a call bears silence, fitted to what the calls before it had to bear.
+/// Idle timeout of a call, adapted to the pauses of earlier calls.
 ///
-/// A bound on a whole call ends each read that is longer than the link is fast, and the next one begins from
-/// its start: 16 of 24 gateways with 10 Mbit/s kept a configuration for 33 s after 1.7 MB were due,
-/// with 700 ms a call. Bytes that come show that the service lives, so only the time between them is bounded.
-/// A bound that never moved would fail in the same way before a service that takes longer than it to
-/// begin; so each silence that was borne in vain doubles the next one.
+/// A timeout on the whole call aborts each read that takes longer on a slow link, and the next read starts over: with
+/// 700 ms a call, 16 of 24 gateways on links of 10 Mbit/s kept an old configuration for 33 s while 1.7 MB were due.
+/// Received bytes show that the service is alive, so only the time between them is limited. A fixed idle timeout would
+/// fail in the same way if the service takes longer to send its first byte, so each timeout doubles the next one.
 ///
 /// ```
 /// use redwingfold_core::{Millis, IdleTimeout};
@@ -25,26 +24,26 @@
     current: Millis,
 }
 
-/// What is waited, as a multiple of the longest_silence silence of the last answer.
+/// Timeout as a multiple of the longest pause of the last answer.
 const MARGIN: u64 = 2;
 
 impl IdleTimeout {
-    /// Waits for `min` at first, and for `max` at last.
+    /// Starts at `min` and grows up to `max`.
     pub fn new(min: Millis, max: Millis) -> Self {
         Self { min, max: max.max(min), current: min }
     }
 
-    /// Returns the silence that the next call bears.
+    /// Returns the idle timeout of the next call.
     pub fn current(&self) -> Millis {
         self.current
     }
 
-    /// Notes a call that ended in silence.
+    /// Records a call that timed out.
     pub fn record_timeout(&mut self) {
         self.current = Millis(self.current.0.saturating_mul(2)).min(self.max);
     }
 
-    /// Notes an answer, and the longest_silence silence before it and within it.
+    /// Records an answer and the longest pause before or within it.
     pub fn record_answer(&mut self, longest_silence: Millis) {
         let wanted =
             Millis(longest_silence.0.saturating_mul(MARGIN)).max(Millis(self.current.0 / 2));
--- a/core/src/serving/interrupted_runs.rs
+++ b/core/src/serving/interrupted_runs.rs
@@ -1,4 +1,4 @@
-//! Which requests ran on a backend server when it ended, or just before.
+//! Runs that were in flight on a backend server when its process ended, or shortly before.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,41 +6,41 @@
 use super::fingerprint::Fingerprint;
 use crate::ids::Millis;
 
-/// Time for which a run is remembered, and a broken one waits to be told that its server has ended. The record of one
-/// that crashed lapses after three of its heartbeats.
+/// Time for which a run is kept while it is unknown whether its server has ended. The record of a crashed server
+/// expires after three missed heartbeats.
 const RETENTION: Millis = Millis(10_000);
 
-/// Time between looks for what need not be remembered any more.
+/// Interval between removals of expired entries.
 const PRUNE_INTERVAL: Millis = Millis(1_000);
 
-/// Servers that are remembered at most; beyond it, those that nothing has run on for longest are forgotten.
+/// Maximum number of servers; beyond it, the one with the oldest last run is evicted.
 const MAX_SERVERS: usize = 1_024;
 
-/// Runs that are remembered of a server at most, of each kind.
+/// Maximum number of runs kept per server, for broken and abandoned runs each.
 const MAX_RUNS: usize = 64;
 
-/// Time from the end of a run to the end of its server in which the run may have brought that about.
+/// Maximum time between the abandonment of a run and the end of its server for which the run may have caused that end.
 const ABANDONED_WINDOW: Millis = Millis(500);
 
-/// Least time from the end of a server to that of its record, of which it renews one in a second or so.
+/// Minimum time from the end of a server to the expiry of its record, which the server renews about once a second.
 const MIN_EXPIRY_DELAY: Millis = Millis(2_000);
 
-/// A run that has ended.
+/// A run that ended without a complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EndedRun {
-    /// What ran.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent_at: Millis,
 }
 
-/// Runs that broke off, until it is known whether their server ended or only their connection, and those that were given
-/// up a moment ago.
+/// Broken runs, until it is known whether their server ended or only the connection was lost, and recently abandoned
+/// ones.
 ///
-/// An answer may also break because its server spoils one in many, or because something on the way lost a
-/// connection. Taken for runs of servers, these would make any request look guilty. And a server may end under a
-/// request some 100 ms after it was given up there, for a larger model or because its caller has gone: looked for among
-/// broken runs alone, such a request runs more servers before it is known, or is never found.
+/// An answer may also break because its server corrupts one answer in many, or because a network element dropped the
+/// connection. If such breaks counted as ends of servers, any request would become suspect. A server may also end some
+/// 100 ms after a request was abandoned there, in favor of a larger model or because its caller has disconnected. If
+/// only broken runs counted, such a request would end more servers before it is identified, or never be identified.
 #[derive(Clone, Debug, Default)]
 pub struct InterruptedRuns {
     servers: HashMap<BackendId, ServerRuns>,
@@ -50,29 +50,29 @@
 #[derive(Clone, Debug, Default)]
 struct ServerRuns {
     broken: Vec<EndedRun>,
-    /// Runs that were given up, and when, since the server last answered.
+    /// Abandoned runs since the last answer of the server, and the times of their abandonment.
     abandoned: VecDeque<(EndedRun, Millis)>,
-    /// When the first run broke off.
+    /// Time at which the first run broke.
     first_broken_at: Option<Millis>,
-    /// Whether it was looked at since.
+    /// Whether the server has been probed since.
     is_probed: bool,
     has_ended: bool,
     last_run_at: Millis,
 }
 
-/// What is to be done about a broken run.
+/// How to proceed after a run broke.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BrokenRun {
-    /// It is the first one of its server: whether the server still listens should be looked at.
+    /// It is the first broken run of its server: probe whether the server still accepts connections.
     ProbeServer,
-    /// Its server has ended.
+    /// The server has ended.
     ServerEnded,
-    /// Its server is being looked at.
+    /// A probe of the server is in progress or done.
     ProbePending,
 }
 
 impl InterruptedRuns {
-    /// Takes a run that broke off.
+    /// Records a run that broke before its answer was complete.
     ///
     /// ```
     /// use redwingfold_core::{BackendId, BrokenRun, EndedRun, Fingerprint, Millis, InterruptedRuns};
@@ -97,7 +97,7 @@
         if is_first { BrokenRun::ProbeServer } else { BrokenRun::ProbePending }
     }
 
-    /// Takes a run that was given up by who sent it.
+    /// Records a run that this gateway abandoned.
     ///
     /// ```
     /// use redwingfold_core::{BackendId, EndedRun, Fingerprint, Millis, InterruptedRuns};
@@ -118,20 +118,20 @@
         known.abandoned.push_back((run, now));
     }
 
-    /// Takes that a server has answered: it bears what was given up there some time before.
+    /// Records an answer of a server: it survived the runs that were abandoned there some time before.
     pub fn record_answer(&mut self, server: &BackendId, now: Millis) {
         if let Some(known) = self.servers.get_mut(server) {
             known.abandoned.retain(|(_, at)| now.since(*at) <= ABANDONED_WINDOW);
         }
     }
 
-    /// Takes that a server has ended; returns the runs that broke off there before it was known, and those that were given
-    /// up just before.
+    /// Records that a server has ended. Returns the runs that broke there before the end was known, and those abandoned
+    /// shortly before.
     pub fn record_end(&mut self, server: &BackendId, now: Millis) -> Vec<EndedRun> {
         self.prune(now);
         let Some(known) = self.servers.get_mut(server) else { return Vec::new() };
         known.has_ended = true;
-        // Where none broke off, it may have ended at any time since its last answer.
+        // Without a broken run, the server may have ended at any time since its last answer.
         let ended_at = known.first_broken_at.unwrap_or_default();
         let left = std::mem::take(&mut known.abandoned);
         let just_before =
@@ -141,8 +141,11 @@
         runs
     }
 
-    /// Takes that a server's record is gone though it had not announced its end; returns what [`Self::record_end`] does. One that
-    /// still answered a moment ago has left by plan: records of servers that crash take longer to lapse.
+    /// Records that the record of a server is gone although the server had not announced its shutdown; returns the same
+    /// as [`Self::record_end`].
+    ///
+    /// A server with a recent run and no broken one has shut down as planned, because the record of a crashed server
+    /// takes longer to expire.
     pub fn record_expiry(&mut self, server: &BackendId, now: Millis) -> Vec<EndedRun> {
         let has_just_run = |known: &ServerRuns| {
             let last = known.abandoned.back().map(|(_, at)| *at);
@@ -155,14 +158,14 @@
         }
     }
 
-    /// Takes that a server was looked at.
+    /// Records that a server was probed.
     pub fn record_probe(&mut self, server: &BackendId) {
         if let Some(known) = self.servers.get_mut(server) {
             known.is_probed = true;
         }
     }
 
-    /// Says whether a run broke off at a server that was not looked at yet.
+    /// Returns whether a run broke at a server that has not been probed yet.
     pub fn awaits_probe(&self, server: &BackendId) -> bool {
         let awaits_probe = |known: &ServerRuns| known.first_broken_at.is_some() && !known.is_probed;
         self.servers.get(server).is_some_and(|known| awaits_probe(known) && !known.has_ended)
--- a/core/src/serving/limits.rs
+++ b/core/src/serving/limits.rs
@@ -19,7 +19,7 @@
     pub over: f64,
     /// Additional requests allowed per window.
     pub slack: f64,
-    /// Maximum ratio of the actual fleet size to the size that a gateway knows.
+    /// Maximum ratio of the actual fleet size to the size that a gateway counts.
     pub max_fleet_ratio: f64,
     /// Standard deviations between the mean and the maximum number of requests per window.
     pub std_deviations: f64,
--- a/core/src/serving/load.rs
+++ b/core/src/serving/load.rs
@@ -1,31 +1,31 @@
-//! What a server has yet to do, in milliseconds of its time.
+//! Estimated backlog of servers, in milliseconds of prefill time.
 
 use std::collections::HashMap;
 
 use super::catalog::ServiceName;
 use crate::ids::Millis;
 
-/// How long servers take for a token of a prompt, learned from first bytes.
+/// Prefill time per prompt token, learned from the times to the first byte.
 ///
-/// The times contain waits and lack what was cached, so a low quantile is followed: neither a queue
-/// nor a lucky cache moves it far.
+/// The times include waits and omit cached parts, so a low quantile is tracked: neither a queue nor a cache hit changes
+/// it much.
 #[derive(Clone, Debug, Default)]
 pub struct ReadRates(HashMap<(ServiceName, usize), f64>);
 
-/// The quantile that is followed.
+/// The tracked quantile.
 const QUANTILE: f64 = 0.35;
 
-/// Part of the present value by which one time moves it.
+/// Share of the current value by which one sample changes it.
 const STEP: f64 = 0.06;
 
-/// Prompts below this say little: their time is mostly that of a step.
+/// Minimum prompt length in tokens; the time of shorter prompts is mostly that of a decoding step.
 const MIN_TOKENS: u64 = 2_000;
 
-/// Milliseconds a token until something is learned: common engines read some tens a millisecond.
+/// Default in milliseconds per token; common engines read some tens of tokens a millisecond.
 const DEFAULT_RATE: f64 = 0.02;
 
 impl ReadRates {
-    /// Takes the time from a send to the first byte for a prompt of `tokens`.
+    /// Records the time from a send to the first byte for a prompt of `tokens`.
     ///
     /// ```
     /// use redwingfold_core::{Millis, ReadRates};
@@ -51,36 +51,36 @@
     }
 }
 
-/// What the other gateways have sent to each server, and what they last saw there.
+/// Load of each server that comes from other gateways: the work they sent and their last reports.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads(HashMap<u32, PeerLoad>);
 
-/// What is known of one server through others.
+/// Load of one server as reported by other gateways.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PeerLoad {
     backlog: Millis,
     as_of: Millis,
-    /// The newest report of its load, and when it was made.
+    /// The newest load report and its time.
     pub report: Option<(ServerReport, Millis)>,
 }
 
-/// A server's report of its load.
+/// Load report of a server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ServerReport {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
-/// Servers that are remembered at most; those that were idle longest go.
+/// Maximum number of servers; beyond it, those that were idle for 10 s are removed.
 const MAX_SERVERS: usize = 20_000;
 
 impl PeerLoads {
-    /// Takes that a prompt was sent to a server which reads it in a time.
+    /// Records that another gateway sent a server a prompt with a prefill time of `takes`.
     ///
-    /// A server reads at its own pace whoever asks, so what is left of all prompts shrinks by a
-    /// millisecond each millisecond: nobody has to tell when a prompt was read.
+    /// A server reads at its own pace whoever sends, so the total backlog shrinks by a millisecond each millisecond: no
+    /// message is needed when a prompt was read.
     ///
     /// ```
     /// use redwingfold_core::{Millis, PeerLoads};
@@ -97,23 +97,23 @@
         load.as_of = now;
     }
 
-    /// Takes a report that another gateway got.
+    /// Records a load report that another gateway received.
     pub fn record_report(&mut self, server: u32, report: ServerReport, now: Millis) {
         self.make_room();
         self.0.entry(server).or_default().report = Some((report, now));
     }
 
-    /// Returns the time that a server will still take for the prompts of others.
+    /// Returns the time that a server still needs for the prompts of other gateways.
     pub fn backlog(&self, server: u32, now: Millis) -> Millis {
         self.0.get(&server).map_or(Millis(0), |load| load.backlog_at(now))
     }
 
-    /// Returns what is known of a server.
+    /// Returns the load of a server, or an empty one.
     pub fn get(&self, server: u32) -> PeerLoad {
         self.0.get(&server).copied().unwrap_or_default()
     }
 
-    /// Forgets a server that has started again: it holds none of what was sent before.
+    /// Removes a server that has restarted: it has none of the requests that were sent before.
     ///
     /// ```
     /// use redwingfold_core::{Millis, PeerLoads};
--- a/core/src/serving/members.rs
+++ b/core/src/serving/members.rs
@@ -1,49 +1,52 @@
-//! Which other gateways there are.
+//! Membership of the fleet: the other gateways that are running.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::ids::Millis;
 
-/// Silence after which a gateway gets no more messages.
+/// Time without a message after which a gateway is removed.
 const LIVENESS_TIMEOUT: Millis = Millis(20_000);
 
-/// Gateways that are told of others that were learned, and that answer a newcomer. Each tells on what is new to it,
-/// so that all have it after three rounds; with eight each, one in three thousand is left out.
+/// Number of gateways that forward newly added members, and that answer a new gateway. Each one forwards what is new to
+/// it, so that a change reaches all gateways in three rounds; with a fan-out of eight, one gateway in three thousand is
+/// missed.
 const GOSSIP_FANOUT: usize = 8;
 
-/// Gateways of which a fleet is taken to have at least so many: who knows only a few as yet would tell each newcomer.
+/// Minimum fleet size to assume when deciding whether to answer a new gateway. Otherwise gateways that have only a few
+/// members yet would answer every one.
 const MIN_ASSUMED_FLEET: usize = 64;
 
 /// The other gateways, by their addresses.
 ///
-/// Load pattern: all gateways of a fleet come back within half a second. Few read in the store where the others are;
-/// what they read goes on from gateway to gateway, eight at a time. Those that are not up yet miss it. They are
-/// heard of by all that have it, and hear them, but not each other: 19 of 103 stayed so, and as each was
-/// heard by all but the 18, no other gateway read the store any more, and they read it 20 times as often
-/// as one would. So who hears a newcomer tells it of the others, with a chance that makes eight of all do so.
+/// Load pattern: all gateways of a fleet start within half a second. A few of them read the addresses of the others
+/// from the store and forward them by gossip, to eight gateways at a time. Gateways that are not up yet miss these
+/// messages. All gateways that have the list send to them, which adds those to their lists, but not each other: 19 of
+/// 103 gateways stayed in that state. As each of them received messages from all but the 18, no other gateway read the
+/// store any more, and these read it 20 times as often as one would. So a gateway that receives a message from a new
+/// gateway sends it the member list, with a probability such that about eight of the fleet do.
 #[derive(Clone, Debug)]
 pub struct Members<A> {
     own: A,
     known: HashMap<A, Member>,
-    /// Whether some were learned that others may not know.
+    /// Whether members were added that others may lack.
     is_changed: bool,
-    /// Some that this one should tell of the others.
+    /// New gateways that this one should send the member list to.
     newcomers: Vec<A>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Member {
-    /// When it was last heard, or named first.
+    /// Time of its last message, or when it was first named.
     last_seen_at: Millis,
-    /// Since when it is known.
+    /// Time when it was added.
     known_since: Millis,
-    /// Whether it was ever heard itself.
+    /// Whether a message from it has arrived.
     has_sent: bool,
 }
 
 impl<A: Copy + Eq + Hash> Members<A> {
-    /// Makes the members as a gateway at `own` knows them that knows nobody.
+    /// Creates the empty member list of a gateway at `own`.
     ///
     /// ```
     /// use redwingfold_core::{Members, Millis};
@@ -61,7 +64,7 @@
         self.own
     }
 
-    /// Adds gateways that somebody named; `true` if one of them is new.
+    /// Adds gateways that another one named; returns whether one of them is new.
     pub fn add(&mut self, named: &[A], now: Millis) -> bool {
         let before = self.known.len();
         for addr in named.iter().filter(|addr| **addr != self.own) {
@@ -76,7 +79,7 @@
         has_added
     }
 
-    /// Notes that a gateway was heard; `draw` is a random number.
+    /// Records a message from a gateway; `draw` is a random number.
     pub fn record_message(&mut self, from: A, now: Millis, draw: u64) {
         let known_since = self.known.get(&from).map_or(now, |member| member.known_since);
         let before =
@@ -87,28 +90,28 @@
         }
     }
 
-    /// Says whether gateways were learned since this was last asked, so that a few should be told.
+    /// Returns and clears whether members were added, so that some others should be informed.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.is_changed)
     }
 
-    /// Returns the newcomers that this gateway should tell of all others.
+    /// Returns and clears the new gateways that this one should send the member list to.
     pub fn take_newcomers(&mut self) -> Vec<A> {
         std::mem::take(&mut self.newcomers)
     }
 
-    /// Returns those of some, in an order drawn anew, that are told of what was learned.
+    /// Returns the gateways to forward added members to, given all in a random order.
     pub fn gossip_targets(present: &[A]) -> &[A] {
         &present[..present.len().min(GOSSIP_FANOUT)]
     }
 
-    /// Returns those that were heard of late.
+    /// Removes gateways that have timed out, and returns the others.
     pub fn live(&mut self, now: Millis) -> Vec<A> {
         self.known.retain(|_, member| now.since(member.last_seen_at) < LIVENESS_TIMEOUT);
         self.known.keys().copied().collect()
     }
 
-    /// Returns those that were heard of late and have been known for a time.
+    /// Returns the live gateways that were added at least `time` ago.
     ///
     /// ```
     /// use redwingfold_core::{Members, Millis};
@@ -130,7 +133,7 @@
         self.known.len()
     }
 
-    /// Says whether no other is known.
+    /// Returns whether there are no other gateways.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions of a gateway: routes, backend servers, placement, repeats, cascades and roll-outs.
+//! Decisions of a gateway: routing, backend servers, placement, retries, model cascades and rollouts.
 
 mod answers;
 mod baseline_latency;
--- a/core/src/serving/placement.rs
+++ b/core/src/serving/placement.rs
@@ -1,55 +1,55 @@
-//! Which backend server gets a request of a gateway.
+//! Placement of requests on backend servers.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::catalog::BackendId;
 use crate::ids::Millis;
 
-/// A backend server that could take the request, with what the gateway knows of its load.
+/// A backend server that could run the request, and its load as far as the gateway has data.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     /// The server.
     pub id: BackendId,
-    /// Requests that it is believed to run.
+    /// Estimated number of running requests.
     pub running: f64,
-    /// Requests that are believed to wait there.
+    /// Estimated number of waiting requests.
     pub waiting: f64,
-    /// Time that the prompts will take which it has not read yet, as far as gateways have told.
+    /// Estimated prefill time of the prompts that it has yet to read, including those that other gateways reported.
     pub unread: Millis,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether its answers were so bad that it is left out while others are there.
+    /// Whether it is excluded for its failures while others are available.
     pub is_out: bool,
 }
 
-/// What a request asks of the server that gets it.
+/// Prefill work of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Work {
-    /// Hash of the last part of its prompt that other requests share.
+    /// Hash of the longest prompt prefix that other requests share.
     pub shared_prompt: Option<u64>,
-    /// Time in which its shared parts are read where they are not cached.
+    /// Prefill time of the shared prefix where it is not cached.
     pub shared: Millis,
-    /// Their tokens.
+    /// Tokens of the shared prefix.
     pub shared_tokens: u64,
 }
 
 /// Weights of placement, in milliseconds of a server's time.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementPolicy {
-    /// A request that runs: it slows each step of the others.
+    /// Cost of a running request: it slows each decoding step of the others.
     pub running_ms: f64,
-    /// A request that waits: all slots are taken.
+    /// Cost of a waiting request: all slots are taken.
     pub waiting_ms: f64,
-    /// Reading a shared token again, beyond its time: it takes memory from other prompts.
+    /// Cost of reading a shared token again, beyond its prefill time: it evicts other prompts from the cache.
     pub reread_ms_per_token: f64,
-    /// Part of the shared prompt that the first servers in a prompt's ranking hold in their caches.
+    /// Share of the shared prompt that the first servers in the ranking of a prompt are expected to have cached.
     pub cached_share: [f64; 3],
 }
 
 impl Default for PlacementPolicy {
-    /// A step with one more request takes about 2% longer; a request that runs stays for dozens of
-    /// steps, of which a new one feels a few before its first token. The second in rank gets a prompt only while the
-    /// first is loaded, and has it in its cache less often.
+    /// A step with one more request takes about 2% longer. A request runs for dozens of steps, a few of which delay the
+    /// first token of a new one. The second server in the ranking gets a prompt only while the first is loaded, and so
+    /// has it cached less often.
     fn default() -> Self {
         Self {
             running_ms: 4.0,
@@ -67,16 +67,16 @@
     }
 }
 
-/// Chooses the server that is expected to come to the request's first token soonest.
+/// Chooses the server that is expected to send the first token of the request soonest.
 ///
-/// Load pattern: prompts of a few hundred tokens among some of fifty thousand. By the number of
-/// requests alone, a short one waits seconds behind a long one; so what counts is the time that a
-/// server will take for what it has yet to read, and for what of this request is not in its cache. Which prompts it
-/// caches is known without asking: servers are ranked for each shared prompt by rendezvous hashing,
-/// which every gateway does alike, and one that comes or goes moves only its own share. A popular
-/// prompt cannot bury its server, since the work that it brings counts too.
+/// Load pattern: prompts of a few hundred tokens among some of fifty thousand. With placement by the number of requests
+/// alone, a short prompt waits seconds behind a long one. So the cost is the time that a server needs for the prompts
+/// that it has yet to read, and for the part of this request that it has not cached. The caches are estimated without
+/// messages: servers are ranked for each shared prompt by rendezvous hashing, which yields the same ranking on every
+/// gateway, and a server that joins or leaves moves only its own share of the prompts. A popular prompt cannot overload
+/// its server, since the work that it causes counts as well.
 ///
-/// `draw` decides between servers that cost the same.
+/// `draw` picks among servers with equal costs.
 ///
 /// ```
 /// use redwingfold_core::{Millis, Place, PlacementPolicy, Work, place};
@@ -110,8 +110,8 @@
     Some(pool[best[draw(best.len())]])
 }
 
-/// Returns the first `count` of a version's servers in an order that is the same on all gateways, half of them from each half
-/// of the servers. Those that are left out are passed over.
+/// Returns the first `count` servers of a version in an order that is the same on all gateways, half of them from each
+/// half of the servers. Excluded servers are skipped.
 ///
 /// ```
 /// use redwingfold_core::{Millis, Place, is_in_first_half, lead_servers};
@@ -134,18 +134,18 @@
     first
 }
 
-/// Says to which half of its version's servers a server belongs.
+/// Returns whether a server belongs to the first half of the servers of its version.
 pub fn is_in_first_half(id: &BackendId) -> bool {
     lead_rank(id).is_multiple_of(2)
 }
 
-/// Another order than that for any prompt.
+/// Rank in an order that is independent of that for any prompt.
 fn lead_rank(id: &BackendId) -> u64 {
     const SEED: u64 = 0x6c65_6164;
     xxh3_64_with_seed(id.as_str().as_bytes(), SEED)
 }
 
-/// Ranks servers for a shared prompt.
+/// Ranks servers for a shared prompt by rendezvous hashing.
 fn ranked(pool: &[&Place], prompt: u64) -> Vec<usize> {
     let mut ranked: Vec<_> = (0..pool.len()).collect();
     let hash = |i: &usize| xxh3_64_with_seed(pool[*i].id.as_str().as_bytes(), prompt);
--- a/core/src/serving/quarantine/answered.rs
+++ b/core/src/serving/quarantine/answered.rs
@@ -1,23 +1,23 @@
-//! Requests that were answered of late.
+//! Requests that were answered recently.
 
 use crate::ids::Millis;
 use crate::serving::fingerprint::Fingerprint;
 use crate::serving::interrupted_runs::EndedRun;
 
-/// Places of the table; a newer request takes the entry of an older one that has the same.
+/// Number of slots in the table. A newer request replaces an older one in the same slot.
 const TABLE_SIZE: u64 = 2_048;
 
 /// Time for which an answer counts.
 const RETENTION: Millis = Millis(60_000);
 
-/// Ends of servers, one after the other and without an answer between, that an answered request is not held to account
-/// for. A popular one is on many servers that end together; that it ends them one by one is no chance.
+/// Number of consecutive ends, without an answer in between, that an answered request is excused for. A popular request
+/// is on many servers that end together by coincidence; a series of separate ends is not a coincidence.
 const MAX_EXCUSED_ENDS: u8 = 2;
 
-/// Requests that a server has answered to the end, in a table of a fixed size.
+/// Requests that a server has answered completely, in a hash table of fixed size without chaining.
 ///
-/// Load pattern: a request that many callers send runs on most servers at any time, so that it is on each that ends,
-/// for whatever reason. Suspected for that, it would be refused to all of them until a trial ended.
+/// Load pattern: a request that many callers send is in flight on most servers at any time, and so on each one that
+/// ends for any reason. If it were suspected, it would be refused to all callers until a trial is answered.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnsweredRequests {
     entries: Vec<Option<AnsweredRequest>>,
@@ -27,13 +27,13 @@
 struct AnsweredRequest {
     request: Fingerprint,
     at: Millis,
-    /// Ends since, and when the last of them was known.
+    /// Number of ends since the answer, and the time at which the last one was recorded.
     ends: u8,
     ended_at: Millis,
 }
 
 impl AnsweredRequests {
-    /// Takes that a request was answered.
+    /// Records a complete answer to a request.
     pub(super) fn record_answer(&mut self, request: Fingerprint, now: Millis) {
         if self.entries.is_empty() {
             self.entries = vec![None; TABLE_SIZE as usize];
@@ -43,16 +43,16 @@
             Some(AnsweredRequest { request, at: now, ends: 0, ended_at: Millis(0) });
     }
 
-    /// Says whether a request was answered of late.
+    /// Returns whether a request was answered recently.
     pub(super) fn contains(&self, request: Fingerprint, now: Millis) -> bool {
         let entry = self.entries.get((request.0 % TABLE_SIZE) as usize).copied().flatten();
         entry.is_some_and(|entry| entry.request == request && now.since(entry.at) < RETENTION)
     }
 
-    /// Takes that a server has ended while it ran a request; `true` if the request is not held to account for it.
+    /// Records that a server ended while it ran a request. Returns whether the request is excused.
     ///
-    /// Runs that were under way together say the same, however many they are: only one that was sent after the
-    /// last end was known counts once more.
+    /// Ends of runs that were in flight together count once, however many there are: only a run that was sent after the
+    /// last end was recorded counts again.
     pub(super) fn excuse_end(&mut self, run: EndedRun, now: Millis) -> bool {
         if !self.contains(run.request, now) {
             return false;
--- a/core/src/serving/quarantine/mark.rs
+++ b/core/src/serving/quarantine/mark.rs
@@ -1,4 +1,4 @@
-//! What gateways write down of a request under which servers ended.
+//! Records in the store about requests under which servers ended.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 use crate::serving::catalog::BackendId;
 use crate::serving::fingerprint::Fingerprint;
 
-/// Something that happened to a request. Marks are only added and withdrawn, never changed, so that the order in
-/// which gateways write them does not matter.
+/// An event in the history of a suspect request. Marks are only added and withdrawn, never changed, so that the order
+/// in which gateways write them does not matter.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Mark {
-    /// A server ended while it ran the request.
+    /// The server ended while it ran the request.
     End(BackendId),
-    /// It was tried once more, for the time of this number.
+    /// The request was sent as the trial with this number.
     Trial(u8),
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Mark {
-    /// Reads the form that it is displayed in; `None` if it is none.
+    /// Parses the [`Display`](fmt::Display) form; returns `None` if the text has another form.
     ///
     /// ```
     /// use redwingfold_core::Mark;
@@ -43,13 +43,13 @@
     }
 }
 
-/// A mark that is written or withdrawn.
+/// A mark that was added or withdrawn.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MarkChange {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
     /// The mark.
     pub mark: Mark,
-    /// How long ago it happened; `None` if the mark is withdrawn.
+    /// Age of the event; `None` if the mark is withdrawn.
     pub age: Option<Millis>,
 }
--- a/core/src/serving/quarantine/mod.rs
+++ b/core/src/serving/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from backend servers, because servers end under them.
+//! Quarantine of requests that crash backend servers.
 
 mod answered;
 mod mark;
@@ -18,32 +18,35 @@
 use pending_changes::PendingChanges;
 use suspect::Suspect;
 
-/// When requests are kept from servers, and when they are tried once more.
+/// When a request is quarantined, and how often a quarantined request is retried.
+///
+/// An *end* of a server is an unannounced end of its process while it runs requests, such as a crash.
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantinePolicy {
-    /// Ends of servers under a request from which on it is kept from them. One end says little: all that ran on the
-    /// server look alike.
+    /// Number of servers that must have ended while running a request before it is quarantined. A single end does not
+    /// identify the cause, because it affects every request that ran on the server.
     pub min_ends: usize,
-    /// Trials of such a request, over all gateways: an innocent one is let go by the first that is answered. They are for
-    /// requests of which no trial was seen to end its server; the others have fewer.
+    /// Maximum number of trials of a request, over all gateways, while no more than `min_ends` servers have ended under
+    /// it. The first trial that is answered releases the request.
     pub max_trials: u8,
-    /// Trials of a request under which more servers have ended.
+    /// Maximum number of trials of a request under which more than `min_ends` servers have ended.
     pub max_trials_after_more_ends: u8,
-    /// Time between two trials.
+    /// Minimum time between two trials.
     pub trial_interval: Millis,
-    /// Time for which a trial is waited for.
+    /// Time after which a trial without a known result counts as lost.
     pub trial_timeout: Millis,
-    /// Time after the last end for which it is remembered.
+    /// Time after the last end at which the request is forgotten.
     pub retention: Millis,
-    /// Time for which a first end is not written: most requests are answered by the next server meanwhile.
+    /// Delay before a first end is written to the store. Most requests are answered by the next server in that time, so
+    /// that nothing needs to be written.
     pub write_delay: Millis,
-    /// Requests that are remembered at most.
+    /// Maximum number of suspect requests in the table.
     pub max_suspects: usize,
 }
 
 impl Default for QuarantinePolicy {
-    /// Two ends, and as many trials that a deadly request has three sends at most after its third end, also if nobody saw
-    /// how they ended.
+    /// The limits allow at most three sends of a poison request after its third end, even if the result of each trial
+    /// is lost.
     ///
     /// ```
     /// use redwingfold_core::QuarantinePolicy;
@@ -65,51 +68,54 @@
     }
 }
 
-/// Time within which marks are written again that a store lost as it came back from an older copy.
+/// Time over which the gateways of a fleet spread the rewriting of marks that the store lost in a restore.
 const RESTORE_SPREAD: Millis = Millis(1_000);
 
-/// Time between withdrawals of marks that keep nothing from servers: what ran on a server when it ended is mostly answered
-/// by another within seconds, at times that all differ, and is withdrawn together.
+/// Interval between withdrawals of marks of requests that are not quarantined. Requests from an ended server are mostly
+/// answered elsewhere within seconds, at different times; their marks are withdrawn in one batch.
 const WITHDRAWAL_INTERVAL: Millis = Millis(3_000);
 
-/// Returns the next time for such withdrawals.
+/// Returns the time of the next such batch.
 fn next_withdrawal(now: Millis) -> Millis {
     Millis((now.0 / WITHDRAWAL_INTERVAL.0 + 1) * WITHDRAWAL_INTERVAL.0)
 }
 
-/// What may be done with a request.
+/// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It is sent on.
+    /// The request is not quarantined and may be sent.
     Allowed,
-    /// It is refused; the time until it may be tried again.
+    /// The request is refused; holds the time until the next trial or until the request is forgotten.
     Refused(Millis),
-    /// It may be sent to one server, by the gateway that gets to write the mark of the trial with this number.
+    /// The request may be sent to one server as the trial with this number, by the gateway that writes the mark of the
+    /// trial first.
     Trial(u8),
 }
 
-/// What one gateway knows of requests under which servers ended.
+/// The suspect requests that one gateway has on record, and the marks that it has yet to write.
 ///
-/// Load pattern: one request ends each server that runs it, and comes again under new ids, at any gateway, often or
-/// rarely. Each id is sent to as many servers as its route allows: of twelve servers ten were down at a time, and a
-/// third of all callers were refused or failed. Here a second end makes the request known, and what is known is in
-/// the store, so that neither lost messages nor lost gateways bring it back: beyond the runs that are under way
-/// by then it reaches a few servers more, and they only to let go of a request that was not to blame.
+/// Failure: a poison request ends every server that runs it. Its caller sends it again under new request ids, through
+/// any gateway, and each id is retried on as many servers as its route allows. Ten of twelve servers were down at a
+/// time, and a third of all callers were refused or failed. The quarantine identifies requests by a fingerprint of
+/// their content. From the second end on, the request is sent only as a trial. The marks are kept in the store, so that
+/// neither lost messages nor restarts of gateways release the request. Beyond the runs that are in flight at that time,
+/// it reaches only the few servers of its trials, which exist to release innocent requests.
 ///
-/// A request that ran beside a deadly one is known by what that one never has, an answer. Each whole answer clears the
-/// request at all gateways, and one that was answered of late is not suspected for single ends of servers.
+/// An innocent request that ran beside a poison request is recognized by its answers, because a poison request is never
+/// answered. Each complete answer releases the request at all gateways, and a request that was answered recently is not
+/// suspected because of single ends.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     policy: QuarantinePolicy,
     suspects: HashMap<Fingerprint, Suspect>,
     answered: AnsweredRequests,
     pending: PendingChanges,
-    /// Whether the others should know at once of something that waits to be written.
+    /// Whether a pending change should be written and sent to the other gateways immediately.
     is_urgent: bool,
 }
 
 impl Quarantine {
-    /// Makes an empty quarantine.
+    /// Creates an empty quarantine.
     ///
     /// ```
     /// use redwingfold_core::{
@@ -134,7 +140,8 @@
         }
     }
 
-    /// Takes that a server has ended while it ran a request; returns how many have, if this one counts.
+    /// Records that a server ended while it ran a request. Returns the number of ends on record for the request, or
+    /// `None` if this end does not count.
     pub fn record_end(&mut self, server: &BackendId, run: EndedRun, now: Millis) -> Option<usize> {
         if self.answered.excuse_end(run, now) {
             return None;
@@ -154,26 +161,26 @@
         Some(ends)
     }
 
-    /// Takes that a request under which a server ended has run on another one for a while: its first end waits on to be
-    /// written, as it will most likely be answered.
+    /// Postpones the write of a first end, because the request has been running on another server for a while and will
+    /// most likely be answered.
     ///
-    /// Load pattern: a third of 180 servers end at once, and 103 gateways each go on elsewhere with a dozen streams of
-    /// some seconds. Written and withdrawn one by one, their marks were too many to be told, so that each gateway read the
-    /// store for each of the others.
+    /// Load pattern: a third of 180 servers end at once, and each of 103 gateways resumes a dozen streams of some
+    /// seconds elsewhere. If their marks were written and withdrawn one by one, they would not fit into the messages
+    /// between gateways, and each gateway would read the store for the changes of each other one.
     pub fn postpone_marks(&mut self, request: Fingerprint, now: Millis) {
         if self.is_suspect(request) {
             self.pending.postpone(request, now.after(self.policy.write_delay), now);
         }
     }
 
-    /// Takes that a request has ended without an answer: what is known of it is not held back any longer.
+    /// Makes the pending marks of a request due, because the request failed and no answer will clear it.
     pub fn expedite_marks(&mut self, request: Fingerprint, now: Millis) {
         if self.suspects.contains_key(&request) {
             self.pending.expedite(request, now);
         }
     }
 
-    /// Takes that a server has answered a request to its end: it is not to blame. `true` if it was kept from servers.
+    /// Records a complete answer to a request and clears its marks. Returns whether the request was quarantined.
     pub fn record_answer(&mut self, request: Fingerprint, now: Millis) -> bool {
         self.answered.record_answer(request, now);
         let Some(suspect) = self.suspects.remove(&request) else { return false };
@@ -184,7 +191,7 @@
         was_quarantined
     }
 
-    /// Says what may be done with a request.
+    /// Returns whether a request may be sent.
     pub fn admission(&self, request: Fingerprint, now: Millis) -> Admission {
         match self.suspects.get(&request) {
             Some(suspect) if suspect.ends() >= self.policy.min_ends && now < suspect.expires_at => {
@@ -194,27 +201,28 @@
         }
     }
 
-    /// Says whether a server has ended under a request.
+    /// Returns whether a server has ended under a request.
     pub fn is_suspect(&self, request: Fingerprint) -> bool {
         self.suspects.contains_key(&request)
     }
 
-    /// Returns the number of the last trial of a request; 0 if there was none.
+    /// Returns the number of the last trial of a request, or 0 if there was none.
     pub fn last_trial(&self, request: Fingerprint) -> u8 {
         self.suspects.get(&request).map_or(0, Suspect::last_trial)
     }
 
-    /// Notes that this gateway asks the store for a trial, so that no other of its requests does.
+    /// Records that this gateway is claiming a trial from the store, so that no other request of this gateway claims
+    /// the same one.
     pub fn record_claim(&mut self, request: Fingerprint, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.last_trial_at = Some(now);
         }
     }
 
-    /// Takes that the store cannot be asked for a trial; `true` if this gateway may make one by itself.
+    /// Starts a trial without a claim, because the store is unavailable. Returns whether the trial is allowed.
     ///
-    /// Load pattern: the store is away while servers end for reasons of their own. Without this, a request that met two of
-    /// them would be refused until it is back. It is one trial for each gateway, whose mark is written later.
+    /// Failure: the store is unavailable while servers end for unrelated reasons. A request that ran on two of them
+    /// would be refused until the store is back. Each gateway may start one such trial, and its mark is written later.
     pub fn start_local_trial(&mut self, request: Fingerprint, trial: u8, now: Millis) -> bool {
         let until = now.after(self.policy.retention);
         let Some(suspect) = self.suspects.get_mut(&request) else { return false };
@@ -226,7 +234,7 @@
         may
     }
 
-    /// Takes that a trial was not sent to any server, so that another one may be.
+    /// Returns a trial that was not sent to any server, so that another request may use it.
     pub fn return_trial(&mut self, request: Fingerprint, trial: u8, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.remove(&Mark::Trial(trial));
@@ -235,7 +243,8 @@
         }
     }
 
-    /// Takes what the store says; returns the requests that are kept from servers from now on.
+    /// Applies changes read from the store or received from another gateway. Returns the requests that are newly
+    /// quarantined.
     pub fn apply_changes(&mut self, changes: &[MarkChange], now: Millis) -> Vec<Fingerprint> {
         changes.iter().filter(|change| self.apply_change(change, now)).map(|c| c.request).collect()
     }
@@ -262,17 +271,19 @@
         !was_quarantined && suspect.ends() >= ends
     }
 
-    /// Takes all that the store says; what it does not have any more was withdrawn.
+    /// Applies a snapshot of the store; marks that are not in it were withdrawn. Returns the requests that are newly
+    /// quarantined.
     pub fn apply_snapshot(&mut self, marks: &[MarkChange], now: Millis) -> Vec<Fingerprint> {
         let gone = self.missing_from(marks);
         gone.iter().for_each(|(request, mark)| self.forget(*request, mark));
         self.apply_changes(marks, now)
     }
 
-    /// Takes all that the store says after it has come back from an older copy; what that lacks is written again. Each
-    /// gateway of a fleet waits a time by `draw`, a random number, and one that has written lets the others be.
+    /// Applies a snapshot of a store that was restored from an older copy, and writes the marks again that the copy
+    /// lacks. Each gateway waits a random time, based on `draw` and the size of the fleet; when the first one has
+    /// written the marks, the others drop theirs.
     ///
-    /// Taken for withdrawn, the marks that the copy lacks would let a request go under which servers have ended.
+    /// If missing marks were taken as withdrawn, requests under which servers have ended would be released.
     pub fn apply_restored_snapshot(
         &mut self,
         marks: &[MarkChange],
@@ -289,7 +300,7 @@
         self.apply_changes(marks, now)
     }
 
-    /// Returns the marks that are known here and are not among some, but for those that wait to be written.
+    /// Returns the marks on record that are not among `marks` and have no pending change.
     fn missing_from(&self, marks: &[MarkChange]) -> Vec<(Fingerprint, Mark)> {
         let listed: HashSet<_> = marks.iter().map(|m| (m.request, &m.mark)).collect();
         let known = self.suspects.iter().flat_map(|(request, suspect)| {
@@ -301,32 +312,32 @@
         known.filter(is_missing).collect()
     }
 
-    /// Returns what is to be written to the store now, at most `max` changes.
+    /// Returns the pending changes that are due, at most `max` of them.
     pub fn due_changes(&self, now: Millis, max: usize) -> Vec<MarkChange> {
         self.pending.due(now, max)
     }
 
-    /// Says whether the others should know at once of what waits to be written.
+    /// Returns whether a pending change should reach the other gateways immediately.
     pub fn is_urgent(&self) -> bool {
         self.is_urgent
     }
 
-    /// Takes that it is about to be written.
+    /// Returns and clears the flag of [`Self::is_urgent`], before the pending changes are written.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.is_urgent)
     }
 
-    /// Returns when something is to be written.
+    /// Returns the time at which the next pending change is due.
     pub fn next_due_at(&self) -> Option<Millis> {
         self.pending.next_due_at()
     }
 
-    /// Takes that changes were written.
+    /// Removes changes that were written to the store from the pending ones.
     pub fn confirm_written(&mut self, changes: &[MarkChange]) {
         self.pending.confirm_written(changes);
     }
 
-    /// Returns how many requests are suspected, and how many of them are kept from servers.
+    /// Returns the number of suspect requests, and how many of them are quarantined.
     pub fn counts(&self, now: Millis) -> (usize, usize) {
         let is_quarantined =
             |request: &&Fingerprint| self.admission(**request, now) != Admission::Allowed;
@@ -343,7 +354,7 @@
         }
     }
 
-    /// Returns what is known of a request, with room for a new one.
+    /// Returns the entry of a request, and evicts another one if the table is full.
     fn suspect_entry(&mut self, request: Fingerprint, now: Millis) -> &mut Suspect {
         if !self.suspects.contains_key(&request) {
             self.make_room(now);
@@ -351,8 +362,8 @@
         self.suspects.entry(request).or_default()
     }
 
-    /// Forgets what is too old, and beyond the most that are remembered what matters least: a request that is not kept
-    /// from servers before one that is, and the oldest of these.
+    /// Removes expired entries. If the table is still full, evicts the entry that matters least: first the oldest one
+    /// that is not quarantined, then the oldest quarantined one.
     fn make_room(&mut self, now: Millis) {
         self.suspects.retain(|_, suspect| now < suspect.expires_at);
         if self.suspects.len() < self.policy.max_suspects {
--- a/core/src/serving/quarantine/pending_changes.rs
+++ b/core/src/serving/quarantine/pending_changes.rs
@@ -1,4 +1,4 @@
-//! Marks that are to be written to the store, or withdrawn from it.
+//! Marks that have yet to be written to the store or withdrawn from it.
 
 use std::collections::HashMap;
 
@@ -6,8 +6,8 @@
 use crate::ids::Millis;
 use crate::serving::fingerprint::Fingerprint;
 
-/// Changes that wait at most. In a long outage of the store those that wait longest give way: ends of servers that are
-/// so long ago say less than new ones.
+/// Maximum number of pending changes. In a long outage of the store the oldest ones are dropped, because recent ends
+/// are better evidence than old ones.
 const MAX_PENDING: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
@@ -17,19 +17,20 @@
     is_withdrawal: bool,
 }
 
-/// Changes that wait until they are written.
+/// Changes of marks that have not been written to the store.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingChanges {
     changes: HashMap<(Fingerprint, Mark), PendingChange>,
 }
 
 impl PendingChanges {
-    /// Adds a mark of a time that is to be written by another.
+    /// Adds a mark for an event at `made_at`, to be written at `due`.
     pub(super) fn add(&mut self, request: Fingerprint, mark: Mark, due: Millis, made_at: Millis) {
         self.put((request, mark), PendingChange { made_at, due, is_withdrawal: false });
     }
 
-    /// Withdraws marks by a time. One that is due may have been written, though no answer says so.
+    /// Withdraws marks at `due`. A mark that is not due yet is dropped; one that is due may have reached the store in a
+    /// write that was not confirmed, so that its withdrawal has to be written.
     pub(super) fn withdraw(
         &mut self,
         request: Fingerprint,
@@ -57,7 +58,7 @@
         self.changes.insert(key, change);
     }
 
-    /// Holds marks of a request back until a time, unless they are due.
+    /// Postpones the marks of a request to `until`, except those that are already due.
     pub(super) fn postpone(&mut self, request: Fingerprint, until: Millis, now: Millis) {
         let is_deferred = |change: &PendingChange| !change.is_withdrawal && change.due > now;
         let of_request = self
@@ -67,7 +68,7 @@
         of_request.for_each(|(_, change)| change.due = change.due.max(until));
     }
 
-    /// Writes what waits of a request at once.
+    /// Makes all pending changes of a request due.
     pub(super) fn expedite(&mut self, request: Fingerprint, now: Millis) {
         let of_request = self.changes.iter_mut().filter(|((of, _), _)| *of == request);
         of_request.for_each(|(_, change)| change.due = change.due.min(now));
@@ -77,7 +78,7 @@
         self.changes.contains_key(&(request, mark.clone()))
     }
 
-    /// Takes that the store has a mark; `false` if it is about to be withdrawn.
+    /// Records that the store has a mark. Returns `false` if a withdrawal of the mark is pending.
     pub(super) fn confirm_present(&mut self, request: Fingerprint, mark: &Mark) -> bool {
         let key = (request, mark.clone());
         if self.changes.get(&key).is_some_and(|change| change.is_withdrawal) {
@@ -87,7 +88,7 @@
         true
     }
 
-    /// Takes that a mark was withdrawn.
+    /// Records that a mark was withdrawn from the store.
     pub(super) fn confirm_withdrawn(&mut self, request: Fingerprint, mark: &Mark) {
         self.changes.remove(&(request, mark.clone()));
     }
@@ -107,7 +108,7 @@
         self.changes.values().map(|change| change.due).min()
     }
 
-    /// Takes that changes were written. One that was turned round meanwhile is still to be written.
+    /// Removes changes that were written. A mark with an opposite change made in the meantime remains pending.
     pub(super) fn confirm_written(&mut self, changes: &[MarkChange]) {
         for change in changes {
             let key = (change.request, change.mark.clone());
--- a/core/src/serving/quarantine/suspect.rs
+++ b/core/src/serving/quarantine/suspect.rs
@@ -3,21 +3,22 @@
 use super::{Admission, Mark, QuarantinePolicy};
 use crate::ids::Millis;
 
-/// Ends of servers that are kept of a request: it takes fewer to keep it from servers.
+/// Maximum number of ends on record for a request; fewer are enough to quarantine it.
 const MAX_ENDS: usize = 8;
 
-/// What is known of a request.
+/// The marks of a suspect request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspect {
     marks: Vec<Mark>,
-    /// When it was last tried, or a trial was asked for.
+    /// Time of the last trial, or of the last claim of one.
     pub(super) last_trial_at: Option<Millis>,
-    /// When it is forgotten.
+    /// Time at which the entry is removed.
     pub(super) expires_at: Millis,
 }
 
 impl Suspect {
-    /// Adds a mark of a time; `false` if it is known, or there are ends enough.
+    /// Adds a mark for an event at `at`. Returns `false` if the mark is already on record or the maximum number of ends
+    /// is reached.
     pub(super) fn add(&mut self, mark: &Mark, at: Millis, until: Millis) -> bool {
         let is_end = matches!(mark, Mark::End(_));
         if self.marks.contains(mark) || (is_end && self.ends() >= MAX_ENDS) {
@@ -39,12 +40,12 @@
         self.marks.clone()
     }
 
-    /// Returns how many servers ended.
+    /// Returns the number of servers that ended.
     pub(super) fn ends(&self) -> usize {
         self.marks.iter().filter(|mark| matches!(mark, Mark::End(_))).count()
     }
 
-    /// Returns the number of the last trial.
+    /// Returns the number of the last trial, or 0 if there was none.
     pub(super) fn last_trial(&self) -> u8 {
         let number = |mark: &Mark| match mark {
             Mark::Trial(number) => *number,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Says what may be done with it once enough servers have ended.
+    /// Returns whether the request may be sent, once enough servers have ended to quarantine it.
     pub(super) fn admission(&self, policy: &QuarantinePolicy, now: Millis) -> Admission {
         let trials = self.last_trial();
         let since = self.last_trial_at.map(|at| now.since(at));
--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -1,4 +1,4 @@
-//! Which backend servers exist, from a store that may be away.
+//! Registry of backend servers, read from a store that may be unavailable.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 use super::catalog::{BackendId, ServiceName};
 use crate::ids::{FailureDomain, Incarnation, Millis, ModelName, VersionName};
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServerState {
-    /// It will stop soon and gets no new work.
+    /// It will stop soon and gets no new requests.
     Draining,
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
 }
 
@@ -22,118 +22,120 @@
     pub id: BackendId,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Its address; another server may have it later.
+    /// Its address, which may later belong to another server.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
     /// Version of its software.
     pub version: VersionName,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: ServerState,
-    /// Models that it has loaded; empty if it is no model engine.
+    /// Models that it has loaded; empty if it is not a model engine.
     pub models: Vec<ModelName>,
-    /// Its start, if the platform tells: a server may start again under its id.
+    /// Incarnation of its process, if the platform reports it: a server may restart under the same id.
     pub born: Option<Incarnation>,
-    /// How much longer it is cold, as of its record.
+    /// Remaining time for which it is cold, as of its record.
     pub cold_left: Millis,
 }
 
 impl BackendServer {
-    /// Says whether this record is of a later start than another one.
+    /// Returns whether this record is of a later incarnation than another one.
     ///
-    /// A server that starts again holds and knows nothing of before. Were the two taken for one, its
-    /// callers would be sent there by the load and the failures of a process that is gone, and a server
-    /// that once drained would never be used again.
+    /// A restarted server has none of the state of its earlier process. Without the distinction, it would be placed by
+    /// the load and the failures of a process that no longer exists, and a server that once drained would never be used
+    /// again.
     pub fn is_restart_of(&self, earlier: &Self) -> bool {
         matches!((self.born, earlier.born), (Some(now), Some(then)) if now > then)
     }
 }
 
-/// What a record changed.
+/// Effect of a record on the registry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PutOutcome {
-    /// Nothing: it is of an earlier start than the one that is known, and came late.
+    /// No effect: the record is late and of an earlier incarnation than the known one.
     Stale,
-    /// The server was not known, or has changed.
+    /// The server is new or has changed.
     Applied,
-    /// The server has started again: what was believed of it is void.
+    /// The server has restarted; state kept about its earlier process is invalid.
     Restarted,
 }
 
-/// A list of backend servers that another gateway passes on.
+/// A list of backend servers sent by another gateway.
 #[derive(Clone, Debug, Default)]
 pub struct PeerServerList {
-    /// The servers that it believes in.
+    /// The servers in its registry.
     pub servers: Vec<BackendServer>,
-    /// Those among them that it will take as gone after a time.
+    /// Servers among them whose records are gone, and the time until they are removed there.
     pub expiring: Vec<(BackendId, Millis)>,
-    /// Time for which its whole lists may yet be of an older copy of the store.
+    /// Time for which its complete lists may still come from an older copy of the store.
     pub stale_for: Millis,
 }
 
-/// How removals are taken while the store is in trouble.
+/// How removals are handled after the store was unavailable.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryPolicy {
-    /// How long after the store's return a server that lapsed meanwhile may still come back.
+    /// Time after the return of the store for which a server whose record has expired may register again.
     pub return_grace: Millis,
 }
 
 impl Default for RegistryPolicy {
-    /// Servers that live are back within about two seconds of the store's return.
+    /// Running servers register again within about two seconds of the return of the store.
     fn default() -> Self {
         Self { return_grace: Millis(2_000) }
     }
 }
 
-/// The backend servers that this process believes in.
+/// The backend servers known to this process.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     policy: RegistryPolicy,
     servers: HashMap<BackendId, Entry>,
-    /// Until when a missing entry may be one that lapsed while the store was away.
+    /// Time until which a missing record may only have expired during an outage of the store.
     removals_trusted_from: Millis,
-    /// Until when a whole list may be of an older copy of the store.
+    /// Time until which a complete list may come from an older copy of the store.
     stale_until: Millis,
-    /// When the first whole list was taken.
+    /// Time of the first complete list.
     first_list_at: Option<Millis>,
-    /// When the last server that is known to be cold is warm.
+    /// Time at which the last cold server is warm.
     last_cold_until: Millis,
-    /// Servers that were removed, and when.
+    /// Removed servers, and the times of their removal.
     removed: HashMap<BackendId, Millis>,
 }
 
-/// Time for which a removed server is remembered: copies from which the store comes back are some seconds old.
+/// Time for which a removed server is remembered; longer than the age of the copies that the store is restored from,
+/// which is some seconds.
 const REMOVED_RETENTION: Millis = Millis(60_000);
 
-/// Time for which an older copy may be passed on: all servers that live have written again by then.
+/// Time for which a list from an older copy may still be sent around; by its end all running servers have renewed their
+/// records.
 const RESTORED_LIST_LIFETIME: Millis = Millis(10_000);
 
-/// Time by which heartbeats of a cold server differ on when it is warm, as they are read sooner or later.
+/// Tolerance between heartbeats of a cold server about when it is warm, because they are read with varying delay.
 const COLD_TOLERANCE: Millis = Millis(500);
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Its record, without the time for which it is cold.
+    /// The record, without the time for which the server is cold.
     server: BackendServer,
     cold_until: Millis,
-    /// When it is to be taken as gone, if its record is missing.
+    /// Time of removal if the record is missing.
     expires_at: Option<Millis>,
 }
 
 impl Registry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new(policy: RegistryPolicy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Notes that the store was in trouble up to now: records of live servers may lapse.
+    /// Records that the store was unavailable until now: records of running servers may expire.
     pub fn record_outage(&mut self, now: Millis) {
         self.removals_trusted_from = now.after(self.policy.return_grace);
     }
 
-    /// Takes a server's record. A server that was seen draining stays so until it starts again.
+    /// Applies the record of a server. A server that is draining stays so until it restarts.
     pub fn put(&mut self, server: BackendServer, now: Millis) -> PutOutcome {
         let before = self.servers.get(&server.id);
         let known = before.map(|entry| &entry.server);
@@ -147,7 +149,7 @@
             PutOutcome::Applied if was_draining => ServerState::Draining,
             _ => server.state,
         };
-        // A record that was written before the server said otherwise may come after.
+        // A record with an earlier cold time may arrive after a later announcement of the server.
         let was_cold_until = before.map_or(Millis(0), |entry| entry.cold_until);
         let cold_until = match server.cold_left {
             Millis(0) => was_cold_until,
@@ -160,10 +162,10 @@
         outcome
     }
 
-    /// Takes the removal of a server's record.
+    /// Applies the removal of a record.
     ///
-    /// A removal soon after an outage of the store may only mean that the server could not renew
-    /// its record: the server stays for the grace, and goes if no record has come by then.
+    /// A removal soon after an outage of the store may only mean that the server could not renew its record. The server
+    /// is kept for a grace period and removed if no record has arrived by then.
     pub fn remove(&mut self, id: &BackendId, now: Millis) {
         if now >= self.removals_trusted_from {
             self.remove_now(id, now);
@@ -174,7 +176,8 @@
         }
     }
 
-    /// Takes that a whole list lacks a server. While that may be an older copy's, only time shows whether the server lives.
+    /// Handles a server that a complete list lacks. While the list may come from an older copy, the server is removed
+    /// only if it does not register again in time.
     fn handle_unlisted(&mut self, id: &BackendId, now: Millis) {
         let expires_at = now.after(self.policy.return_grace);
         match self.servers.get_mut(id) {
@@ -192,11 +195,12 @@
         }
     }
 
-    /// Takes the whole list of a store that has come back from an older copy.
+    /// Applies the complete list of a store that was restored from an older copy.
     ///
-    /// What it lacks may have registered since, and is given the time to do so again. What was removed here and is on it
-    /// has left since the copy was made: one that said nothing of its end goes on for seconds, and got work again. It
-    /// is taken back with its next heartbeat if it lives.
+    /// Servers that the list lacks may have registered after the copy was made, and get time to register again. Servers
+    /// that the list contains but that were removed here have left since the copy was made. If these were accepted, a
+    /// server that stopped without notice would get requests for seconds. Such a server is accepted again with its next
+    /// heartbeat.
     pub fn replace_by_restored(
         &mut self,
         servers: Vec<BackendServer>,
@@ -204,16 +208,16 @@
     ) -> Vec<BackendId> {
         self.record_outage(now);
         self.stale_until = now.after(RESTORED_LIST_LIFETIME);
-        // What registered again after the copy before may be missing from this one, too.
+        // Servers that registered after the previous copy may also be missing from this one.
         self.servers.values_mut().for_each(|entry| entry.expires_at = None);
         self.replace(servers, now)
     }
 
-    /// Takes the list that another gateway passes on, as of a time; returns those that have started again.
+    /// Applies a list from another gateway as of a time. Returns the servers that have restarted.
     ///
-    /// If that list may be of an older copy, and this gateway has not heard of one yet, what the list lacks is given time to
-    /// register again: otherwise servers that live are refused requests until their next heartbeats. A server that is about
-    /// to be taken as gone there, and was seen to go here, does not come back for that time.
+    /// If the list may come from an older copy and is the first such one here, the servers that it lacks get time to
+    /// register again. Otherwise running servers would get no requests until their next heartbeats. A server that is
+    /// about to be removed there and was removed here is not added again.
     pub fn replace_by_peer_list(
         &mut self,
         list: PeerServerList,
@@ -233,16 +237,15 @@
         restarted
     }
 
-    /// Returns the time for which whole lists that are passed on from here may yet be of an older copy of the store.
+    /// Returns the time for which complete lists from this gateway may still come from an older copy of the store.
     ///
-    /// A gateway that has just started cannot tell whether its first list is of one.
+    /// A gateway that has just started cannot tell whether its first list does.
     pub fn stale_for(&self, now: Millis) -> Millis {
         let since_start = self.first_list_at.map_or(now, |at| at.after(RESTORED_LIST_LIFETIME));
         self.stale_until.max(since_start).since(now)
     }
 
-    /// Takes a whole list: servers that are not on it are removed. Returns those that have started
-    /// again.
+    /// Applies a complete list: servers that are not on it are removed. Returns the servers that have restarted.
     ///
     /// ```
     /// use redwingfold_core::{Millis, Registry};
@@ -252,7 +255,7 @@
     /// ```
     pub fn replace(&mut self, servers: Vec<BackendServer>, now: Millis) -> Vec<BackendId> {
         self.first_list_at.get_or_insert(now);
-        // A gateway that has just started knows only the copy, and passes it on.
+        // Another gateway that has just started has only the restored copy, and sends it around.
         let has_left = |server: &BackendServer| {
             let left_at = self.removed.get(&server.id);
             now < self.stale_until && left_at.is_some_and(|at| now.since(*at) < REMOVED_RETENTION)
@@ -273,8 +276,7 @@
         restarted
     }
 
-    /// Returns the servers whose records are gone and that may yet come back, with the time until they are taken as
-    /// gone.
+    /// Returns the servers whose records are gone and that may register again, with the time until their removal.
     pub fn expiring(&self, now: Millis) -> impl Iterator<Item = (&BackendId, Millis)> {
         let left = move |at: Millis| (now < at).then(|| at.since(now));
         self.servers
@@ -282,14 +284,14 @@
             .filter_map(move |(id, entry)| Some((id, entry.expires_at.and_then(left)?)))
     }
 
-    /// Takes from another list that a server's record is gone, and when it is to be taken as gone.
+    /// Applies the expiry of a record as reported in another list.
     pub fn expire_by(&mut self, id: &BackendId, expires_at: Millis) {
         if let Some(entry) = self.servers.get_mut(id) {
             entry.expires_at = Some(entry.expires_at.map_or(expires_at, |at| at.min(expires_at)));
         }
     }
 
-    /// Forgets the servers whose grace has ended, and returns them.
+    /// Removes the servers whose grace period has ended, and returns them.
     pub fn expire(&mut self, now: Millis) -> Vec<BackendId> {
         let over = |entry: &Entry| entry.expires_at.is_some_and(|at| now >= at);
         let gone: Vec<_> =
@@ -298,19 +300,19 @@
         gone
     }
 
-    /// Says that a server's address answered as another one.
+    /// Removes a server because another one answered at its address.
     pub fn forget(&mut self, id: &BackendId) {
         self.servers.remove(id);
     }
 
-    /// Returns the servers that are believed to exist.
+    /// Returns the servers that are not removed.
     pub fn servers(&self, now: Millis) -> impl Iterator<Item = &BackendServer> {
         let alive = move |entry: &&Entry| entry.expires_at.is_none_or(|at| now < at);
         self.servers.values().filter(alive).map(|entry| &entry.server)
     }
 
-    /// Says whether a record brings nothing new. One of a server that is to be taken as gone does:
-    /// the server lives.
+    /// Returns whether a record changes nothing. A record of a server that is waiting for its removal is a change,
+    /// because it shows that the server is running.
     pub fn has(&self, server: &BackendServer, now: Millis) -> bool {
         let Some(entry) = self.servers.get(&server.id).filter(|entry| entry.expires_at.is_none())
         else {
@@ -325,7 +327,7 @@
         }
     }
 
-    /// Takes from a server itself how much longer it is cold.
+    /// Records the remaining cold time that a server reported in an answer.
     pub fn set_cold(&mut self, id: &BackendId, left: Millis, now: Millis) {
         if let Some(entry) = self.servers.get_mut(id) {
             entry.cold_until = entry.cold_until.max(now.after(left));
@@ -333,12 +335,12 @@
         }
     }
 
-    /// Says whether any server may be cold.
+    /// Returns whether any server may be cold.
     pub fn has_cold(&self, now: Millis) -> bool {
         now < self.last_cold_until
     }
 
-    /// Returns how much longer a server is cold.
+    /// Returns the remaining time for which a server is cold.
     pub fn cold_left(&self, id: &BackendId, now: Millis) -> Millis {
         self.servers.get(id).map_or(Millis(0), |entry| entry.cold_until.since(now))
     }
--- a/core/src/serving/sessions.rs
+++ b/core/src/serving/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions that have moved to the version that is rolled out, and which gateways know of each.
+//! Sessions that have moved to the target version of a rollout, and the gateways that store each.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -15,12 +15,12 @@
 /// Maximum number of sessions in a table; beyond it, the half that was used longest ago is dropped.
 const MAX_SESSIONS: usize = 20_000;
 
-/// A session of a service during the roll-out of a version; equal on all gateways.
+/// A session of a service during the rollout of a version; equal on all gateways.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct SessionKey(pub u64);
 
 impl SessionKey {
-    /// Makes the key of a session for the roll-out of a version.
+    /// Returns the key of a session for the rollout of a version.
     ///
     /// ```
     /// use redwingfold_core::SessionKey;
@@ -37,9 +37,10 @@
         Self(hash.digest())
     }
 
-    /// Returns the gateways that keep this session; `id` is the same for a gateway on all others.
+    /// Returns the gateways that store this session; `id` must identify a gateway equally on all gateways.
     ///
-    /// Rendezvous hashing: a gateway that comes or goes changes the keepers only of the sessions that it keeps.
+    /// Selected by rendezvous hashing: a gateway that joins or leaves changes the keepers of only the sessions that it
+    /// stores.
     ///
     /// ```
     /// use redwingfold_core::SessionKey;
@@ -56,11 +57,10 @@
         scored.into_iter().take(KEEPERS).map(|(_, gateway)| gateway).collect()
     }
 
-    /// Returns the gateways of `settled`, which were not added of late, that kept this session before others were added
+    /// Returns the gateways of `settled`, which did not join recently, that stored this session before others joined
     /// and do not now.
     ///
-    /// Where many gateways are added at once, all keepers of a session may be new, and have not been told that it has
-    /// moved.
+    /// Where many gateways join at once, all keepers of a session may be new and have no record of its move.
     ///
     /// ```
     /// use redwingfold_core::SessionKey;
@@ -91,7 +91,7 @@
 impl FromStr for SessionKey {
     type Err = ParseIdError;
 
-    /// Reads the hexadecimal form.
+    /// Parses the hexadecimal form.
     ///
     /// ```
     /// use redwingfold_core::SessionKey;
@@ -105,7 +105,7 @@
     }
 }
 
-/// Sessions with a request that was sent to the version that is rolled out.
+/// Sessions with a request that was sent to the target version of a rollout.
 ///
 /// ```
 /// use redwingfold_core::{Millis, MovedSessions, SessionKey};
@@ -122,7 +122,7 @@
 }
 
 impl MovedSessions {
-    /// Makes an empty table that keeps a session for a time after its last request.
+    /// Creates an empty table that keeps a session for `retention` after its last request.
     pub fn new(retention: Millis) -> Self {
         Self { retention, ..Self::default() }
     }
--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -1,31 +1,31 @@
-//! When a backend server that owes a request bytes has been silent for too long.
+//! Timeouts for backend servers that send nothing while a request waits for data.
 
 use crate::ids::Millis;
 
-/// How long requests wait in silence before another server is asked.
+/// How long requests wait without receiving data before they are sent to another server.
 #[derive(Clone, Copy, Debug)]
 pub struct SilencePolicy {
-    /// Wait for the head of a stream, as a part of its aim, while there is no pressure.
+    /// Timeout for the head of a stream, as a share of the target latency, at zero pressure.
     pub head_aim_share: f64,
-    /// What a pressure of one adds to that part: at such a pressure first bytes take the whole aim.
+    /// Increase of that share per unit of pressure; at a pressure of one, first bytes take the whole target latency.
     pub head_aim_share_per_pressure: f64,
-    /// Wait for the head for each millisecond that the server is expected to need.
+    /// Increase of the timeout for the head, as a multiple of the time that the server is expected to need.
     pub head_expected_factor: u64,
-    /// Wait for the next event, as a part of the longest pause that is still in time.
+    /// Timeout for the next event, as a share of the longest gap that still meets its target.
     pub event_gap_share: f64,
-    /// Shortest wait for an event.
+    /// Minimum timeout for an event.
     pub min_event: Millis,
-    /// Pressure from which only the silence of a whole server counts.
+    /// Pressure from which requests are sent elsewhere only if their server sends nothing to any request.
     pub max_pressure: f64,
-    /// Shortest time that a model engine owes everyone something before its silence counts.
+    /// Minimum time without data on any request after which a model engine counts as hanging.
     pub min_engine_silence: Millis,
-    /// The same for a plain server.
+    /// The same for a plain server, and the minimum timeout for its answer.
     pub min_plain_silence: Millis,
 }
 
 impl Default for SilencePolicy {
-    /// First bytes take a tenth of the aim on servers without a queue, and 99 in 100 pauses between
-    /// events are shorter than 0.6 s (envol-routage, twelve days).
+    /// First bytes from servers without a queue take a tenth of the target latency. On a deployment with streams, 99 in
+    /// 100 gaps between events were shorter than 0.6 s.
     fn default() -> Self {
         Self {
             head_aim_share: 0.5,
@@ -40,28 +40,26 @@
     }
 }
 
-/// What a request waits for.
+/// The next data that a request waits for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Awaited {
-    /// The head of a stream, which the server is expected to send after a time.
+    /// The head of a stream, which the server is expected to send within this time.
     Head(Millis),
-    /// The next event of a stream in which a pause of this length is still in time.
+    /// The next event of a stream, for which a gap of this length still meets the target.
     Event(Millis),
     /// A plain answer.
     Plain,
 }
 
 impl SilencePolicy {
-    /// Returns the silence towards one request after which another server is asked, though this one
-    /// goes on with others; `None` if such a silence says nothing.
+    /// Returns the time without data on one request after which it is sent to another server, although its server sends
+    /// data to others; `None` if it is not sent elsewhere for that reason.
     ///
-    /// Failure: a server ran a request and its answer got lost, or a network element forgot the
-    /// connection. The caller sees nothing until its own patience ends, a few times the aim later, and
-    /// has lost its answer by then. Asked elsewhere after half of the aim, most are still in time. A
-    /// server under load is silent, too, so the wait grows with what it is known to have to read, and
-    /// with the pressure on all; above a bound of that nothing is sent twice, or a queue would double
-    /// itself. Against a wait of twice the aim, worth was higher by 0.005 +- 0.004 on envol-routage and 0.002
-    /// on the other two (five days with faults, two or three seeds each, without processor time).
+    /// Failure: a server ran a request and the answer was lost, or a network element dropped the connection state. The
+    /// caller gives up a few times the target latency later without an answer. If the request is sent elsewhere after
+    /// half of the target latency, most answers are still in time. A server under load also sends nothing for a while,
+    /// so the timeout grows with the work that is known to wait there and with the overall pressure. Above a maximum
+    /// pressure nothing is sent twice, because second sends would double a queue.
     ///
     /// ```
     /// use redwingfold_core::{Millis, Awaited, SilencePolicy};
@@ -85,7 +83,7 @@
         }
     }
 
-    /// Returns the silence towards everyone after which a server counts as hanging.
+    /// Returns the time without data on any request after which a server counts as hanging.
     pub fn hang_timeout(&self, awaited: Awaited, aim: Millis) -> Millis {
         let min = if awaited == Awaited::Plain {
             self.min_plain_silence
@@ -96,28 +94,28 @@
     }
 }
 
-/// How long a request has been awaited bytes, as this process saw it.
+/// Measures how long a request has received no data while this process was running.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceWatch {
     polled_at: Millis,
-    /// Longest time between two looks that counts.
+    /// Maximum time that counts between two polls.
     max_step: Millis,
     request_silence: Millis,
     server_silence: Millis,
 }
 
 impl SilenceWatch {
-    /// Begins to watch; it is looked at each `every`.
+    /// Starts a watch that is polled at the interval `every`.
     pub fn new(now: Millis, every: Millis) -> Self {
         let max_step = Millis(every.0 * 2);
         Self { polled_at: now, max_step, request_silence: Millis(0), server_silence: Millis(0) }
     }
 
-    /// Takes a look: `heard_at` is when the server last sent something to anyone.
+    /// Polls the watch; `heard_at` is the time of the last data from the server on any request.
     ///
-    /// Failure: the process itself stood still for seconds, and what servers sent meanwhile waits
-    /// unread in its sockets. By the clock all of them were silent, and each request would be sent once
-    /// more; so a look counts for no more than twice the time between two.
+    /// Failure: the process itself was stopped for seconds, and the data that servers sent in that time waits unread in
+    /// its sockets. By the clock, all servers sent nothing, and each request would be sent again. So the time between
+    /// two polls counts for at most twice the interval.
     ///
     /// ```
     /// use redwingfold_core::{Millis, SilenceWatch};
@@ -139,7 +137,7 @@
         self.request_silence
     }
 
-    /// Says whether another server should be asked.
+    /// Returns whether the request should be sent to another server.
     pub fn is_over(
         &self,
         policy: &SilencePolicy,
--- a/core/src/serving/sizes.rs
+++ b/core/src/serving/sizes.rs
@@ -1,29 +1,28 @@
-//! Which of several models answers, where the gateway may choose.
+//! Selection of a model size, where a route allows several.
 
 use std::collections::HashMap;
 
 use super::catalog::ServiceName;
 use crate::ids::Millis;
 
-/// When a larger model is asked instead.
+/// When a request is escalated to a larger model.
 #[derive(Clone, Copy, Debug)]
 pub struct SizePolicy {
-    /// Confidence, 0 to 100, below which a small model's answer is dropped for a larger one's while
-    /// there is no pressure.
+    /// Confidence, 0 to 100, below which the answer of a small model is discarded for that of a larger one at low
+    /// pressure.
     pub min_confidence: f64,
-    /// Pressure up to which that bar stays.
+    /// Pressure up to which that threshold applies unchanged.
     pub low_pressure: f64,
-    /// Pressure from which no larger model is asked.
+    /// Pressure from which no larger model is used.
     pub high_pressure: f64,
-    /// Confidence below which a larger model's answer is better even if it is late.
+    /// Confidence below which the answer of a larger model is better even if it is late.
     pub late_confidence: f64,
 }
 
 impl Default for SizePolicy {
-    /// Small models are right about as often as their confidence says. Bars of 45, 52, 60 and 75 were
-    /// compared on days with faults: worth a request 0.723, 0.723, 0.712 and 0.681 (three seeds
-    /// each); on quiet ones 60 is ahead of 52 by 0.005. An engine without a queue begins to answer a
-    /// small model's request in a tenth of the aim.
+    /// Small models are right about as often as their confidence indicates. A threshold of 52 performed best under
+    /// faults; 60 is slightly better without faults. An engine without a queue starts to answer a request for a small
+    /// model in a tenth of the target latency.
     fn default() -> Self {
         Self {
             min_confidence: 52.0,
@@ -34,19 +33,18 @@
     }
 }
 
-/// How long first tries take, as a part of their aims, smoothed: what the engines' queues feel like
-/// from here.
+/// Latency of first sends as a share of their targets, smoothed; an estimate of the queues of the engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pressure(f64);
 
-/// Weight of the newest try: about the last dozen count, a second or less at common rates.
+/// Weight of the newest sample. About the last dozen count, which is a second or less at common rates.
 const NEWEST_WEIGHT: f64 = 0.08;
 
-/// Largest part that one try counts with: one lost in a dead server says nothing of the others.
+/// Maximum share that one sample counts with: a request lost in a crashed server is no evidence about the others.
 const MAX_RATIO: f64 = 1.5;
 
 impl Pressure {
-    /// Takes the time from a first try's send to its first byte.
+    /// Records the time from the first send of a request to its first byte, and the request's target.
     ///
     /// ```
     /// use redwingfold_core::{Millis, Pressure};
@@ -59,19 +57,18 @@
         self.0 += (part - self.0) * NEWEST_WEIGHT;
     }
 
-    /// Returns the smoothed part.
+    /// Returns the smoothed share.
     pub fn value(self) -> f64 {
         self.0
     }
 }
 
 impl SizePolicy {
-    /// Returns the confidence that is asked for under a pressure.
+    /// Returns the required confidence at a pressure.
     ///
-    /// Load pattern: a third of the engines leaves, or all callers come back at once. An answer of
-    /// the largest model takes ten times the engine's time of the smallest one's: with engines
-    /// full, few good answers come late and all others with them, while small ones in time are
-    /// right more often than not.
+    /// Load pattern: a third of the engines leaves, or all callers return at once. An answer of the largest model takes
+    /// ten times the engine time of one of the smallest. With engines at capacity, a few good answers arrive late and
+    /// delay all others, while answers of small models that arrive in time are right more often than not.
     ///
     /// ```
     /// use redwingfold_core::SizePolicy;
@@ -83,22 +80,20 @@
         self.min_confidence * part.clamp(0.0, 1.0)
     }
 
-    /// Returns the confidence below which a larger model is asked; `in_time` if its first byte is expected
-    /// within the aim.
+    /// Returns the confidence below which a request is escalated; `in_time` is whether the first byte of the larger
+    /// model is expected within the target.
     fn escalation_threshold(&self, pressure: f64, in_time: bool) -> f64 {
         let bar = self.min_confidence_at(pressure);
         if in_time { bar } else { bar.min(self.late_confidence) }
     }
 
-    /// Chooses the larger model that should answer instead of one that has begun, if any; `larger` are
-    /// those that may be asked, the smallest first.
+    /// Chooses the larger model that should answer instead of one that has started to, if any; `larger` are the
+    /// available ones in order of size.
     ///
-    /// A model's confidence says by how much a request is within its power: of one request, that of a
-    /// larger model is higher by about the same amount. So the smallest one that is expected to reach the
-    /// bar is asked. A request that is just beyond the smallest model gets the middle one, at half of the
-    /// price and a quarter of the reading time of the largest. Over going to the largest at once, worth was
-    /// higher by 0.013 +- 0.007 on envol-routage, 0.006 on ani-ledger and 0.009 on hauszeit-tausch (five days
-    /// with faults, two or three seeds each, without processor time).
+    /// The confidence of a model shows how far a request is within its capability; for the same request, that of a
+    /// larger model is higher by about the same amount. So the smallest model that is expected to reach the threshold
+    /// is used. A request just beyond the smallest model gets the middle one, at half of the price and a quarter of the
+    /// prefill time of the largest.
     ///
     /// ```
     /// use redwingfold_core::{LargerModel, SizePolicy};
@@ -118,29 +113,28 @@
     }
 }
 
-/// A larger model that may be asked.
+/// A larger model that is available.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LargerModel {
-    /// Its index among the route's sizes.
+    /// Its index among the sizes of the route.
     pub size: usize,
-    /// By how much its confidence is expected to be higher.
+    /// Expected increase of its confidence.
     pub gain: f64,
-    /// Whether its first byte is expected within the aim.
+    /// Whether its first byte is expected within the target.
     pub in_time: bool,
 }
 
-/// By how much the confidence of larger models is higher than that of smaller ones, of the same request.
+/// Mean differences between the confidence of larger and smaller models for the same request.
 #[derive(Clone, Debug, Default)]
 pub struct ConfidenceGains(HashMap<(ServiceName, usize, usize), Gain>);
 
-/// Gain that is expected of a model that has not been asked yet: enough for it to be tried where little is
-/// missing.
+/// Assumed gain of a model without samples; high enough for it to be tried where little is missing.
 const DEFAULT_GAIN: f64 = 18.0;
 
-/// Answers that this expectation counts as.
+/// Number of samples that the assumed gain counts as.
 const DEFAULT_WEIGHT: f64 = 6.0;
 
-/// Answers that count at most; later ones replace earlier ones.
+/// Maximum weight of the mean; later samples replace earlier ones.
 const MAX_WEIGHT: f64 = 60.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -156,7 +150,7 @@
 }
 
 impl ConfidenceGains {
-    /// Takes the confidence of two models in their answers to one request.
+    /// Records the confidence of two models in their answers to the same request.
     ///
     /// ```
     /// use redwingfold_core::ConfidenceGains;
--- a/core/src/serving/status.rs
+++ b/core/src/serving/status.rs
@@ -1,4 +1,4 @@
-//! Who writes the status of a roll-out, and when.
+//! Coordination of the gateways that write the status of a rollout to the store.
 
 use std::collections::HashMap;
 
@@ -7,56 +7,56 @@
 use super::feed::wait;
 use crate::ids::{Millis, VersionName};
 
-/// Longest wait before the word that a roll-out runs, which nobody acts on.
+/// Maximum delay before the status of a running rollout is written; nothing depends on it.
 const MAX_RUNNING_DELAY: Millis = Millis(1_500);
 
-/// Longest wait before the word on an end, on which servers stop.
+/// Maximum delay before the end of a rollout is written; servers stop on it.
 const MAX_END_DELAY: Millis = Millis(150);
 
-/// What the store says of the roll-outs, as far as a gateway knows, and which word is missing there.
+/// Statuses of rollouts in the store, as far as a gateway has read them, and the writes that are due.
 ///
-/// All gateways hear of an order, and come to its end, within moments. If each then read the status and
-/// wrote it, a fleet of 28 would make 56 calls for each word, and 53 of 103 that found a version bad at once did. So
-/// each word waits a drawn time, as reads of a feed do: that a roll-out runs, on which nobody acts, a long one;
-/// that it has ended, on which servers stop, a short one. The first word lets the others be, and the
-/// condition of the write keeps two that come together from writing twice.
+/// All gateways receive an order, and reach its end, at nearly the same time. If each of them then read and wrote the
+/// status, a fleet of 28 would make 56 calls for each status; in a fleet of 103, 53 gateways found a version bad at
+/// once and each wrote it. So each write waits a random time, as reads of a feed do: up to a long one for a running
+/// rollout, on which nothing depends, and a short one for an end, on which servers stop. The first write cancels those
+/// of the others, and a conditional write prevents two simultaneous ones from both succeeding.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutStatuses {
     services: HashMap<ServiceName, Entry>,
-    /// Until when others' word on what the store says may be of before it came back from an older copy.
+    /// Time until which statuses received from other gateways may date from before a restore of the store.
     unreliable_until: Millis,
 }
 
-/// Time after which all gateways have noticed that the store has come back from an older copy.
+/// Time after which all gateways have detected that the store was restored from an older copy.
 const UNRELIABLE_FOR: Millis = Millis(3_000);
 
 #[derive(Clone, Debug)]
 struct Entry {
     target: VersionName,
-    /// What the store says: nothing that is known, that it runs, or how it ended.
+    /// Status in the store: unknown, running, or ended with a phase.
     recorded: Option<Option<Phase>>,
-    /// From when on this gateway writes that the roll-out runs.
+    /// Time at which this gateway writes that the rollout is running.
     running_due: Option<Millis>,
-    /// From when on it writes that the roll-out has ended.
+    /// Time at which it writes that the rollout has ended.
     end_due: Option<Millis>,
 }
 
 impl RolloutStatuses {
-    /// Takes what the store says of a roll-out: how it ended, or that it runs.
+    /// Records the status of a rollout in the store: the phase in which it ended, or that it is running.
     pub fn record(&mut self, service: &ServiceName, target: &VersionName, ended: Option<Phase>) {
         let entry = Entry { recorded: Some(ended), ..Entry::new(target) };
         self.services.insert(service.clone(), entry);
     }
 
-    /// Forgets what was said of a service: a new order has come.
+    /// Removes the status of a service, because a new order was received.
     pub fn forget(&mut self, service: &ServiceName) {
         self.services.remove(service);
     }
 
-    /// Doubts what the store said: it has come back from an older copy, and may lack it.
+    /// Discards all statuses, because the store was restored from an older copy that may lack them.
     ///
-    /// An end that is lost leaves the operator waiting, and a process that starts anew goes on with a version that was
-    /// found bad.
+    /// If the end of a rollout is lost, the operator waits for it, and a restarted process resumes sending to a version
+    /// that was found bad.
     pub fn invalidate(&mut self, now: Millis) {
         for entry in self.services.values_mut() {
             *entry = Entry::new(&entry.target);
@@ -64,30 +64,30 @@
         self.unreliable_until = now.after(UNRELIABLE_FOR);
     }
 
-    /// Says whether others' word on what the store says is not to be relied on.
+    /// Returns whether statuses received from other gateways are unreliable.
     pub fn is_unreliable(&self, now: Millis) -> bool {
         now < self.unreliable_until
     }
 
-    /// Returns how a roll-out ended, if the store says so.
+    /// Returns the phase in which a rollout ended, if the store has it.
     pub fn outcome(&self, service: &ServiceName, target: &VersionName) -> Option<Phase> {
         let entry = self.services.get(service).filter(|entry| entry.target == *target)?;
         entry.recorded.flatten()
     }
 
-    /// Says whether the store lacks the word on a phase, whoever is to write it.
+    /// Returns whether the status for a phase is missing from the store and has yet to be written by any gateway.
     pub fn is_unrecorded(&self, service: &ServiceName, target: &VersionName, phase: Phase) -> bool {
         let entry = self.services.get(service).filter(|entry| entry.target == *target);
         match entry.and_then(|entry| entry.recorded) {
-            // An end is final: a gateway that sees it otherwise is late.
+            // An end is final. A gateway with another result is late.
             Some(Some(_)) => false,
             Some(None) => phase >= Phase::Done,
             None => true,
         }
     }
 
-    /// Returns the time after which this gateway of a fleet should write the word on a phase, if the store lacks it;
-    /// `draw` is a random number.
+    /// Returns the time until this gateway, in a fleet of `fleet`, should write the status for a phase, or `None` if
+    /// the store has it; `draw` is a random number.
     ///
     /// ```
     /// use redwingfold_core::{Millis, Phase, RolloutStatuses};
--- a/core/src/serving/stream_time.rs
+++ b/core/src/serving/stream_time.rs
@@ -1,19 +1,19 @@
-//! How long streams take after their first event.
+//! Duration of streams after their first event.
 
 use std::collections::HashMap;
 
 use super::catalog::ServiceName;
 use crate::ids::Millis;
 
-/// Time that the streams of each service take for a token that their answer may have, as was seen.
+/// Mean duration of the streams of each service per token of the maximum output.
 #[derive(Clone, Debug, Default)]
 pub struct StreamTimes(HashMap<ServiceName, f64>);
 
-/// Weight of the newest stream: about the last thirty count.
+/// Weight of the newest stream; about the last thirty count.
 const NEWEST_WEIGHT: f64 = 0.03;
 
 impl StreamTimes {
-    /// Takes the time from a stream's first event to its end, of an answer of at most `max_output` tokens.
+    /// Records the time from the first event of a stream to its end, for a maximum output of `max_output` tokens.
     ///
     /// ```
     /// use redwingfold_core::{Millis, StreamTimes};
@@ -31,7 +31,7 @@
         *mean += (seen - *mean) * NEWEST_WEIGHT;
     }
 
-    /// Estimates the time for an answer of `tokens`; none while nothing is known.
+    /// Estimates the duration for a maximum output of `tokens`; zero without samples.
     pub fn estimate(&self, service: &ServiceName, tokens: u64) -> Millis {
         let per_token = self.0.get(service).copied().unwrap_or_default();
         Millis((per_token * tokens as f64) as u64)
--- a/core/src/serving/turns.rs
+++ b/core/src/serving/turns.rs
@@ -8,14 +8,14 @@
 /// Maximum time for which a turn stays open.
 const OPEN_FOR: Millis = Millis(250);
 
-/// Gateways that a fleet is taken to have until the others could be heard.
+/// Fleet size to assume until messages from the other gateways could arrive.
 const DEFAULT_FLEET: usize = 330;
 
-/// Time in which gateways hear of all others after the first word of them.
+/// Time in which a gateway receives messages from all others after the first one could arrive.
 const SETTLING_TIME: Millis = Millis(3_000);
 
-/// Time for which the largest fleet that was known counts: a gateway that hears nobody may be cut off, while the others
-/// send on.
+/// Time for which the largest known fleet size counts: a gateway that receives no messages may be cut off while the
+/// others still send requests.
 const LARGEST_RETENTION: Millis = Millis(60_000);
 
 /// Maximum time between two turns, for rates close to zero.
@@ -27,15 +27,15 @@
 /// Minimum number of recorded turns before stale ones are removed.
 const MIN_CLEANUP_THRESHOLD: usize = 256;
 
-/// The number of gateways, as one of them may count on.
+/// The number of gateways to assume, erring on the high side.
 ///
-/// Load pattern: nearly all gateways start anew while servers are cold. Each knows nobody as yet; taken for the only
-/// one, each would send all that a server bears.
+/// Failure: nearly all gateways restart while servers are cold. Each of them has no other on its list yet; if it assumed to be
+/// the only one, it would send all that a server accepts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fleet {
     largest: usize,
     largest_seen_at: Millis,
-    /// When others could first be heard.
+    /// Time from which messages of other gateways could arrive.
     settling_from: Option<Millis>,
 }
 
@@ -87,17 +87,18 @@
 }
 
 impl SendTurns {
-    /// Notes that the others could be heard from now on, or that there are none.
+    /// Starts the settling time, because messages from the other gateways can arrive from now on or there are no
+    /// others.
     pub fn start_settling(&mut self, now: Millis) {
         self.fleet.settling_from.get_or_insert(now);
     }
 
-    /// Notes how many gateways know of each other, this one included.
+    /// Records the number of gateways in the membership list, including this one.
     pub fn record_fleet(&mut self, fleet: usize, now: Millis) {
         self.fleet.record(fleet, now);
     }
 
-    /// Returns the number of gateways to assume, this one included.
+    /// Returns the number of gateways to assume, including this one.
     pub fn fleet(&self, now: Millis) -> usize {
         self.fleet.size(now)
     }
--- a/core/src/serving/unreachable.rs
+++ b/core/src/serving/unreachable.rs
@@ -1,4 +1,4 @@
-//! Servers that gateways of a fleet could not connect to.
+//! Servers that gateways of a fleet failed to connect to.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,46 +6,47 @@
 use super::feed::wait;
 use crate::ids::Millis;
 
-/// Gateways that must have failed to connect before a server is left out: one alone may be cut off itself. While
-/// it has not answered anybody since, one more is enough to leave it out again.
+/// Number of gateways that must have failed to connect before a server is excluded; a single one may itself be cut off.
+/// For a server that was excluded and has not answered since, one report is enough.
 const MIN_REPORTERS: usize = 2;
 
-/// Time for which a gateway's word counts: a fleet whose servers get a request a second each has two by then.
+/// Time for which a report counts. In a fleet whose servers get one request a second each, two gateways report within
+/// that time.
 const REPORT_RETENTION: Millis = Millis(3_000);
 
-/// Time for which a server is left out. Gateways come back to it over as long again, the early ones the rarer the larger
-/// the fleet is: the first that fails keeps the others away, and the first that is answered brings all back.
+/// Minimum time for which a server is excluded. Gateways then retry it at random times over the same time again, with
+/// early times rarer in larger fleets. The first retry that fails excludes the server at all gateways again, and the
+/// first one that is answered readmits it at all.
 const EXCLUSION: Millis = Millis(2_000);
 
-/// Time without an answer of any server after which a gateway takes itself for cut off.
+/// Time without an answer from any server after which a gateway considers itself cut off.
 const CUT_OFF_AFTER: Millis = Millis(300);
 
-/// Servers that are remembered at most.
+/// Maximum number of servers in the table.
 const MAX_SERVERS: usize = 20_000;
 
-/// What gateways have told each other of servers that cannot be reached.
+/// Servers that are excluded because gateways reported that they cannot connect to them.
 ///
-/// Load pattern: a rack loses power, 54 of 180 servers, before 103 gateways with ten requests a second each. A gateway
-/// meets one server once in 18 s, so that none learns by itself which are dark; and as nobody hears of requests that
-/// run there, they look idle and are chosen first. Each request waited 0.25 s for each of two or three that did
-/// not answer: 12,162 such tries in 4.3 s, until the servers' records lapsed. Here the first two gateways that
-/// fail are enough for all: 1,197 tries, and callers of the same 16 s got 0.673 of what they were owed, less prices,
-/// in place of 0.627 (one play each, without processor time).
+/// Failure: a rack with 54 of 180 servers loses power, and each of 103 gateways sends ten requests a second. A gateway
+/// uses each server about once in 18 s, so that no gateway finds out on its own which servers are down. As no gateway
+/// reports requests in flight on them, these servers look idle and are preferred. Each request waits 0.25 s for each of
+/// two or three servers that do not answer, until the records of the servers expire. With this table, the reports of
+/// the first two gateways exclude a server everywhere.
 ///
-/// A false word puts no good server out: it takes two gateways, one that hears nobody tells nothing, and any answer of
-/// the server, whoever got it, is newer than their reports. A server that some cannot reach, and others can,
-/// answers those, and stays in.
+/// A false report does not exclude a working server: two gateways have to report it, a gateway that reaches no server
+/// at all sends no reports, and any answer of the server, to any gateway, clears earlier reports. A server that is
+/// reachable for only some gateways answers those and remains in use.
 #[derive(Clone, Debug)]
 pub struct UnreachableServers<G> {
     servers: HashMap<u32, Suspect<G>>,
-    /// When any server last answered this gateway.
+    /// Time of the last answer from any server to this gateway.
     last_contact_at: Millis,
 }
 
 #[derive(Clone, Debug)]
 struct Suspect<G> {
     reports: Vec<(G, Millis)>,
-    /// Until when reports change nothing.
+    /// Time until which reports are ignored.
     ignore_reports_until: Millis,
     excluded_until: Millis,
     was_excluded: bool,
@@ -53,7 +54,7 @@
 }
 
 impl<G: Copy + Eq + Hash> UnreachableServers<G> {
-    /// Makes an empty table.
+    /// Creates an empty table.
     ///
     /// ```
     /// use redwingfold_core::{Millis, UnreachableServers};
@@ -68,8 +69,8 @@
         Self { servers: HashMap::new(), last_contact_at: Millis(0) }
     }
 
-    /// Takes that a gateway of a fleet could not connect to a server; `true` if it is left out from now on. `draw` is a
-    /// random number.
+    /// Records that a gateway in a fleet of size `fleet` could not connect to a server. Returns whether the server is
+    /// excluded from now on. `draw` is a random number.
     pub fn record_failure(
         &mut self,
         server: u32,
@@ -103,8 +104,9 @@
         true
     }
 
-    /// Notes that this gateway tries a server. One that was left out and has not answered since gets no other of its
-    /// requests meanwhile: nobody knows of any work there, so that it looks idle and would get all of them.
+    /// Records that this gateway is connecting to a server. A server that was excluded and has not answered since gets
+    /// no other request of this gateway in the meantime: no work on it is reported, so that it looks idle and would get
+    /// all requests.
     pub fn record_attempt(&mut self, server: u32, now: Millis) {
         match self.servers.get_mut(&server) {
             Some(suspect) if suspect.was_excluded => {
@@ -114,23 +116,23 @@
         }
     }
 
-    /// Takes that a server has answered somebody; `true` if somebody could not reach it before, so that the others
-    /// should know.
+    /// Records that a server answered any gateway. Returns whether a gateway could not reach it before, so that the
+    /// others need to be informed.
     pub fn record_answer(&mut self, server: u32) -> bool {
         self.servers.remove(&server).is_some()
     }
 
-    /// Notes that some server has answered this gateway.
+    /// Records that any server answered this gateway.
     pub fn record_contact(&mut self, now: Millis) {
         self.last_contact_at = now;
     }
 
-    /// Says whether this gateway hears nobody: its reports on servers are of no use then.
+    /// Returns whether this gateway reaches no server, so that its reports are meaningless.
     pub fn is_cut_off(&self, now: Millis) -> bool {
         now.since(self.last_contact_at) >= CUT_OFF_AFTER
     }
 
-    /// Says whether a server is left out.
+    /// Returns whether a server is excluded.
     pub fn is_excluded(&self, server: u32, now: Millis) -> bool {
         self.servers.get(&server).is_some_and(|suspect| now < suspect.excluded_until)
     }
--- a/core/src/serving/urgency.rs
+++ b/core/src/serving/urgency.rs
@@ -1,38 +1,36 @@
-//! In which order a server begins with the requests that wait there.
+//! Priority of requests in the queue of a server.
 
 use super::catalog::Priority;
 
-/// How requests are ranked at a server, which begins with the smallest rank.
+/// How requests are ranked at a server, which starts with the lowest rank.
 #[derive(Clone, Copy, Debug)]
 pub struct UrgencyPolicy {
-    /// Tokens to be read, beyond the shared ones, from which a prompt belongs to the next class.
+    /// Minimum number of tokens to read, beyond the shared ones, for a prompt to belong to each of the later classes.
     pub class_min_tokens: [u64; 3],
 }
 
 impl Default for UrgencyPolicy {
-    /// A common engine reads these in some 10, 40 and 100 ms with its smallest model, and in ten times
-    /// that with its largest.
+    /// A common engine reads these in some 10, 40 and 100 ms with its smallest model, and in ten times that with its
+    /// largest.
     fn default() -> Self {
         Self { class_min_tokens: [1_000, 3_000, 8_000] }
     }
 }
 
-/// Rank of what a caller is already reading.
+/// Rank of a resumed stream that a caller is already reading.
 const RESUMED_RANK: Priority = Priority(0);
 
-/// Last rank that servers know.
+/// Highest rank that servers accept.
 const LAST_RANK: u8 = 9;
 
 impl UrgencyPolicy {
-    /// Ranks a request by what it has to have read, and within that by the operator's rank.
+    /// Returns the rank of a request: by the tokens to read, and within a class by the rank set by the operator.
     ///
-    /// Load pattern: prompts of a few hundred tokens among some of fifty thousand, which a server reads
-    /// for up to two seconds. Ranked by the operator alone, in the order in which they came, a short one
-    /// waits for all long ones before it, and no gateway of a large fleet knows enough of the others'
-    /// prompts to place it elsewhere. With short ones first their wait hardly depends on the long ones,
-    /// and those pay for it within aims of seconds: callers of
-    /// hauszeit-tausch-grown got 0.885 of what was owed on days with faults, 0.871 before (five days,
-    /// without processor time). A stream that a caller is already reading goes first of all.
+    /// Load pattern: prompts of a few hundred tokens among some of fifty thousand, which a server reads for up to two
+    /// seconds. If ranked by the operator alone and in the order of arrival, a short prompt waits for all long ones
+    /// before it, and no gateway of a large fleet has enough data on the prompts of the others to place it elsewhere.
+    /// With short prompts first, their wait hardly depends on the long ones. The long ones are delayed, but stay within
+    /// targets of seconds. A stream that a caller is already reading goes first.
     ///
     /// ```
     /// use redwingfold_core::{Priority, UrgencyPolicy};
