--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -7,8 +7,9 @@
 impl Gateway {
     /// Returns the limit of a server if it is cold.
     ///
-    /// Servers of an evacuated domain are cold when the order is withdrawn, but their records reflect this only with the
-    /// next heartbeat. Until the limit's duration has passed, they count as cold here.
+    /// Servers of an evacuated domain become cold when the order is withdrawn or shortly before, but their records reflect
+    /// this only with the next heartbeat. Therefore they count as cold here from the withdrawal until the limit's duration
+    /// has passed.
     pub(crate) fn cold_limit(
         &self,
         server: &BackendServer,
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -1,6 +1,7 @@
-//! Quarantine of requests that servers terminated on, shared with the other gateways through the store.
+//! Quarantine of requests that are suspected of terminating servers, shared by all gateways.
 //!
-//! Quarantined requests may be sent only as numbered trials. Each step is recorded as a mark in the store.
+//! A quarantined request may be sent only as a numbered trial. Marks in the store, which gateways also send to each other,
+//! record the servers that terminated under a request and its trials.
 
 use std::net::SocketAddr;
 
@@ -238,8 +239,8 @@
         RequestError { run_state: self.run_state, retry_after: Some(left), ..error }
     }
 
-    /// Returns a trial that was not sent to the quarantine; otherwise records that the request ended, which publishes its
-    /// marks if it had no response.
+    /// Releases the request's trial if nothing was sent. Otherwise records that the request ended, after which a mark that
+    /// was held back because the request might still complete is written.
     pub(crate) fn settle_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Records that a server has run the request for so long that it is unlikely to terminate servers.
+    /// Records that a server has run the request for so long that it will most likely complete, which delays the write of
+    /// a mark for it.
     fn record_survival(&self, response: &UpstreamResponse) {
         let (request, now) = (&self.request, self.request.gw.now());
         if now.since(response.sent_at.after(response.time_to_first_byte)) >= SURVIVAL_TIME {
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -85,7 +85,8 @@
     let header_timeout = async {
         timer.wait_for_timeout(limits.head_timeout).await;
         gw.telemetry.count("connection.slow_head", 1);
-        gw.telemetry.debug("connection_closed", &[("why", &"timeout while receiving a request head")]);
+        gw.telemetry
+            .debug("connection_closed", &[("why", &"timeout while receiving a request head")]);
     };
     let served = async {
         match smol::future::or(async { Some(conn.as_mut().await) }, shutdown).await {
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -24,7 +24,7 @@
 pub(crate) enum ServerChoice {
     /// This server, and the estimated time that it takes to process the prompts queued before this one.
     Server(Box<BackendServer>, Millis),
-    /// All servers are cold or limited.
+    /// All servers are cold or limited; these are this gateway's next turns at them.
     WaitForTurn(UpcomingTurns),
     /// All servers have requested a delay with `Retry-After`; this is the shortest remaining one.
     RetryAfter(Millis),
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -112,7 +112,7 @@
         self.state_changed.notify(usize::MAX);
     }
 
-    /// Records that the store was unavailable or restored, so that it may list fewer servers than are running.
+    /// Records that the store was unavailable or restored until now, so that records of running servers may have expired.
     pub fn record_store_outage(&self) {
         self.registry.borrow_mut().store_was_away(self.now());
     }
