--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -30,7 +30,7 @@
 
     /// Records the remaining time for which a server is cold, as reported in its response.
     pub(crate) fn record_cold(&self, server: &BackendServer, remaining: Millis) {
-        self.with_registry(|r| r.is_cold(&server.id, remaining, self.now()));
+        self.with_registry(|r| r.set_cold(&server.id, remaining, self.now()));
     }
 
     /// Updates the gauge of cold servers.
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -1,6 +1,6 @@
 //! Decision whether to forward a model's answer or to retry with a larger model.
 
-use redwingfold_core::{Larger, Millis, RepeatUse};
+use redwingfold_core::{LargerModel, Millis, RepeatUse};
 
 use crate::request::InFlightRequest;
 
@@ -10,7 +10,7 @@
     pub(crate) fn accept_confidence(&mut self, size: usize, confidence: u8) -> bool {
         match self.last_confidence.replace((size, confidence)) {
             Some(smaller) if smaller.0 < size => {
-                self.gw.rises.borrow_mut().learn(&self.service, smaller, (size, confidence));
+                self.gw.rises.borrow_mut().record(&self.service, smaller, (size, confidence));
             }
             _ => {}
         }
@@ -42,9 +42,9 @@
         let spent = self.gw.now().since(self.received_at);
         let larger: Vec<_> = (size + 1..self.route.sizes.len())
             .filter(|larger| self.is_expected_in_time(*larger))
-            .map(|larger| Larger {
+            .map(|larger| LargerModel {
                 size: larger,
-                rise: self.gw.rises.borrow().expected(&self.service, size, larger),
+                gain: self.gw.rises.borrow().expected(&self.service, size, larger),
                 in_time: spent.after(self.prefill_time(larger)) < self.route.aim,
             })
             .collect();
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -26,7 +26,7 @@
 
     /// Adds peers by address; returns `true` if one of them is new.
     pub fn add(&self, named: &[SocketAddr], now: Millis) -> bool {
-        self.0.borrow_mut().learn(named, now)
+        self.0.borrow_mut().add(named, now)
     }
 
     /// Returns the number of peers.
@@ -50,6 +50,6 @@
 
     /// Returns the peers that were heard from recently.
     pub(crate) fn live(&self, now: Millis) -> Vec<SocketAddr> {
-        self.with(|members| members.present(now))
+        self.with(|members| members.live(now))
     }
 }
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -81,7 +81,7 @@
     /// Returns whether marks are due to be read or written, or claims are pending.
     pub fn is_mark_sync_due(&self) -> bool {
         let now = self.now();
-        let is_write_due = self.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now);
+        let is_write_due = self.with_quarantine(|q| q.next_due_at()).is_some_and(|at| at <= now);
         let is_read_due = self.with_feeds(|feeds| feeds.is_due(Feed::Marks, now));
         is_write_due || is_read_due || !self.claims.borrow().is_empty()
     }
@@ -118,9 +118,11 @@
         let now = self.now();
         let fleet = self.with_feeds(|feeds| feeds.fleet_size());
         let quarantined = self.with_quarantine(|q| match all_of {
-            None => q.hear(&marks, now),
-            Some(StoreCopy::Current) => q.hear_all(&marks, now),
-            Some(StoreCopy::Older) => q.hear_older_copy(&marks, fleet, now, fastrand::u64(..)),
+            None => q.apply_changes(&marks, now),
+            Some(StoreCopy::Current) => q.apply_snapshot(&marks, now),
+            Some(StoreCopy::Older) => {
+                q.apply_restored_snapshot(&marks, fleet, now, fastrand::u64(..))
+            }
         });
         self.log_quarantined(&quarantined, None);
         let forwarded = if all_of.is_some() { Vec::new() } else { marks };
@@ -131,7 +133,7 @@
 
     /// Applies marks that were received from a peer.
     pub(crate) fn apply_peer_marks(&self, peer: SocketAddr, marks: &[MarkChange]) {
-        let quarantined = self.with_quarantine(|q| q.hear(marks, self.now()));
+        let quarantined = self.with_quarantine(|q| q.apply_changes(marks, self.now()));
         self.log_quarantined(&quarantined, Some(peer));
         if self.with_quarantine(|q| q.is_urgent()) {
             self.marks_changed.notify(usize::MAX);
@@ -141,14 +143,14 @@
     /// Records that a server terminated while it ran these requests.
     pub(crate) fn record_ended_runs(&self, server: &BackendId, runs: &[EndedRun]) {
         for run in runs {
-            let ends = self.with_quarantine(|q| q.ended(server, *run, self.now()));
+            let ends = self.with_quarantine(|q| q.record_end(server, *run, self.now()));
             let counted = ends.map_or_else(|| "no".to_owned(), |ends| ends.to_string());
             self.telemetry.count("servers.ended_under", 1);
             self.telemetry.info(
                 "server_ended",
                 &[("server", server), ("content", &run.request), ("ends", &counted)],
             );
-            if ends == Some(self.settings.quarantine.ends) {
+            if ends == Some(self.settings.quarantine.min_ends) {
                 self.log_quarantined(&[run.request], None);
             }
         }
@@ -157,7 +159,7 @@
 
     /// Records that a server completed a request, which lifts its quarantine.
     pub(crate) fn record_completion(&self, request: Fingerprint) {
-        if self.with_quarantine(|q| q.completed(request, self.now())) {
+        if self.with_quarantine(|q| q.record_answer(request, self.now())) {
             self.telemetry.count("quarantine.lifted", 1);
             self.telemetry.info("request_cleared", &[("content", &request)]);
             self.marks_changed.notify(usize::MAX);
@@ -179,7 +181,7 @@
             return false;
         }
         let (result_tx, result_rx): (_, Receiver<bool>) = bounded(1);
-        self.with_quarantine(|q| q.claims(request, self.now()));
+        self.with_quarantine(|q| q.record_claim(request, self.now()));
         self.claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
         self.marks_changed.notify(usize::MAX);
         let is_granted =
@@ -200,7 +202,7 @@
             (Some(trial), _) if trial.is_exhausted => {
                 Err(self.quarantined_error(SHORT_RETRY_AFTER))
             }
-            (Some(_), _) | (None, Admission::Free) => Ok(()),
+            (Some(_), _) | (None, Admission::Allowed) => Ok(()),
             (None, Admission::Refused(left)) => Err(self.quarantined_error(left)),
             (None, Admission::Trial(number)) => {
                 // Without an available server, the trial would be used up without a send.
@@ -226,7 +228,7 @@
 
     /// Returns whether the request is quarantined or a trial.
     pub(crate) fn is_quarantined(&self) -> bool {
-        self.trial.is_some() || self.admission() != Admission::Free
+        self.trial.is_some() || self.admission() != Admission::Allowed
     }
 
     fn admission(&self) -> Admission {
@@ -244,10 +246,10 @@
     pub(crate) fn settle_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
-            Some(trial) if trial.sends == 0 => q.unused(self.fingerprint, trial.number, now),
-            _ => q.gave_up(self.fingerprint, now),
+            Some(trial) if trial.sends == 0 => q.return_trial(self.fingerprint, trial.number, now),
+            _ => q.expedite_marks(self.fingerprint, now),
         });
-        if self.gw.with_quarantine(|q| q.due_at()).is_some_and(|at| at <= now) {
+        if self.gw.with_quarantine(|q| q.next_due_at()).is_some_and(|at| at <= now) {
             self.gw.marks_changed.notify(usize::MAX);
         }
     }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_lite::Stream;
 use http_body::Frame;
-use redwingfold_core::{EventSplitter, Millis, Owed, SilenceWatch};
+use redwingfold_core::{Awaited, EventSplitter, Millis, SilenceWatch};
 
 use crate::attempt::{BodyRead, SILENCE_POLL_INTERVAL, UpstreamResponse};
 use crate::clock::sleep;
@@ -152,7 +152,7 @@
     fn record_survival(&self, response: &UpstreamResponse) {
         let (request, now) = (&self.request, self.request.gw.now());
         if now.since(response.sent_at.after(response.time_to_first_byte)) >= SURVIVAL_TIME {
-            request.gw.with_quarantine(|q| q.runs_on(request.fingerprint, now));
+            request.gw.with_quarantine(|q| q.postpone_marks(request.fingerprint, now));
         }
     }
 
@@ -182,7 +182,7 @@
             loop {
                 sleep(SILENCE_POLL_INTERVAL).await;
                 let is_silent =
-                    self.request.is_server_silent(&mut watch, &server, Owed::Event(gap));
+                    self.request.is_server_silent(&mut watch, &server, Awaited::Event(gap));
                 if is_silent && self.request.is_retryable() {
                     return RelayStep::Silent;
                 }
@@ -201,7 +201,7 @@
         };
         let took = request.gw.now().since(request.received_at.after(first));
         let mut times = request.gw.stream_times.borrow_mut();
-        times.learn(&request.service, request.metadata.usage.max_output, took);
+        times.record(&request.service, request.metadata.usage.max_output, took);
     }
 
     async fn finish(mut self, ended: StreamEnd) {
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -264,7 +264,7 @@
             self.gw.record_first_attempt(response.time_to_first_byte, self.route.aim);
         }
         let own = self.unshared_tokens();
-        self.gw.rates.borrow_mut().learn(&self.service, size, own, response.time_to_first_byte);
+        self.gw.rates.borrow_mut().record(&self.service, size, own, response.time_to_first_byte);
         match response.metadata.confidence {
             Some(confidence) => self.accept_confidence(size, confidence),
             None => true,
--- a/gateway/src/rollouts/versions.rs
+++ b/gateway/src/rollouts/versions.rs
@@ -52,7 +52,8 @@
         let mut started = Vec::new();
         for (service, versions) in &mut self.services {
             let is_over = |c: &Canary| {
-                let is_written = !self.statuses.is_missing(service, &c.order().target, c.phase());
+                let is_written =
+                    !self.statuses.is_unrecorded(service, &c.order().target, c.phase());
                 c.phase() >= Phase::Done && (is_written || !c.is_announced())
             };
             let is_end_reported =
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use redwingfold_core::{BackendId, BackendServer, Millis, PassedServers, PutOutcome};
+use redwingfold_core::{BackendId, BackendServer, Millis, PeerServerList, PutOutcome};
 
 use crate::feeds::ServerChange;
 use crate::gateway::{Gateway, StoreCopy};
@@ -85,15 +85,15 @@
         self.record_listed_versions(&servers);
         let restarted = match copy {
             StoreCopy::Current => self.registry.borrow_mut().replace(servers, now),
-            StoreCopy::Older => self.registry.borrow_mut().replace_by_copy(servers, now),
+            StoreCopy::Older => self.registry.borrow_mut().replace_by_restored(servers, now),
         };
         self.finish_list_update(&restarted);
     }
 
     /// Replaces the list of backend servers with that of another gateway, as of `as_of`.
-    pub(crate) fn replace_servers_from_peer(&self, list: PassedServers, as_of: Millis) {
+    pub(crate) fn replace_servers_from_peer(&self, list: PeerServerList, as_of: Millis) {
         self.record_listed_versions(&list.servers);
-        let restarted = self.registry.borrow_mut().replace_by_passed(list, as_of, self.now());
+        let restarted = self.registry.borrow_mut().replace_by_peer_list(list, as_of, self.now());
         self.finish_list_update(&restarted);
     }
 
@@ -114,7 +114,7 @@
 
     /// Records that the store was unavailable or restored until now, so that records of running servers may have expired.
     pub fn record_store_outage(&self) {
-        self.registry.borrow_mut().store_was_away(self.now());
+        self.registry.borrow_mut().record_outage(self.now());
     }
 
     /// Removes servers whose grace period has expired.
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -95,12 +95,12 @@
 
     /// Records the number of gateways in the fleet, including this one.
     pub(crate) fn record_fleet_size(&self, fleet: usize) {
-        self.send_turns.borrow_mut().saw_fleet(fleet, self.now());
+        self.send_turns.borrow_mut().record_fleet(fleet, self.now());
     }
 
     /// Records that this gateway receives messages from its peers from now on, or has none.
     pub(crate) fn record_peers_joined(&self) {
-        self.send_turns.borrow_mut().met(self.now());
+        self.send_turns.borrow_mut().start_settling(self.now());
         self.set_peer_discovery_done();
     }
 }
