--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -39,8 +39,8 @@
 /// Load pattern: all gateways of a fleet lose power and restart. If each wrote its address and read all of them, as on
 /// the first start, 103 gateways would make 206 calls to the store for addresses that it has already, while callers
 /// return. So each gateway waits a random time for a message of another one, and only those that receive none read the
-/// addresses; these spread by gossip. A gateway that is known to others has its address in the store already. One that
-/// was cut off for so long that it has no live peers left reads again.
+/// addresses; these spread by gossip. A gateway that others have in their tables has its address in the store already.
+/// One that was cut off for so long that it has no live peers left reads again.
 ///
 /// `is_first_start` is set on the first start of the deployment, when the store has no addresses yet.
 pub async fn discover_peers<R, W>(
--- a/gateway/src/exchange/age.rs
+++ b/gateway/src/exchange/age.rs
@@ -47,7 +47,7 @@
 }
 
 impl Gateway {
-    /// Returns the age of what is known of the operator's topic; `None` before the first read.
+    /// Returns the age of this gateway's copy of the operator's topic; `None` before the first read.
     fn orders_age(&self) -> Option<Millis> {
         let as_of = self.with_feeds(|feeds| feeds.as_of(Feed::Orders))?;
         Some(self.now().since(as_of))
--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -75,7 +75,8 @@
             within(RECHECK_INTERVAL, peer_ahead).await;
             continue;
         }
-        // All gateways hear at once that one is ahead. Those that wait a little longer find others that have caught up.
+        // All gateways are notified at once that one is ahead. Those that wait a little longer find others that have
+        // caught up.
         let max_delay = REQUEST_SPACING.0 * gw.with_feeds(|feeds| feeds.fleet_size()) as u64;
         sleep(Millis(fastrand::u64(..=max_delay.min(MAX_REQUEST_DELAY.0)))).await;
         let Some(peer) = gw.pick_peer_ahead(Feed::Servers) else { continue };
--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -17,7 +17,7 @@
 pub(super) struct FeedQuery {
     /// Digest of its newest snapshot.
     pub(super) base: Option<Digest>,
-    /// Offset up to which it knows the feed.
+    /// Offset up to which it has read or fetched the feed.
     pub(super) next: Option<u64>,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Encodes the server list and its age for a gateway that knows the feed up to `next`; `None` if this gateway is not
+/// Encodes the server list and its age for a gateway that has the feed up to `next`; `None` if this gateway is not
 /// ahead of it.
 fn encode_servers_reply(gw: &Gateway, next: Option<u64>) -> Option<Vec<u8>> {
     let (own_next, as_of) =
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -9,7 +9,7 @@
 
 pub(super) const PATH: &str = "/servers";
 
-/// Returns the request target for a gateway that knows the list up to an offset.
+/// Returns the request target for a gateway that has the list up to an offset.
 pub(super) fn request_target(next: Option<u64>) -> String {
     format!("{PATH}?next={}", next.map_or_else(String::new, |next| next.to_string()))
 }
@@ -17,7 +17,7 @@
 /// All servers in a gateway's registry.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct ServerList {
-    /// Offset up to which the list is known.
+    /// Offset in the feed up to which the list is complete.
     pub(super) next: u64,
     servers: Vec<ServerWire>,
     /// Servers in the list whose records were removed, and the milliseconds until they count as gone.
--- a/gateway/src/exchange/snapshot.rs
+++ b/gateway/src/exchange/snapshot.rs
@@ -31,7 +31,7 @@
 /// Reply to a gateway that is behind.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct OrdersReply {
-    /// Offset up to which the records are known.
+    /// Offset in the topic up to which the records are complete.
     pub(super) next: u64,
     /// Time since the records were read, in milliseconds.
     pub(super) age: u64,
@@ -133,7 +133,7 @@
         self.newest.as_ref().map(|snapshot| snapshot.digest)
     }
 
-    /// Builds the reply to a gateway that has the snapshot `caller_base` and knows the feed up to `next`; `None` if
+    /// Builds the reply to a gateway that has the snapshot `caller_base` and the feed up to `next`; `None` if
     /// this gateway is not ahead of it.
     pub(super) fn reply_to(
         &mut self,
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -47,7 +47,7 @@
 }
 
 fn reply_for(from: &mut OrderSnapshots, to: &OrderSnapshots, next: u64) -> OrdersReply {
-    from.reply_to(to.digest(), Some(next), Millis(40)).expect("it ahead more")
+    from.reply_to(to.digest(), Some(next), Millis(40)).expect("the sender is ahead")
 }
 
 /// Guards against a gateway on a slow link waiting for whole configurations. The delta for one new route among 4,250
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -21,8 +21,8 @@
 pub(crate) enum Audience {
     /// All gateways, so that none of them needs to read the store.
     All,
-    /// A few, so that they have one more gateway to fetch from. All have already heard from the gateway that read the
-    /// store, which can't serve all of them at once.
+    /// A few, so that they have one more gateway to fetch from. All have already been notified by the gateway that read
+    /// the store, which can't serve all of them at once.
     Few,
 }
 
@@ -116,7 +116,7 @@
         self.view(feed).next()
     }
 
-    /// Returns the highest offset up to which a feed was ever known. It is kept by [`Feeds::reset`].
+    /// Returns the highest offset that this gateway has reached in a feed. [`Feeds::reset`] keeps it.
     pub fn reached(&mut self, feed: Feed) -> Option<u64> {
         self.view(feed).reached()
     }
@@ -166,7 +166,7 @@
     }
 
     /// Records that the whole list of servers as of `as_of` was fetched from another gateway. The changes up to then
-    /// are unknown, but a few gateways hear that they can fetch the list here as well.
+    /// are unknown, but a few gateways are notified that they can fetch the list here as well.
     pub(crate) fn record_fetched_servers(&mut self, as_of: Millis, next: u64) {
         self.servers.lose();
         self.record_servers(as_of, next, Vec::new(), Audience::Few);
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -45,7 +45,7 @@
 /// The copy of the store from which a whole list was read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreCopy {
-    /// An older copy, from which the store was restored; this gateway may know newer records.
+    /// An older copy, from which the store was restored; this gateway may have newer records.
     Older,
     /// A copy with all writes that the store acknowledged.
     Current,
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -18,7 +18,7 @@
 use crate::rollout_report::RolloutReport;
 
 /// Time between periodic messages while there is something to send. Processing a long prompt takes a second, and others
-/// should hear of it within a tenth of that.
+/// should be notified within a tenth of that.
 const SEND_INTERVAL: Millis = Millis(100);
 
 /// Turns between messages on rollouts, which are less urgent than loads.
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -48,7 +48,7 @@
         f(&mut self.0.borrow_mut())
     }
 
-    /// Returns the peers that were heard from recently.
+    /// Returns the peers that sent a message or were added recently.
     pub(crate) fn live(&self, now: Millis) -> Vec<SocketAddr> {
         self.with(|members| members.present(now))
     }
--- a/gateway/src/rollout_report.rs
+++ b/gateway/src/rollout_report.rs
@@ -24,7 +24,7 @@
     pub sent: Sent,
     /// Whether the sender has rolled the target back.
     pub is_rolled_back: bool,
-    /// The status in the store, as far as the sender knows it.
+    /// The status in the store, as last read by the sender or reported to it.
     pub stored_status: StoredStatus,
     /// Era of the store: how often it had been restored from an older copy.
     pub store_era: u64,
@@ -52,7 +52,7 @@
 /// A rollout's status in the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoredStatus {
-    /// Not known.
+    /// Neither read nor reported yet.
     #[default]
     Unknown,
     /// Running.
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -25,7 +25,7 @@
 
 /// Time after the start during which a gateway waits for its first peers and repeats queries without a reply.
 ///
-/// A gateway gets requests before it has heard from its peers. Without the wait, it sent moved sessions back to the
+/// A gateway gets requests before its peers have sent it messages. Without the wait, it sent moved sessions back to the
 /// current version.
 const STARTUP_PERIOD: Millis = Millis(1_000);
 
@@ -57,7 +57,7 @@
     NotMoved,
     /// Some did not reply in time, and none replied that it has moved.
     Incomplete,
-    /// No other gateway is known.
+    /// There was no other gateway to query.
     NoKeepers,
 }
 
@@ -80,7 +80,7 @@
 struct KeeperReply {
     from: SocketAddr,
     has_moved: bool,
-    /// Number of gateways that may reply, as far as the sender knows.
+    /// Number of gateways that may reply, by the sender's table of peers.
     keepers: usize,
 }
 
@@ -89,7 +89,7 @@
 pub(crate) struct SessionKeepers {
     /// The other gateways and since when sessions are shared with them; `None` before that.
     peers: RefCell<Option<(PeerTable, Millis)>>,
-    /// Whether the addresses of all peers are known, or that there are none.
+    /// Whether the discovery of peers has finished, with or without peers.
     is_peer_discovery_done: Cell<bool>,
     /// Queries waiting for replies, by query id.
     pending: RefCell<HashMap<u32, Sender<KeeperReply>>>,
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Records that the addresses of all peers are known, or that there are none.
+    /// Records that the discovery of peers has finished, with or without peers.
     pub(crate) fn set_peer_discovery_done(&self) {
         self.session_keepers.is_peer_discovery_done.set(true);
     }
@@ -297,10 +297,11 @@
         }
     }
 
-    /// Answers a query on a session if this gateway is a keeper of it or knows that it has moved, otherwise forwards it
-    /// to the keepers.
+    /// Answers a query on a session if this gateway is a keeper of it or has a record that it has moved, otherwise
+    /// forwards it to the keepers.
     ///
-    /// A gateway that has just started knows only a few peers, and picks the keepers of a session from these.
+    /// A gateway that has just started has only a few peers in its table, and picks the keepers of a session from
+    /// these.
     fn answer_or_forward(&self, requester: SocketAddr, query_id: u32, session: SessionKey) {
         let now = self.now();
         let own = self.session_keepers.own();
