--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -127,8 +127,8 @@
 }
 
 impl From<FeedTold> for FeedWire {
-    fn from(told: FeedTold) -> Self {
-        Self(told.from, told.next, told.age.0.min(u64::from(u32::MAX)) as u32)
+    fn from(position: FeedTold) -> Self {
+        Self(position.from, position.next, position.age.0.min(u64::from(u32::MAX)) as u32)
     }
 }
 
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -172,7 +172,7 @@
         let moves =
             self.gw.with_rollouts(|r| r.moves_session(&server.service, &server.version, now));
         if let (true, Some(session)) = (moves, self.bound().session) {
-            self.gw.session_moved(session);
+            self.gw.record_session_move(session);
         }
     }
 
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -301,8 +301,8 @@
         let wrong = if is_bad { Phase::Done } else { Phase::RolledBack };
         let of_first = self.written.iter().filter(|(_, target, _)| *target == version(2));
         assert!(of_first.clone().all(|(.., ended)| *ended != Some(wrong)), "{what}");
-        let stands = |pair: &[(u32, VersionName, Option<Phase>)]| pair[0] == pair[1];
-        assert!(!self.written.windows(2).any(stands), "{what}: {:?}", self.written);
+        let is_repeated = |pair: &[(u32, VersionName, Option<Phase>)]| pair[0] == pair[1];
+        assert!(!self.written.windows(2).any(is_repeated), "{what}: {:?}", self.written);
     }
 }
 
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -221,7 +221,7 @@
     }
 
     /// Records that a session has moved to the target of its service's rollout, here and at its keepers.
-    pub(crate) fn session_moved(&self, session: SessionKey) {
+    pub(crate) fn record_session_move(&self, session: SessionKey) {
         self.with_rollouts(|r| r.moved_sessions.record(session, self.now()));
         for keeper in self.session_keepers.other_keepers(session, self.now()) {
             self.send_session_message(keeper, SessionMessage::Moved(session.0));
