--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -7,7 +7,7 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use redwingfold_core::{BackendServer, EndedRun, EventId, Millis, Owed, Repeat, SilenceWatch};
+use redwingfold_core::{Awaited, BackendServer, EndedRun, EventId, Millis, Repeat, SilenceWatch};
 
 use crate::clock::within;
 use crate::load::InFlightGuard;
@@ -57,11 +57,11 @@
 
 impl UpstreamResponse {
     /// Returns the number of running and waiting requests per slot that the server reported; 0 if it reported none.
-    pub(crate) fn load(&self) -> f64 {
-        let of = |load: ReportedLoad| {
+    pub(crate) fn load_per_slot(&self) -> f64 {
+        let per_slot = |load: ReportedLoad| {
             f64::from(load.running + load.waiting) / f64::from(load.slots.max(1))
         };
-        self.metadata.load.map_or(0.0, of)
+        self.metadata.load.map_or(0.0, per_slot)
     }
 
     /// Reads the next chunk of the body.
@@ -205,15 +205,15 @@
     ) -> Option<AttemptOutcome> {
         match metadata {
             f if f.id.as_ref().is_some_and(|id| *id != self.metadata.id) => {
-                Some(AttemptOutcome::Lost("response to another request".to_owned()))
+                Some(AttemptOutcome::Lost("answer to another request".to_owned()))
             }
             f if f.is_other_server => Some(AttemptOutcome::OtherServer),
             f if f.is_not_run => Some(AttemptOutcome::NotRun(format!("status {}", head.status))),
             f if head.status.is_success() && !f.is_signed => {
-                Some(AttemptOutcome::Lost("response is not signed".to_owned()))
+                Some(AttemptOutcome::Lost("unsigned answer".to_owned()))
             }
             _ if head.headers.contains_key(CONTENT_ENCODING) => {
-                Some(AttemptOutcome::Lost("response has a content encoding".to_owned()))
+                Some(AttemptOutcome::Lost("encoded answer".to_owned()))
             }
             _ => None,
         }
@@ -229,7 +229,8 @@
         server: &BackendServer,
         expected: Millis,
     ) -> Option<Result<Response<Incoming>, CallError>> {
-        let owed = if self.route.stream.is_some() { Owed::Head(expected) } else { Owed::Plain };
+        let owed =
+            if self.route.stream.is_some() { Awaited::Head(expected) } else { Awaited::Plain };
         let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL_INTERVAL);
         let mut answered = pin!(answered);
         loop {
@@ -251,9 +252,9 @@
         &self,
         watch: &mut SilenceWatch,
         server: &BackendServer,
-        owed: Owed,
+        owed: Awaited,
     ) -> bool {
-        watch.look(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
+        watch.poll(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
         watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
     }
 
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -113,13 +113,13 @@
 
     /// Sends the addresses of all peers to newcomers and, if new ones were added, to a few others.
     async fn send_addresses_to_newcomers(&mut self) {
-        let (is_news, mut recipients) = self.peers.with(|m| (m.take_news(), m.take_newcomers()));
+        let (is_news, mut recipients) = self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
         if !is_news && recipients.is_empty() {
             return;
         }
         let live = self.shuffled_live_peers();
         if is_news {
-            recipients.extend(Members::told(&live));
+            recipients.extend(Members::gossip_targets(&live));
         }
         self.send_addresses(&live, &recipients, BYTES_RESERVED_FROM_ADDRESSES).await;
     }
@@ -251,7 +251,7 @@
             continue;
         };
         let now = gw.now();
-        peers.with(|members| members.heard(from, now, fastrand::u64(..)));
+        peers.with(|members| members.record_message(from, now, fastrand::u64(..)));
         if peers.add(&message.gateways, now) {
             gw.gossip_due.notify(usize::MAX);
         }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! Answers HTTP requests from backend servers that it chooses, watches and goes on from.
+//! HTTP gateway that forwards requests to backend servers, monitors these, and resumes broken streams.
 //!
-//! One pipeline: caller, request facts, route and customer, choice of version, model and server,
-//! attempt, relay, caller. What a deployment says on its wire comes in through a [`HeaderCodec`], and
-//! what it believes through [`Gateway`]'s methods; decisions are made in `redwingfold-core`.
+//! A request passes these steps: decoding of its metadata, lookup of route and customer, choice of version, model and
+//! server, attempt, and relay of the response. The headers of a deployment are converted by a [`HeaderCodec`], and its state
+//! is applied through the methods of [`Gateway`]. Decisions are made in `redwingfold-core`.
 
 mod attempt;
 mod availability;
@@ -56,7 +56,7 @@
     AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
     ResponseMetadata, Usage,
 };
-pub use net::{bind, connect, with_timeouts};
+pub use net::{bind, connect, set_socket_options};
 pub use peer_table::PeerTable;
 pub use quarantine::TrialClaim;
 pub use response::{GatewayResponse, ResponseBody, text_response};
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use redwingfold_core::{
-    BackendId, BackendServer, EndedRun, Fault, HealthPolicy, Incarnation, Millis, PeerLoads, Place,
-    RequestRate, ServerEnds, ServerHealth, ServerReport, Unreached,
+    BackendId, BackendServer, EndedRun, Fault, HealthPolicy, Incarnation, InterruptedRuns, Millis,
+    PeerLoads, Place, RequestRate, ServerHealth, ServerReport, UnreachableServers,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -44,7 +44,7 @@
 struct Tables {
     own: HashMap<BackendId, ServerLoad>,
     peers: PeerLoads,
-    unreached: Unreached<Observer>,
+    unreached: UnreachableServers<Observer>,
     /// Updates to be sent to the peers.
     pending: LoadUpdate,
     /// Pending notices to the peers about leaving servers, keyed by incarnation hash.
@@ -109,7 +109,7 @@
     server: ServerInstance,
     prefill_wait: Millis,
     run: EndedRun,
-    ends: Rc<RefCell<ServerEnds>>,
+    ends: Rc<RefCell<InterruptedRuns>>,
     /// Whether the request completed or was not run, rather than being abandoned.
     is_settled: bool,
 }
@@ -152,7 +152,7 @@
         let tables = self.0.borrow();
         let load = tables.own.get(&server.id).cloned().unwrap_or_default();
         let hash = id_hash(&server.id);
-        let peer_report = tables.peers.at(hash).report.filter(|(_, at)| *at > load.reported_at);
+        let peer_report = tables.peers.get(hash).report.filter(|(_, at)| *at > load.reported_at);
         let since = f64::from(load.sent_since_report) - f64::from(load.ended_since_report);
         let own = (f64::from(load.reported.running) + since, load.reported.waiting);
         let (reported, waiting, at) = match peer_report {
@@ -167,7 +167,7 @@
             waiting: f64::from(waiting),
             unread: load.prefill_wait.after(tables.peers.backlog(hash, now)),
             slots: server.slots,
-            is_out: load.health.is_out(now) || tables.unreached.is_out(hash, now),
+            is_out: load.health.is_out(now) || tables.unreached.is_excluded(hash, now),
         }
     }
 
@@ -178,7 +178,7 @@
         server: &BackendServer,
         prefill_wait: Millis,
         run: EndedRun,
-        ends: Rc<RefCell<ServerEnds>>,
+        ends: Rc<RefCell<InterruptedRuns>>,
     ) -> InFlightGuard {
         let mut tables = self.0.borrow_mut();
         if prefill_wait >= MIN_SHARED_PREFILL && tables.pending.sent.len() < MAX_PENDING_UPDATES {
@@ -214,23 +214,24 @@
         now: Millis,
     ) -> Vec<u32> {
         let Tables { peers, unreached, .. } = &mut *self.0.borrow_mut();
-        update.sent.into_iter().for_each(|(server, takes)| peers.sent(server, takes, now));
+        update.sent.into_iter().for_each(|(server, takes)| peers.record_sent(server, takes, now));
         for (server, report) in update.reports {
-            peers.reported(server, report, now);
-            unreached.answered(server);
+            peers.record_report(server, report, now);
+            unreached.record_answer(server);
         }
         for server in update.answered {
-            unreached.answered(server);
+            unreached.record_answer(server);
         }
         let observer = Observer::Peer(peer);
-        let is_out =
-            |server: &u32| unreached.failed(*server, observer, fleet, now, fastrand::u64(..));
+        let is_out = |server: &u32| {
+            unreached.record_failure(*server, observer, fleet, now, fastrand::u64(..))
+        };
         update.unreached.iter().copied().filter(is_out).collect()
     }
 
     /// Records an attempt to connect to a server.
     pub(crate) fn record_connect_attempt(&self, server: &BackendServer, now: Millis) {
-        self.0.borrow_mut().unreached.tried(id_hash(&server.id), now);
+        self.0.borrow_mut().unreached.record_attempt(id_hash(&server.id), now);
     }
 
     /// Records that a connection to a server failed. Returns whether the server is excluded from now on.
@@ -247,7 +248,7 @@
         let hash = id_hash(&server.id);
         tables.pending.reports.remove(&hash);
         tables.pending.unreached.insert(hash);
-        tables.unreached.failed(hash, Observer::Own, fleet, now, fastrand::u64(..))
+        tables.unreached.record_failure(hash, Observer::Own, fleet, now, fastrand::u64(..))
     }
 
     /// Queues a limit for the peers; drops it if the queue is full.
@@ -284,9 +285,9 @@
     pub(crate) fn record_activity(&self, server: &BackendServer, now: Millis) {
         self.update(&server.into(), |load| load.last_activity_at = now);
         let Tables { unreached, pending, .. } = &mut *self.0.borrow_mut();
-        unreached.heard(now);
+        unreached.record_contact(now);
         let hash = id_hash(&server.id);
-        if unreached.answered(hash) {
+        if unreached.record_answer(hash) {
             pending.unreached.remove(&hash);
             pending.answered.insert(hash);
         }
@@ -319,7 +320,7 @@
         let mut tables = self.0.borrow_mut();
         tables.own.remove(id);
         tables.peers.forget(id_hash(id));
-        tables.unreached.answered(id_hash(id));
+        tables.unreached.record_answer(id_hash(id));
     }
 
     /// Updates the entry of a server's incarnation. Late events of earlier incarnations are ignored, as they say nothing
@@ -343,7 +344,7 @@
     /// Records that the server completed the request.
     pub(crate) fn record_completion(&mut self) {
         self.is_settled = true;
-        self.ends.borrow_mut().answered(&self.server.id, Clock.now());
+        self.ends.borrow_mut().record_answer(&self.server.id, Clock.now());
     }
 
     /// Records that the server did not run the request, so that a later termination is not attributed to it.
@@ -356,7 +357,7 @@
     fn drop(&mut self) {
         self.record_prefill_done();
         if !self.is_settled {
-            self.ends.borrow_mut().left(&self.server.id, self.run, Clock.now());
+            self.ends.borrow_mut().record_abandoned(&self.server.id, self.run, Clock.now());
         }
         self.table.update(&self.server, |load| {
             load.in_flight = load.in_flight.saturating_sub(1);
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -60,14 +60,14 @@
         let usual = versions.usual_times.entry((route, sample.size, is_pace)).or_default();
         let ratio = time.and_then(|time| match arm {
             Some(Arm::Current) => usual.ratio(time, sample.load),
-            Some(Arm::Target) | None => usual.ratio_of_other(time, sample.load),
+            Some(Arm::Target) | None => usual.ratio_of_other_version(time, sample.load),
         });
         if let (Some(Arm::Current), Some(time)) = (arm, time) {
-            usual.learn(time, sample.load);
+            usual.record(time, sample.load);
         }
         let recent = &mut versions.recent_factors[usize::from(is_pace)];
         let ratio = match arm {
-            Some(Arm::Current) => ratio.inspect(|ratio| recent.learn(*ratio, now)),
+            Some(Arm::Current) => ratio.inspect(|ratio| recent.record(*ratio, now)),
             Some(Arm::Target) | None => ratio.map(|ratio| ratio / recent.factor()),
         };
         if versions.latest().is_none_or(|canary| canary.phase() == Phase::Done) {
@@ -114,9 +114,9 @@
                 return None;
             }
             let target = &canary.order().target;
-            let stored_status = match self.statuses.ended(service, target) {
+            let stored_status = match self.statuses.outcome(service, target) {
                 Some(phase) => StoredStatus::Ended(phase),
-                None if self.statuses.is_missing(service, target, Phase::Trial) => {
+                None if self.statuses.is_unrecorded(service, target, Phase::Trial) => {
                     StoredStatus::Unknown
                 }
                 None => StoredStatus::Running,
@@ -154,7 +154,7 @@
         let (service, target, stored_status) =
             (report.service.clone(), report.target.clone(), report.stored_status);
         // A gateway without a connection to the store may not have noticed yet that the store was restored.
-        let is_doubted = report.store_era < self.store_era || self.statuses.is_doubted(now);
+        let is_doubted = report.store_era < self.store_era || self.statuses.is_unreliable(now);
         match versions.peer_reports.get_mut(from) {
             Some((merged, at)) => {
                 merged.merge(report);
@@ -172,7 +172,9 @@
             StoredStatus::Ended(phase) if is_doubted => self.end_rollout(&service, phase, now),
             _ if is_doubted => {}
             StoredStatus::Ended(phase) => self.record_status(&service, &target, Some(phase), now),
-            StoredStatus::Running if self.statuses.is_missing(&service, &target, Phase::Trial) => {
+            StoredStatus::Running
+                if self.statuses.is_unrecorded(&service, &target, Phase::Trial) =>
+            {
                 self.record_status(&service, &target, None, now);
             }
             StoredStatus::Running | StoredStatus::Unknown => {}
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 
 use redwingfold_core::{
-    Arm, Canary, CanaryPolicy, Millis, MovedSessions, OrderAge, Phase, PresentTime, RolloutOrder,
-    RouteEvidence, ServiceName, Shared, StatusBook, UsualTime, VersionName,
+    Arm, BaselineLatency, Canary, CanaryPolicy, CurrentSlowdown, Millis, MovedSessions, OrderAge,
+    Phase, RolloutOrder, RolloutStatuses, RouteEvidence, ServiceName, Shared, VersionName,
 };
 
 use crate::gateway::StoreCopy;
@@ -51,10 +51,10 @@
     peer_reports: HashMap<String, (RolloutReport, Millis)>,
     /// Usual times of the current version by route hash and model index; `true` for gaps between events, `false` for
     /// times to the first byte.
-    usual_times: HashMap<(u32, usize, bool), UsualTime>,
+    usual_times: HashMap<(u32, usize, bool), BaselineLatency>,
     /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between
     /// events.
-    recent_factors: [PresentTime; 2],
+    recent_factors: [CurrentSlowdown; 2],
 }
 
 /// The versions of all services, and their rollouts.
@@ -66,7 +66,7 @@
     pub(crate) moved_sessions: MovedSessions,
     services: HashMap<ServiceName, ServiceVersions>,
     /// What is known of the statuses in the store.
-    statuses: StatusBook,
+    statuses: RolloutStatuses,
     /// Services whose versions in service this gateway should write to the store.
     unwritten_services: Vec<ServiceName>,
     /// All orders written before this time are known.
@@ -106,7 +106,7 @@
             policy,
             moved_sessions: MovedSessions::new(session_retention),
             services: HashMap::new(),
-            statuses: StatusBook::default(),
+            statuses: RolloutStatuses::default(),
             unwritten_services: Vec::new(),
             orders_as_of: Millis(0),
             store_era: 0,
@@ -167,7 +167,7 @@
         ended: Option<Phase>,
         now: Millis,
     ) {
-        self.statuses.recorded(service, target, ended);
+        self.statuses.record(service, target, ended);
         let canary = self.canary(service).filter(|c| c.is_announced());
         let is_same = canary.is_some_and(|c| c.order().target == *target);
         if let (true, Some(phase)) = (is_same, ended) {
@@ -183,7 +183,7 @@
     /// Invalidates the known statuses after the store was restored from an older copy, which starts another era.
     pub(crate) fn store_restored(&mut self, era: u64, now: Millis) {
         self.store_era = era;
-        self.statuses.doubt(now);
+        self.statuses.invalidate(now);
     }
 
     /// Records that this gateway has written a status. It is reported to the others at once, so that they need not read
@@ -302,7 +302,7 @@
             let canary = v.canary.as_ref()?;
             let (target, phase) = (&canary.order().target, canary.phase());
             let draw = fastrand::u64(..);
-            let due = statuses.due_in(service, target, phase, fleet, now, draw)?;
+            let due = statuses.write_due_in(service, target, phase, fleet, now, draw)?;
             let (service, target) = (service.clone(), target.clone());
             Some((due, DueStatus { service, target, phase }))
         });
@@ -315,7 +315,7 @@
             _ if v.unannounced_trial.as_ref().is_some_and(|c| c.phase() < Phase::Done) => false,
             None => true,
             Some(c) if c.phase() < Phase::Done => false,
-            Some(c) => !self.statuses.is_missing(service, &c.order().target, c.phase()),
+            Some(c) => !self.statuses.is_unrecorded(service, &c.order().target, c.phase()),
         })
     }
 }
