--- a/core/src/serving/baseline_latency.rs
+++ b/core/src/serving/baseline_latency.rs
@@ -84,7 +84,7 @@
 /// of whose answers are from before. If the current version no longer gets requests, its last answers count.
 ///
 /// ```
-/// use redwingfold_core::{Millis, CurrentSlowdown};
+/// use redwingfold_core::{CurrentSlowdown, Millis};
 /// let mut slowdown = CurrentSlowdown::default();
 /// (0..20).for_each(|n| slowdown.record(1.0, Millis(n * 100)));
 /// (20..30).for_each(|n| slowdown.record(4.0, Millis(n * 100)));
--- a/core/src/serving/idle_timeout.rs
+++ b/core/src/serving/idle_timeout.rs
@@ -10,7 +10,7 @@
 /// fail in the same way if the service takes longer to send its first byte, so each timeout doubles the next one.
 ///
 /// ```
-/// use redwingfold_core::{Millis, IdleTimeout};
+/// use redwingfold_core::{IdleTimeout, Millis};
 /// let mut timeout = IdleTimeout::new(Millis(700), Millis(1_400));
 /// timeout.record_timeout();
 /// assert_eq!(timeout.current(), Millis(1_400));
--- a/core/src/serving/interrupted_runs.rs
+++ b/core/src/serving/interrupted_runs.rs
@@ -75,7 +75,7 @@
     /// Records a run that broke before its answer was complete.
     ///
     /// ```
-    /// use redwingfold_core::{BackendId, BrokenRun, EndedRun, Fingerprint, Millis, InterruptedRuns};
+    /// use redwingfold_core::{BackendId, BrokenRun, EndedRun, Fingerprint, InterruptedRuns, Millis};
     /// let mut runs = InterruptedRuns::default();
     /// let server = BackendId::from("e1");
     /// let run = EndedRun { request: Fingerprint(7), sent_at: Millis(0) };
@@ -100,7 +100,7 @@
     /// Records a run that this gateway abandoned.
     ///
     /// ```
-    /// use redwingfold_core::{BackendId, EndedRun, Fingerprint, Millis, InterruptedRuns};
+    /// use redwingfold_core::{BackendId, EndedRun, Fingerprint, InterruptedRuns, Millis};
     /// let mut runs = InterruptedRuns::default();
     /// let server = BackendId::from("e1");
     /// let run = |request| EndedRun { request: Fingerprint(request), sent_at: Millis(0) };
--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -62,7 +62,7 @@
     /// pressure nothing is sent twice, because second sends would double a queue.
     ///
     /// ```
-    /// use redwingfold_core::{Millis, Awaited, SilencePolicy};
+    /// use redwingfold_core::{Awaited, Millis, SilencePolicy};
     /// let policy = SilencePolicy::default();
     /// let wait = |awaited, pressure| policy.request_timeout(awaited, Millis(2_000), pressure);
     /// assert_eq!(wait(Awaited::Head(Millis(100)), 0.0), Some(Millis(1_300)));
