--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -229,7 +229,7 @@
         server: &BackendServer,
         expected: Millis,
     ) -> Option<Result<Response<Incoming>, CallError>> {
-        let owed =
+        let awaited =
             if self.route.stream.is_some() { Awaited::Head(expected) } else { Awaited::Plain };
         let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL_INTERVAL);
         let mut answered = pin!(answered);
@@ -241,7 +241,7 @@
             if let Some(res) = within(SILENCE_POLL_INTERVAL.min(time_left), &mut answered).await {
                 return Some(res);
             }
-            if self.is_server_silent(&mut watch, server, owed) && self.try_retry() {
+            if self.is_server_silent(&mut watch, server, awaited) && self.try_retry() {
                 return None;
             }
         }
@@ -252,10 +252,10 @@
         &self,
         watch: &mut SilenceWatch,
         server: &BackendServer,
-        owed: Awaited,
+        awaited: Awaited,
     ) -> bool {
         watch.poll(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
-        watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
+        watch.is_over(&self.gw.settings.silence, awaited, self.route.aim, self.gw.pressure())
     }
 
     /// Returns whether the request may run more than once.
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -109,7 +109,7 @@
     server: ServerInstance,
     prefill_wait: Millis,
     run: EndedRun,
-    ends: Rc<RefCell<InterruptedRuns>>,
+    interrupted_runs: Rc<RefCell<InterruptedRuns>>,
     /// Whether the request completed or was not run, rather than being abandoned.
     is_settled: bool,
 }
@@ -172,13 +172,13 @@
     }
 
     /// Counts a request sent to a server with its estimated prefill time, until the guard is dropped. Whether the request
-    /// completed or was abandoned is recorded in `ends`.
+    /// completed or was abandoned is recorded in `interrupted_runs`.
     pub(crate) fn record_send(
         &self,
         server: &BackendServer,
         prefill_wait: Millis,
         run: EndedRun,
-        ends: Rc<RefCell<InterruptedRuns>>,
+        interrupted_runs: Rc<RefCell<InterruptedRuns>>,
     ) -> InFlightGuard {
         let mut tables = self.0.borrow_mut();
         if prefill_wait >= MIN_SHARED_PREFILL && tables.pending.sent.len() < MAX_PENDING_UPDATES {
@@ -190,7 +190,14 @@
             load.prefill_wait = load.prefill_wait.after(prefill_wait);
         }
         let server = server.into();
-        InFlightGuard { table: self.clone(), server, prefill_wait, run, ends, is_settled: false }
+        InFlightGuard {
+            table: self.clone(),
+            server,
+            prefill_wait,
+            run,
+            interrupted_runs,
+            is_settled: false,
+        }
     }
 
     /// Records a load report and queues it for the peers.
@@ -344,7 +351,7 @@
     /// Records that the server completed the request.
     pub(crate) fn record_completion(&mut self) {
         self.is_settled = true;
-        self.ends.borrow_mut().record_answer(&self.server.id, Clock.now());
+        self.interrupted_runs.borrow_mut().record_answer(&self.server.id, Clock.now());
     }
 
     /// Records that the server did not run the request, so that a later termination is not attributed to it.
@@ -357,7 +364,11 @@
     fn drop(&mut self) {
         self.record_prefill_done();
         if !self.is_settled {
-            self.ends.borrow_mut().record_abandoned(&self.server.id, self.run, Clock.now());
+            self.interrupted_runs.borrow_mut().record_abandoned(
+                &self.server.id,
+                self.run,
+                Clock.now(),
+            );
         }
         self.table.update(&self.server, |load| {
             load.in_flight = load.in_flight.saturating_sub(1);
