--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -50,18 +50,18 @@
 pub use rollout::{SequentialTest, Tally, TestVerdict};
 pub use route::{Denied, Plan, choose_version, plan, session_share};
 pub use serving::{
-    Admission, Affinity, AnswerSums, Arm, ArmChoice, BackendId, BackendServer, Broke, CallLimits,
-    Canary, CanaryPolicy, Catalog, ColdLimit, ColdPolicy, ConnectTimes, Counts, Customer, EndedRun,
-    EvacuationChange, Evacuations, EventId, EventSplitter, ExposureBudget, Fault, FeedHeard,
-    FeedPast, FeedTold, FeedView, Fingerprint, HealthPolicy, Homes, Larger, Leads, LeavingServers,
-    LimitChange, LimitPolicy, Mark, MarkChange, Members, MovedSessions, OrderAge, Owed,
-    PassedServers, Patience, PeerLoad, PeerLoads, Phase, Place, PlacementPolicy, PresentTime,
-    Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Regions, Registry,
-    RegistryPolicy, Repeat, RepeatBudget, RepeatUse, RetryAfterTimes, Rises, RolloutOrder, Route,
-    RouteEvidence, RouteName, SendTurns, Sent, ServerEnds, ServerHealth, ServerLimits,
-    ServerReport, ServerState, Service, ServiceName, SessionKey, Shared, SilencePolicy,
-    SilenceWatch, SizePolicy, StatusBook, StreamRules, StreamTimes, Times, Unreached,
-    UrgencyPolicy, UsualTime, WholeEvents, Work, is_in_first_half, is_newest_shorter, lead_servers,
-    place,
+    Admission, Affinity, AllowedRegions, AnswerCounts, AnswerSums, Arm, ArmChoice, BackendId,
+    BackendServer, Broke, CallLimits, Canary, CanaryPolicy, Catalog, ColdLimit, ColdPolicy,
+    ConnectTimeout, Customer, DomainRegions, EndedRun, EvacuationChange, Evacuations, EventId,
+    EventSplitter, ExposureBudget, Fault, FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView,
+    Fingerprint, FleetEvidence, HealthPolicy, Idempotency, Larger, LatencySums, Leads,
+    LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members, MovedSessions, OrderAge,
+    Owed, PassedServers, Patience, PeerLoad, PeerLoads, Phase, Place, PlacementPolicy, PresentTime,
+    Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Registry,
+    RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, Rises, RolloutOrder, Route,
+    RouteEvidence, RouteName, SendCounts, SendTurns, ServerEnds, ServerHealth, ServerLimits,
+    ServerReport, ServerState, Service, ServiceName, SessionKey, SilencePolicy, SilenceWatch,
+    SizePolicy, StatusBook, StreamRules, StreamTimes, Unreached, UrgencyPolicy, UsualTime,
+    WholeEvents, Work, is_compacted_read_shorter, is_in_first_half, lead_servers, place,
 };
 pub use subset::{Member, PooledSide, is_log_reader, pin_holders, rank, sides_of_entry};
--- a/core/src/serving/answers.rs
+++ b/core/src/serving/answers.rs
@@ -1,53 +1,53 @@
 //! What gateways have seen of a version's answers, as sums that can be added up in any order.
 
-use super::exposure::Sent;
+use super::exposure::SendCounts;
 use crate::rollout::Tally;
 
 /// Times of answers, as sums that gateways can add up in any order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Times {
+pub struct LatencySums {
     /// Their number.
-    pub n: u64,
+    pub count: u64,
     /// Sum of the logarithms of each time over the usual one.
-    pub sum: f64,
+    pub log_sum: f64,
     /// Sum of their squares.
-    pub squares: f64,
+    pub log_square_sum: f64,
 }
 
-impl Times {
+impl LatencySums {
     /// Adds a time that is `ratio` times the usual one.
     pub fn add(&mut self, ratio: f64) {
         let x = ratio.max(MIN_RATIO).ln();
-        self.n += 1;
-        self.sum += x;
-        self.squares += x * x;
+        self.count += 1;
+        self.log_sum += x;
+        self.log_square_sum += x * x;
     }
 
     fn plus(self, other: Self) -> Self {
         Self {
-            n: self.n + other.n,
-            sum: self.sum + other.sum,
-            squares: self.squares + other.squares,
+            count: self.count + other.count,
+            log_sum: self.log_sum + other.log_sum,
+            log_square_sum: self.log_square_sum + other.log_square_sum,
         }
     }
 
     fn minus(self, other: Self) -> Self {
         Self {
-            n: self.n.saturating_sub(other.n),
-            sum: self.sum - other.sum,
-            squares: self.squares - other.squares,
+            count: self.count.saturating_sub(other.count),
+            log_sum: self.log_sum - other.log_sum,
+            log_square_sum: self.log_square_sum - other.log_square_sum,
         }
     }
 
     /// Returns the mean logarithm; 0 is the usual time.
     pub fn mean(self) -> f64 {
-        if self.n == 0 { 0.0 } else { self.sum / self.n as f64 }
+        if self.count == 0 { 0.0 } else { self.log_sum / self.count as f64 }
     }
 
     /// Returns the variance of the mean.
-    fn error(self) -> f64 {
-        let n = self.n.max(1) as f64;
-        let variance = (self.squares / n - self.mean() * self.mean()).max(MIN_VARIANCE);
+    fn mean_variance(self) -> f64 {
+        let n = self.count.max(1) as f64;
+        let variance = (self.log_square_sum / n - self.mean() * self.mean()).max(MIN_VARIANCE);
         variance / n
     }
 
@@ -58,18 +58,20 @@
     /// trial with 14 long ones in 73. Their logarithms are nearly normal, and a dozen tell.
     ///
     /// ```
-    /// use redwingfold_core::Times;
-    /// let (mut usual, mut long) = (Times::default(), Times::default());
+    /// use redwingfold_core::LatencySums;
+    /// let (mut usual, mut long) = (LatencySums::default(), LatencySums::default());
     /// for ratio in [0.5, 1.0, 2.0, 1.0, 0.7, 1.4, 1.0, 1.0, 0.6, 1.6] {
     ///     usual.add(ratio);
     ///     long.add(ratio * 4.0);
     /// }
-    /// assert!(long.is_longer(usual) && !usual.is_longer(usual));
+    /// assert!(long.is_significantly_longer(usual) && !usual.is_significantly_longer(usual));
     /// ```
-    pub fn is_longer(self, usual: Self) -> bool {
+    pub fn is_significantly_longer(self, usual: Self) -> bool {
         let longer = self.mean() - usual.mean();
-        let doubt = (self.error() + usual.error()).sqrt();
-        self.n >= MIN_TIMES && longer > MIN_LONGER && longer > doubt * sure(self.n)
+        let std_error = (self.mean_variance() + usual.mean_variance()).sqrt();
+        self.count >= MIN_SAMPLES
+            && longer > MIN_LOG_SLOWDOWN
+            && longer > std_error * min_standard_errors(self.count)
     }
 }
 
@@ -80,14 +82,14 @@
 const MIN_VARIANCE: f64 = 0.1;
 
 /// Times without which nothing is said.
-const MIN_TIMES: u64 = 8;
+const MIN_SAMPLES: u64 = 8;
 
 /// Difference of the logarithms from which a version is slow: 1.8 times as long.
-const MIN_LONGER: f64 = 0.59;
+const MIN_LOG_SLOWDOWN: f64 = 0.59;
 
 /// Standard errors that the difference must have where their spread is known; looked at a few hundred
 /// times in a roll-out, a good version passes this by chance less than once in a hundred roll-outs.
-const SURE: f64 = 4.4;
+const MIN_STANDARD_ERRORS: f64 = 4.4;
 
 /// Returns the standard errors that the difference must have after `n` times.
 ///
@@ -96,22 +98,22 @@
 /// first terms by Cornish and Fisher) it was by none. A version of which half of the answers are eight times
 /// as slow got 37 requests in place of 34 at 60 a second (counted with the fleet of
 /// core/tests/canary.rs).
-fn sure(n: u64) -> f64 {
+fn min_standard_errors(n: u64) -> f64 {
     let freedom = n.saturating_sub(1).max(1) as f64;
-    SURE + (SURE.powi(3) + SURE) / (4.0 * freedom)
+    MIN_STANDARD_ERRORS + (MIN_STANDARD_ERRORS.powi(3) + MIN_STANDARD_ERRORS) / (4.0 * freedom)
 }
 
 /// Answers of a version on one route, as sums that gateways can add up in any order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct AnswerCounts {
     /// Answers that were no failures.
     pub good: u64,
     /// Failures.
     pub failed: u64,
     /// Times to the first byte.
-    pub begin: Times,
+    pub first_byte: LatencySums,
     /// Pauses between the events of streams.
-    pub pace: Times,
+    pub event_gap: LatencySums,
     /// Those of them that came from one half of the version's servers.
     pub half: AnswerSums,
 }
@@ -124,9 +126,9 @@
     /// Failures.
     pub failed: u64,
     /// Times to the first byte.
-    pub begin: Times,
+    pub first_byte: LatencySums,
     /// Pauses between the events of streams.
-    pub pace: Times,
+    pub event_gap: LatencySums,
 }
 
 impl AnswerSums {
@@ -134,8 +136,8 @@
         Self {
             good: self.good + other.good,
             failed: self.failed + other.failed,
-            begin: self.begin.plus(other.begin),
-            pace: self.pace.plus(other.pace),
+            first_byte: self.first_byte.plus(other.first_byte),
+            event_gap: self.event_gap.plus(other.event_gap),
         }
     }
 
@@ -143,16 +145,16 @@
         Self {
             good: self.good.saturating_sub(other.good),
             failed: self.failed.saturating_sub(other.failed),
-            begin: self.begin.minus(other.begin),
-            pace: self.pace.minus(other.pace),
+            first_byte: self.first_byte.minus(other.first_byte),
+            event_gap: self.event_gap.minus(other.event_gap),
         }
     }
 }
 
-impl From<AnswerSums> for Counts {
+impl From<AnswerSums> for AnswerCounts {
     fn from(sums: AnswerSums) -> Self {
-        let AnswerSums { good, failed, begin, pace } = sums;
-        Self { good, failed, begin, pace, half: AnswerSums::default() }
+        let AnswerSums { good, failed, first_byte, event_gap } = sums;
+        Self { good, failed, first_byte, event_gap, half: AnswerSums::default() }
     }
 }
 
@@ -160,12 +162,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteEvidence {
     /// Of the target.
-    pub target: Counts,
+    pub target: AnswerCounts,
     /// Of the version in service.
-    pub current: Counts,
+    pub current: AnswerCounts,
 }
 
-impl Counts {
+impl AnswerCounts {
     /// Adds others' counts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
@@ -184,8 +186,8 @@
 
     /// Returns the sums over all servers.
     pub fn sums(self) -> AnswerSums {
-        let Self { good, failed, begin, pace, half: _ } = self;
-        AnswerSums { good, failed, begin, pace }
+        let Self { good, failed, first_byte, event_gap, half: _ } = self;
+        AnswerSums { good, failed, first_byte, event_gap }
     }
 
     pub(crate) fn answers(self) -> u64 {
@@ -197,13 +199,15 @@
     }
 
     pub(crate) fn is_slower(self, usual: Self) -> bool {
-        self.begin.is_longer(usual.begin) || self.pace.is_longer(usual.pace)
+        self.first_byte.is_significantly_longer(usual.first_byte)
+            || self.event_gap.is_significantly_longer(usual.event_gap)
     }
 
     /// Says whether the mean times are those of a slow version, with or without doubt.
-    pub(crate) fn looks_slower(self, usual: Self) -> bool {
-        let longer = |times: Times, usual: Times| times.mean() - usual.mean() > MIN_LONGER;
-        longer(self.begin, usual.begin) || longer(self.pace, usual.pace)
+    pub(crate) fn has_longer_mean(self, usual: Self) -> bool {
+        let longer =
+            |times: LatencySums, usual: LatencySums| times.mean() - usual.mean() > MIN_LOG_SLOWDOWN;
+        longer(self.first_byte, usual.first_byte) || longer(self.event_gap, usual.event_gap)
     }
 }
 
@@ -217,14 +221,14 @@
 
 /// What all gateways together know.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shared {
+pub struct FleetEvidence {
     /// Answers, by route.
     pub routes: Vec<RouteEvidence>,
     /// What they have sent.
-    pub sent: Sent,
+    pub sent: SendCounts,
 }
 
-impl Shared {
+impl FleetEvidence {
     /// Returns the evidence of all routes together.
     pub fn total(&self) -> RouteEvidence {
         self.routes.iter().fold(RouteEvidence::default(), |sum, route| sum.plus(*route))
--- a/core/src/serving/budget.rs
+++ b/core/src/serving/budget.rs
@@ -6,7 +6,7 @@
 
 /// What a second send is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RepeatUse {
+pub enum ResendReason {
     /// The first one failed.
     Failure,
     /// A larger model should do better.
@@ -19,7 +19,7 @@
 /// fleet's requests without any talk. Without a bound, a service that fails gets twice its load at
 /// the moment at which it can bear least.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
+pub struct ResendBudget {
     window: Millis,
     ratio: f64,
     quality_ratio: f64,
@@ -38,20 +38,20 @@
 /// Slices in a window; one more is kept, so that what is counted is never less than the window.
 const SLICES: u64 = 20;
 
-impl RepeatBudget {
+impl ResendBudget {
     /// Makes a budget of `ratio` repeats for each request of the last `window`, and `slack` more.
     ///
-    /// Repeats for [`RepeatUse::Quality`] stop at `quality_ratio`, which leaves the rest for
+    /// Repeats for [`ResendReason::Quality`] stop at `quality_ratio`, which leaves the rest for
     /// failures.
     ///
     /// ```
-    /// use redwingfold_core::{Millis, RepeatBudget, RepeatUse};
-    /// let mut budget = RepeatBudget::new(Millis(10_000), 0.5, 0.25, 0.0);
+    /// use redwingfold_core::{Millis, ResendBudget, ResendReason};
+    /// let mut budget = ResendBudget::new(Millis(10_000), 0.5, 0.25, 0.0);
     /// (0..4).for_each(|_| budget.request(Millis(0)));
-    /// assert!(budget.try_take(RepeatUse::Quality, Millis(1)));
-    /// assert!(!budget.try_take(RepeatUse::Quality, Millis(1)));
-    /// assert!(budget.try_take(RepeatUse::Failure, Millis(1)));
-    /// assert!(!budget.try_take(RepeatUse::Failure, Millis(1)));
+    /// assert!(budget.try_take(ResendReason::Quality, Millis(1)));
+    /// assert!(!budget.try_take(ResendReason::Quality, Millis(1)));
+    /// assert!(budget.try_take(ResendReason::Failure, Millis(1)));
+    /// assert!(!budget.try_take(ResendReason::Failure, Millis(1)));
     /// ```
     pub fn new(window: Millis, ratio: f64, quality_ratio: f64, slack: f64) -> Self {
         Self { window, ratio, quality_ratio, slack, slices: VecDeque::new() }
@@ -63,12 +63,12 @@
     }
 
     /// Counts a second send if there is room for it.
-    pub fn try_take(&mut self, what: RepeatUse, now: Millis) -> bool {
+    pub fn try_take(&mut self, what: ResendReason, now: Millis) -> bool {
         self.slice(now);
         let (requests, repeats) = self.counts();
         let ratio = match what {
-            RepeatUse::Failure => self.ratio,
-            RepeatUse::Quality => self.quality_ratio,
+            ResendReason::Failure => self.ratio,
+            ResendReason::Quality => self.quality_ratio,
         };
         if f64::from(repeats) + 1.0 > ratio * f64::from(requests) + self.slack {
             return false;
--- a/core/src/serving/canary.rs
+++ b/core/src/serving/canary.rs
@@ -1,8 +1,8 @@
 //! Rolling a new version of a service out, and back if it answers badly.
 
-use super::answers::{Counts, RouteEvidence, Shared, Times};
+use super::answers::{AnswerCounts, FleetEvidence, LatencySums, RouteEvidence};
 use super::canary_policy::CanaryPolicy;
-use super::exposure::{ExposureBudget, Sent};
+use super::exposure::{ExposureBudget, SendCounts};
 use crate::ids::{Millis, PerMille, VersionName};
 use crate::rollout::{SequentialTest, Tally, TestVerdict};
 
@@ -68,9 +68,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OrderAge {
     /// Time since the read that brought it: more traffic waits by this.
-    pub least: Millis,
+    pub min: Millis,
     /// Time since the feed was last known without it: the end comes by this.
-    pub most: Millis,
+    pub max: Millis,
     /// Whether it stood in the feed when this gateway started, so that it may be of any age.
     pub is_unknown: bool,
 }
@@ -83,15 +83,15 @@
     /// Whether an operator has given the order.
     is_announced: bool,
     /// The latest time at which the order may have been given.
-    began: Millis,
+    latest_order: Millis,
     /// The earliest one.
-    began_earliest: Millis,
+    earliest_order: Millis,
     /// Whether this gateway, or one that told it, has seen the order come.
     is_age_known: bool,
     phase: Phase,
     budget: ExposureBudget,
     /// When full traffic began, and the target's answers until then.
-    full_since: Option<(Millis, Counts)>,
+    full_since: Option<(Millis, AnswerCounts)>,
 }
 
 /// Time for which a version that no order names is tried before it has its part of all requests.
@@ -99,39 +99,39 @@
 
 /// How long all requests must have gone to the target before old ones count as ended: gateways
 /// hear of each other's counts twice a second.
-const SETTLE: Millis = Millis(900);
+const MIN_FULL_TRAFFIC: Millis = Millis(900);
 
 /// How long before the deadline the old version is given up at the latest, by the greatest age that the
 /// order may have: gateways look at a roll-out each 0.2 s, wait 0.15 s for each other at most, and the word takes
 /// 0.1 s to be written.
-const END_MARGIN: Millis = Millis(500);
+const RETIRE_MARGIN: Millis = Millis(500);
 
 /// Level at which more failures than usual keep the old version from being given up: one good version
 /// in four waits a few seconds longer, and a bad one that is just short of proof is not let through.
-const SUSPECT: f64 = 0.25;
+const ELEVATED_ALPHA: f64 = 0.25;
 
 /// Difference of the logarithms up to which a few answers are not slow: 1.4 times as long. Half of the
 /// answers at eight times the usual time make a difference of one.
-const MAX_LONGER_DUE: f64 = 0.35;
+const MAX_CLEAN_LOG_SLOWDOWN: f64 = 0.35;
 
 /// Part of the window before which no session may move to the target.
-const SESSIONS_STAY_UNTIL: PerMille = PerMille(500);
+const SESSION_MOVES_FROM: PerMille = PerMille(500);
 
 /// How much older another gateway may take the order to be: each hears the others' ages once a second or more, and the
 /// message that was on its way for the shortest time counts.
-const MAX_AHEAD: Millis = Millis(200);
+const MAX_AGE_SKEW: Millis = Millis(200);
 
 /// Servers without which there is no load trial: one that fails by itself would be all of them.
-const MIN_LOAD_TRIAL: usize = 2;
+const MIN_LOAD_TRIAL_SERVERS: usize = 2;
 
 /// Answers below which one half of the target's servers is passed over, once there are some of the other.
-const MIN_HALF: u64 = 4;
+const MIN_HALF_ANSWERS: u64 = 4;
 
 /// Answers of the target after which a half with hardly any is taken to have no servers.
-const MIN_BESIDE_SILENT: u64 = 20;
+const MIN_ANSWERS_BESIDE_EMPTY_HALF: u64 = 20;
 
 /// Answers of the version in service below which its share of bad ones says little.
-const MIN_COMPARED: u64 = 20;
+const MIN_CURRENT_ANSWERS: u64 = 20;
 
 impl Canary {
     /// Begins a roll-out; `draw` is a random number.
@@ -147,8 +147,8 @@
             policy,
             order,
             is_announced: true,
-            began: ago(age.least),
-            began_earliest: ago(age.most),
+            latest_order: ago(age.min),
+            earliest_order: ago(age.max),
             is_age_known: !age.is_unknown,
             phase: Phase::Trial,
             budget: ExposureBudget::new(policy.exposure, draw),
@@ -159,10 +159,10 @@
     /// Begins the trial of a version that no order names; `draw` is a random number.
     ///
     /// ```
-    /// use redwingfold_core::{Canary, CanaryPolicy, Millis, Phase, Shared};
+    /// use redwingfold_core::{Canary, CanaryPolicy, Millis, Phase, FleetEvidence};
     /// let target = "v2".parse()?;
     /// let mut trial = Canary::unannounced(CanaryPolicy::default(), target, Millis(0), 0);
-    /// assert_eq!(trial.step(&Shared::default(), Millis(60_000)), Phase::Trial);
+    /// assert_eq!(trial.step(&FleetEvidence::default(), Millis(60_000)), Phase::Trial);
     /// # Ok::<(), redwingfold_core::ParseIdError>(())
     /// ```
     pub fn unannounced(policy: CanaryPolicy, target: VersionName, now: Millis, draw: u64) -> Self {
@@ -187,7 +187,7 @@
 
     /// Returns the least time that has passed since the order.
     pub fn elapsed(&self, now: Millis) -> Millis {
-        now.since(self.began)
+        now.since(self.latest_order)
     }
 
     /// Returns whether this gateway, or one that told it, has seen the order come.
@@ -196,10 +196,10 @@
     }
 
     /// Learns from another gateway that the order is at least so old, and whether that one knows its age.
-    pub fn is_older(&mut self, elapsed: Millis, is_age_known: bool, now: Millis) {
+    pub fn merge_age(&mut self, elapsed: Millis, is_age_known: bool, now: Millis) {
         self.is_age_known |= is_age_known;
-        self.began = self.began.min(Millis(now.0.saturating_sub(elapsed.0)));
-        self.began_earliest = self.began_earliest.min(self.began);
+        self.latest_order = self.latest_order.min(Millis(now.0.saturating_sub(elapsed.0)));
+        self.earliest_order = self.earliest_order.min(self.latest_order);
     }
 
     /// Ends the roll-out as another gateway wrote it.
@@ -211,17 +211,19 @@
     ///
     /// A bad version is rolled back from every phase but the last: a version may turn bad late, or
     /// only under the load of the last phase.
-    pub fn step(&mut self, shared: &Shared, now: Millis) -> Phase {
+    pub fn step(&mut self, shared: &FleetEvidence, now: Millis) -> Phase {
         self.phase = match self.phase {
             Phase::Done | Phase::RolledBack => self.phase,
-            _ if self.is_bad(shared, now) => Phase::RolledBack,
+            _ if self.has_regressed(shared, now) => Phase::RolledBack,
             // The old version stays, and the servers of this one may be few: there is no moment of full traffic.
             _ if !self.is_announced => self.step_unannounced(shared, now),
-            Phase::Trial if self.is_past(self.policy.trial_until, now) && self.is_tried(shared) => {
+            Phase::Trial
+                if self.is_past(self.policy.trial_until, now) && self.has_min_good(shared) =>
+            {
                 Phase::Ramp
             }
-            Phase::Ramp if self.elapsed(now) >= self.full_from() => Phase::Full,
-            Phase::Full if self.may_give_up(shared, now) => Phase::Done,
+            Phase::Ramp if self.elapsed(now) >= self.full_traffic_age() => Phase::Full,
+            Phase::Full if self.may_retire_current(shared, now) => Phase::Done,
             phase => phase,
         };
         if self.phase == Phase::Full {
@@ -230,17 +232,18 @@
         self.phase
     }
 
-    fn step_unannounced(&self, shared: &Shared, now: Millis) -> Phase {
+    fn step_unannounced(&self, shared: &FleetEvidence, now: Millis) -> Phase {
         let is_over = self.elapsed(now) >= self.order.window;
-        let is_good = is_over && self.is_tried(shared) && !self.is_suspect(shared);
+        let is_good =
+            is_over && self.has_min_good(shared) && !self.is_failure_rate_elevated(shared);
         if is_good { Phase::Done } else { Phase::Trial }
     }
 
     /// Returns the share of requests without a session that goes to the target.
     pub fn share(&self) -> PerMille {
         match self.phase {
-            Phase::Trial => self.policy.trial,
-            Phase::Ramp => self.policy.ramp,
+            Phase::Trial => self.policy.trial_share,
+            Phase::Ramp => self.policy.ramp_share,
             Phase::Full | Phase::Done => PerMille(1000),
             Phase::RolledBack => PerMille(0),
         }
@@ -251,7 +254,7 @@
     fn session_share(&self, now: Millis) -> PerMille {
         match self.phase {
             Phase::Trial if self.elapsed(now) >= self.sessions_move_from() => {
-                self.policy.session_trial
+                self.policy.session_trial_share
             }
             Phase::Trial => PerMille(0),
             _ => self.share(),
@@ -260,11 +263,11 @@
 
     /// Returns the greatest share of sessions that another gateway may send to the target by now.
     fn session_share_elsewhere(&self, now: Millis) -> PerMille {
-        let elapsed = self.elapsed(now).after(MAX_AHEAD);
+        let elapsed = self.elapsed(now).after(MAX_AGE_SKEW);
         match () {
-            () if elapsed >= self.full_from() => PerMille(1000),
-            () if elapsed >= self.part_of_window(self.policy.trial_until) => self.policy.ramp,
-            () if elapsed >= self.sessions_move_from() => self.policy.session_trial,
+            () if elapsed >= self.full_traffic_age() => PerMille(1000),
+            () if elapsed >= self.part_of_window(self.policy.trial_until) => self.policy.ramp_share,
+            () if elapsed >= self.sessions_move_from() => self.policy.session_trial_share,
             () => PerMille(0),
         }
     }
@@ -277,18 +280,18 @@
     pub fn load_trial(&self, servers: usize, now: Millis) -> Option<usize> {
         let is_load_trial = match self.phase {
             _ if !self.is_announced => false,
-            Phase::Trial => self.is_past(SESSIONS_STAY_UNTIL, now),
+            Phase::Trial => self.is_past(SESSION_MOVES_FROM, now),
             Phase::Ramp => true,
             Phase::Full | Phase::Done | Phase::RolledBack => false,
         };
-        let share = f64::from(self.policy.session_trial.max(self.share()).0) / 1000.0;
-        let count = (servers as f64 * share / self.policy.load_trial).ceil() as usize;
-        (is_load_trial && (MIN_LOAD_TRIAL..servers).contains(&count)).then_some(count)
+        let share = f64::from(self.policy.session_trial_share.max(self.share()).0) / 1000.0;
+        let count = (servers as f64 * share / self.policy.load_trial_factor).ceil() as usize;
+        (is_load_trial && (MIN_LOAD_TRIAL_SERVERS..servers).contains(&count)).then_some(count)
     }
 
     /// Returns the least age of the order at which sessions move. All other gateways know then that the first half is over.
     fn sessions_move_from(&self) -> Millis {
-        self.part_of_window(SESSIONS_STAY_UNTIL).after(MAX_AHEAD)
+        self.part_of_window(SESSION_MOVES_FROM).after(MAX_AGE_SKEW)
     }
 
     /// Chooses the version for a request; `draw` is a hash of its session, the same on all gateways, or of itself.
@@ -298,8 +301,8 @@
     /// gateway has spent its part of the allowed exposure, takes the order for younger than others may, or has just started
     /// and does not know which half it is, sessions that have moved already must be told apart from others, which only
     /// their keepers can. After a roll-back sessions must leave the target.
-    pub fn arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
-        let is_half_over = self.is_past(SESSIONS_STAY_UNTIL, now);
+    pub fn choose_arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
+        let is_half_over = self.is_past(SESSION_MOVES_FROM, now);
         let share = match affinity {
             Affinity::None => self.share(),
             Affinity::UnknownSession | Affinity::Bound(_) => self.session_share(now),
@@ -325,14 +328,14 @@
 
     /// Counts a send of a request that has `reached` a version before; returns what it has reached then.
     /// One that was ever sent to the target counts as the target's.
-    pub fn sent(&mut self, reached: Option<Arm>, arm: Arm, now: Millis) -> Arm {
+    pub fn record_send(&mut self, reached: Option<Arm>, arm: Arm, now: Millis) -> Arm {
         if reached.is_none() {
-            self.budget.reached_service(now);
+            self.budget.record_request(now);
         }
         match (reached, arm) {
             (Some(Arm::Target), _) => Arm::Target,
             (_, Arm::Target) => {
-                self.budget.reached_target();
+                self.budget.record_target_request();
                 Arm::Target
             }
             (_, Arm::Current) => Arm::Current,
@@ -340,21 +343,21 @@
     }
 
     /// Returns the time until the deadline, at most.
-    fn left(&self, now: Millis) -> Millis {
+    fn time_left(&self, now: Millis) -> Millis {
         self.order.window.since(self.elapsed(now))
     }
 
     /// Says whether the bound on the exposure leaves one more request for the target.
     fn may_expose(&self, now: Millis) -> bool {
-        let held_back = match self.phase {
-            Phase::Full => self.left(now).min(self.order.window.since(self.ends_at())),
+        let reserved_time = match self.phase {
+            Phase::Full => self.time_left(now).min(self.order.window.since(self.retire_age())),
             _ => Millis(0),
         };
-        self.left(now) == Millis(0) || self.budget.may_send(held_back, now)
+        self.time_left(now) == Millis(0) || self.budget.may_send(reserved_time, now)
     }
 
     /// Returns what this gateway has sent since the order.
-    pub fn counts(&self, now: Millis) -> Sent {
+    pub fn counts(&self, now: Millis) -> SendCounts {
         self.budget.counts(now)
     }
 
@@ -364,9 +367,9 @@
     /// All gateways together are asked. With each asking itself, the one of 28 that had the fewest requests in the
     /// last moments gave it up in a burst that it had not seen, and 1,376 of 8,460 requests went to the
     /// target where 1,299 are allowed (core/tests/exposure.rs).
-    fn is_within_exposure(&self, sent: Sent, now: Millis) -> bool {
-        let left = self.left(now);
-        left == Millis(0) || sent.leaves(left, self.policy.exposure)
+    fn allows_full_traffic(&self, sent: SendCounts, now: Millis) -> bool {
+        let left = self.time_left(now);
+        left == Millis(0) || sent.allows_full_traffic(left, self.policy.exposure)
     }
 
     fn is_past(&self, part: PerMille, now: Millis) -> bool {
@@ -381,10 +384,10 @@
     ///
     /// Both bounds on the age count. By the greatest one alone the end would come so early that the
     /// exposure does not allow it yet; by the least one a good version would be done after its deadline.
-    fn ends_at(&self) -> Millis {
-        let doubt = self.began.since(self.began_earliest);
-        let latest = self.order.window.since(doubt).since(END_MARGIN);
-        latest.min(self.part_of_window(self.policy.done_by))
+    fn retire_age(&self) -> Millis {
+        let age_uncertainty = self.latest_order.since(self.earliest_order);
+        let latest = self.order.window.since(age_uncertainty).since(RETIRE_MARGIN);
+        latest.min(self.part_of_window(self.policy.retire_at))
     }
 
     /// Returns the least age at which all traffic goes to the target: in time to be judged under it before
@@ -393,87 +396,103 @@
     /// From the clock alone, with an age known to 1.1 s, full traffic began 0.8 s before the end of the window,
     /// and good versions of fleets of 28 and 103 gateways were done after their deadlines
     /// (core/tests/exposure.rs). What it may bring is bounded by count.
-    fn full_from(&self) -> Millis {
-        self.part_of_window(self.policy.ramp_until).min(self.ends_at().since(SETTLE))
+    fn full_traffic_age(&self) -> Millis {
+        self.part_of_window(self.policy.ramp_until).min(self.retire_age().since(MIN_FULL_TRAFFIC))
     }
 
-    fn is_tried(&self, shared: &Shared) -> bool {
-        shared.total().target.good >= self.policy.min_rated
+    fn has_min_good(&self, shared: &FleetEvidence) -> bool {
+        shared.total().target.good >= self.policy.min_good
     }
 
     /// Looks at each route and at all together.
     ///
     /// A version may be bad on one route only, and its failures would drown among the answers of
     /// the others: at half of one route's answers in three, it went on into full service.
-    fn is_bad(&self, shared: &Shared, now: Millis) -> bool {
-        let is_worse = |route| self.is_worse(route, now);
-        shared.routes.iter().copied().any(is_worse) || is_worse(shared.total())
+    fn has_regressed(&self, shared: &FleetEvidence, now: Millis) -> bool {
+        let has_route_regressed = |route| self.has_route_regressed(route, now);
+        shared.routes.iter().copied().any(has_route_regressed)
+            || has_route_regressed(shared.total())
     }
 
     /// Compares with the version in service: what is wrong with both is not the target's fault. From the load trial on, nor is
     /// what only one half of its servers shows: a few servers get most of its requests then, and one of these that fails by
     /// itself would take a good version with it.
-    fn is_worse(&self, route: RouteEvidence, now: Millis) -> bool {
+    fn has_route_regressed(&self, route: RouteEvidence, now: Millis) -> bool {
         let RouteEvidence { target, current } = route;
-        let always = self.policy.allowed_failed;
-        let fails =
-            |counts: Counts, alpha| self.stops(counts.tally(), current.tally(), always, alpha);
-        let has_filled = self.is_announced && self.is_past(SESSIONS_STAY_UNTIL, now);
-        let is_silent =
-            |half: Counts| half.answers() < MIN_HALF && target.answers() >= MIN_BESIDE_SILENT;
-        let in_both = |shows: &dyn Fn(Counts) -> bool| {
-            !has_filled || target.halves().into_iter().all(|half| is_silent(half) || shows(half))
+        let base_allowed = self.policy.allowed_failures;
+        let fails = |counts: AnswerCounts, alpha| {
+            self.exceeds_failure_rate(counts.tally(), current.tally(), base_allowed, alpha)
+        };
+        let has_load_trial = self.is_announced && self.is_past(SESSION_MOVES_FROM, now);
+        let is_empty = |half: AnswerCounts| {
+            half.answers() < MIN_HALF_ANSWERS && target.answers() >= MIN_ANSWERS_BESIDE_EMPTY_HALF
+        };
+        let in_both = |shows: &dyn Fn(AnswerCounts) -> bool| {
+            !has_load_trial || target.halves().into_iter().all(|half| is_empty(half) || shows(half))
         };
-        let is_failing = fails(target, self.policy.alpha) && in_both(&|half| fails(half, SUSPECT));
-        let is_slow = target.is_slower(current) && in_both(&|half| half.looks_slower(current));
+        let is_failing =
+            fails(target, self.policy.alpha) && in_both(&|half| fails(half, ELEVATED_ALPHA));
+        let is_slow = target.is_slower(current) && in_both(&|half| half.has_longer_mean(current));
         is_failing || is_slow
     }
 
     /// Says whether failures are more than usual, though not yet beyond doubt.
-    fn is_suspect(&self, shared: &Shared) -> bool {
-        let always = self.policy.allowed_failed;
-        let is_suspect = |route: &RouteEvidence| {
-            self.stops(route.target.tally(), route.current.tally(), always, SUSPECT)
+    fn is_failure_rate_elevated(&self, shared: &FleetEvidence) -> bool {
+        let base_allowed = self.policy.allowed_failures;
+        let is_failure_rate_elevated = |route: &RouteEvidence| {
+            self.exceeds_failure_rate(
+                route.target.tally(),
+                route.current.tally(),
+                base_allowed,
+                ELEVATED_ALPHA,
+            )
         };
-        shared.routes.iter().any(is_suspect)
-    }
-
-    fn stops(&self, target: Tally, current: Tally, always: PerMille, alpha: f64) -> bool {
-        let usual = current.bad * 1000 / current.rated().max(MIN_COMPARED);
-        let allowed = always.0.max((usual * 2).min(900) as u16);
+        shared.routes.iter().any(is_failure_rate_elevated)
+    }
+
+    fn exceeds_failure_rate(
+        &self,
+        target: Tally,
+        current: Tally,
+        base_allowed: PerMille,
+        alpha: f64,
+    ) -> bool {
+        let usual = current.bad * 1000 / current.rated().max(MIN_CURRENT_ANSWERS);
+        let allowed = base_allowed.0.max((usual * 2).min(900) as u16);
         let test = SequentialTest::new(PerMille(allowed), alpha);
         test.verdict(target) == TestVerdict::Stop
     }
 
     /// Says whether a few answers under full traffic show nothing at all against the target.
-    fn looks_good(&self, target: Counts, current: Counts) -> bool {
-        let longer = |target: Times, current: Times| target.mean() - current.mean();
-        let longest = longer(target.begin, current.begin).max(longer(target.pace, current.pace));
-        target.failed <= self.policy.max_failed_due && longest <= MAX_LONGER_DUE
+    fn shows_no_regression(&self, target: AnswerCounts, current: AnswerCounts) -> bool {
+        let longer = |target: LatencySums, current: LatencySums| target.mean() - current.mean();
+        let longest = longer(target.first_byte, current.first_byte)
+            .max(longer(target.event_gap, current.event_gap));
+        target.failed <= self.policy.max_clean_failures && longest <= MAX_CLEAN_LOG_SLOWDOWN
     }
 
     /// Says whether the old version may be given up: the deadline is near, enough was seen of the target under
     /// full traffic, and the exposure allows it. On that word the old servers stop, and nothing can be rolled
     /// back any more.
-    fn may_give_up(&self, shared: &Shared, now: Millis) -> bool {
+    fn may_retire_current(&self, shared: &FleetEvidence, now: Millis) -> bool {
         let Some((since, before)) = self.full_since else { return false };
         let span = now.since(since);
         let total = shared.total();
         let counts = total.target.since(before);
         let seen = counts.answers();
-        let is_near = self.elapsed(now) >= self.ends_at();
+        let is_near = self.elapsed(now) >= self.retire_age();
         // What is late already can wait until it is sure: a service of twenty requests a second has a dozen
         // answers under full traffic in the end of a window of ten seconds, and a version that was
         // slow or failed under load went into service, with nothing left to go back to.
-        let (enough, longest) = match self.left(now) {
-            Millis(0) => (self.policy.min_full_late, self.policy.max_full_late),
-            _ if self.looks_good(counts, total.current) => {
-                (self.policy.min_full_due, self.policy.max_full)
+        let (enough, longest) = match self.time_left(now) {
+            Millis(0) => (self.policy.min_overdue_answers, self.policy.max_overdue_wait),
+            _ if self.shows_no_regression(counts, total.current) => {
+                (self.policy.min_clean_answers, self.policy.max_full_wait)
             }
-            _ => (self.policy.min_full, self.policy.max_full),
+            _ => (self.policy.min_full_answers, self.policy.max_full_wait),
         };
-        let is_enough = seen >= enough && !self.is_suspect(shared);
+        let is_enough = seen >= enough && !self.is_failure_rate_elevated(shared);
         let is_seen = is_enough || span >= longest;
-        span >= SETTLE && is_near && is_seen && self.is_within_exposure(shared.sent, now)
+        span >= MIN_FULL_TRAFFIC && is_near && is_seen && self.allows_full_traffic(shared.sent, now)
     }
 }
--- a/core/src/serving/canary_policy.rs
+++ b/core/src/serving/canary_policy.rs
@@ -8,41 +8,41 @@
     /// Share of the requests in the window that a bad version may get.
     pub exposure: PerMille,
     /// Share of the requests in the trial.
-    pub trial: PerMille,
+    pub trial_share: PerMille,
     /// Share of the sessions that are tried, from the middle of the window on.
-    pub session_trial: PerMille,
+    pub session_trial_share: PerMille,
     /// Share in the ramp.
-    pub ramp: PerMille,
+    pub ramp_share: PerMille,
     /// Requests that a server gets in the load trial, as a multiple of those that it would get with all of the traffic.
-    pub load_trial: f64,
+    pub load_trial_factor: f64,
     /// Part of the window that the trial takes.
     pub trial_until: PerMille,
     /// Part of the window at which the ramp ends.
     pub ramp_until: PerMille,
     /// Part of the window, by the least age of the order, at which the old version is given up.
-    pub done_by: PerMille,
+    pub retire_at: PerMille,
     /// Good answers without which the trial goes on.
-    pub min_rated: u64,
+    pub min_good: u64,
     /// Answers under full traffic without which the old version is not given up.
-    pub min_full: u64,
+    pub min_full_answers: u64,
     /// Such answers where these show nothing against the target.
-    pub min_full_due: u64,
+    pub min_clean_answers: u64,
     /// Failures that these may have.
-    pub max_failed_due: u64,
+    pub max_clean_failures: u64,
     /// Time under full traffic after which fewer are enough.
-    pub max_full: Millis,
+    pub max_full_wait: Millis,
     /// Such answers once the window is over.
-    pub min_full_late: u64,
+    pub min_overdue_answers: u64,
     /// Such a time once the window is over.
-    pub max_full_late: Millis,
+    pub max_overdue_wait: Millis,
     /// Share of failures that is always allowed.
-    pub allowed_failed: PerMille,
+    pub allowed_failures: PerMille,
     /// Probability with which a good version is rolled back, at most.
     pub alpha: f64,
 }
 
 /// Part of the allowed exposure that the time of full traffic may take.
-const FULL_PART: f64 = 0.8;
+const FULL_TRAFFIC_PART: f64 = 0.8;
 
 /// Share of the trial, as a part of the allowed exposure.
 const TRIAL_PART: f64 = 0.15;
@@ -64,34 +64,34 @@
     ///
     /// ```
     /// let policy = redwingfold_core::CanaryPolicy::for_exposure(0.15);
-    /// assert!(policy.ramp_until.0 == 880 && policy.trial.0 == 22);
+    /// assert!(policy.ramp_until.0 == 880 && policy.trial_share.0 == 22);
     /// ```
     pub fn for_exposure(exposure: f64) -> Self {
         let per_mille = |share: f64| PerMille((share.clamp(0.0, 1.0) * 1000.0) as u16);
         Self {
             exposure: per_mille(exposure),
-            trial: per_mille(exposure * TRIAL_PART),
-            session_trial: per_mille(exposure * SESSION_TRIAL_PART),
-            ramp: per_mille(exposure * RAMP_PART),
-            load_trial: 2.0,
+            trial_share: per_mille(exposure * TRIAL_PART),
+            session_trial_share: per_mille(exposure * SESSION_TRIAL_PART),
+            ramp_share: per_mille(exposure * RAMP_PART),
+            load_trial_factor: 2.0,
             trial_until: PerMille(800),
-            ramp_until: per_mille(1.0 - exposure * FULL_PART),
-            done_by: PerMille(955),
-            min_rated: 3,
+            ramp_until: per_mille(1.0 - exposure * FULL_TRAFFIC_PART),
+            retire_at: PerMille(955),
+            min_good: 3,
             // A version that fails one in six under load shows it in these with near certainty.
-            min_full: 70,
+            min_full_answers: 70,
             // The end of the window is near, and a service of thirty requests a second has seventy answers
             // just after it: none of a hundred played good versions whose order was read 0.6 s late was done
             // in time, and with these all are. Of 400 that fail one in six under load one came into service,
             // of 400 half of whose answers are then eight times as slow none.
-            min_full_due: 45,
-            max_failed_due: 1,
-            max_full: Millis(6_000),
+            min_clean_answers: 45,
+            max_clean_failures: 1,
+            max_full_wait: Millis(6_000),
             // Half a service's answers that are eight times as slow are proved by some fifty, and the
             // slowest of services here has twenty a second.
-            min_full_late: 300,
-            max_full_late: Millis(20_000),
-            allowed_failed: PerMille(20),
+            min_overdue_answers: 300,
+            max_overdue_wait: Millis(20_000),
+            allowed_failures: PerMille(20),
             alpha: 0.01,
         }
     }
--- a/core/src/serving/catalog.rs
+++ b/core/src/serving/catalog.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 use std::rc::Rc;
 
+use super::allowed_regions::AllowedRegions;
 use super::cold::ColdLimit;
-use super::homes::Homes;
 use crate::ids::{CustomerName, Millis, ModelName};
 
 macro_rules! text_type {
@@ -64,16 +64,16 @@
     /// Whether another backend server may go on after the last event that the caller has.
     pub resumable: bool,
     /// Longest pause between events with which an answer is still in time.
-    pub gap: Millis,
+    pub max_gap: Millis,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may run any number of times.
     Idempotent,
     /// It may run once at most.
-    Never,
+    NonIdempotent,
 }
 
 /// Where requests of a host and path prefix go, and how.
@@ -86,13 +86,13 @@
     /// Prefix of the path, with a slash at both ends.
     pub prefix: String,
     /// Whether a request may run more than once.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Rules of the stream, if answers are streamed.
     pub stream: Option<StreamRules>,
     /// Longest time until the final answer.
     pub timeout: Option<Millis>,
     /// Time within which an answer (a stream's first event) should come.
-    pub aim: Millis,
+    pub latency_target: Millis,
     /// Rank among routes.
     pub priority: Priority,
     /// Services that take the requests, each with its weight.
@@ -104,12 +104,12 @@
     /// Models that the gateway may choose from, the smallest first; empty if callers choose.
     pub sizes: Vec<ModelName>,
     /// Regions in which requests may run.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
     /// Chooses a service by weight; `draw` is a random number.
-    pub fn target(&self, draw: u64) -> Option<&ServiceName> {
+    pub fn choose_service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         if total == 0 {
             return self.targets.first().map(|(name, _)| name);
@@ -144,7 +144,7 @@
     /// Rank; goes before that of a route.
     pub priority: Option<Priority>,
     /// Regions in which its requests may run, beside those of the route.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// What callers may send, and how long they may take.
@@ -180,18 +180,19 @@
 struct HostRoutes {
     by_prefix: HashMap<String, Rc<Route>>,
     /// Length of the longest prefix: a path of thousands of slashes costs no more lookups than that.
-    longest: usize,
+    longest_prefix: usize,
 }
 
 impl HostRoutes {
     fn add(&mut self, route: Rc<Route>) {
-        self.longest = self.longest.max(route.prefix.len());
+        self.longest_prefix = self.longest_prefix.max(route.prefix.len());
         self.by_prefix.entry(route.prefix.clone()).or_insert(route);
     }
 
-    fn longest_of(&self, path: &str) -> Option<&Rc<Route>> {
+    fn longest_match(&self, path: &str) -> Option<&Rc<Route>> {
         let slashes = path.rmatch_indices('/').map(|(at, _)| at + 1);
-        let mut prefixes = slashes.filter(|len| *len <= self.longest).map(|len| &path[..len]);
+        let mut prefixes =
+            slashes.filter(|len| *len <= self.longest_prefix).map(|len| &path[..len]);
         prefixes.find_map(|prefix| self.by_prefix.get(prefix))
     }
 }
@@ -242,7 +243,7 @@
             Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
             _ => host,
         };
-        self.routes.get(&host.to_ascii_lowercase())?.longest_of(path)
+        self.routes.get(&host.to_ascii_lowercase())?.longest_match(path)
     }
 
     /// Says whether requests need a customer's key, unless their route is public.
--- a/core/src/serving/cold.rs
+++ b/core/src/serving/cold.rs
@@ -6,39 +6,40 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
     /// Time for which a server is cold after its start.
-    pub lasts: Millis,
+    pub duration: Millis,
     /// Requests a second that it bears on average.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// How near to what cold servers bear all gateways together come.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdPolicy {
     /// Most requests within a second, as a multiple of those that a server bears on average.
-    pub over: f64,
+    pub peak_factor: f64,
     /// Requests beyond that.
-    pub slack: f64,
+    pub peak_slack: f64,
     /// Part of the average that is sent: gateways that do not know of each other send more.
-    pub mean_part: f64,
+    pub mean_share: f64,
     /// Part of the most that is sent on average: turns are drawn, so that more of them come in some seconds.
-    pub most_part: f64,
+    pub peak_share: f64,
 }
 
 impl Default for ColdPolicy {
     fn default() -> Self {
-        Self { over: 1.0, slack: 0.0, mean_part: 0.5, most_part: 0.25 }
+        Self { peak_factor: 1.0, peak_slack: 0.0, mean_share: 0.5, peak_share: 0.25 }
     }
 }
 
 impl ColdPolicy {
     /// Returns the most requests that a cold server may get within any second.
-    pub fn most(&self, limit: ColdLimit) -> f64 {
-        limit.per_s * self.over + self.slack
+    pub fn max_per_second(&self, limit: ColdLimit) -> f64 {
+        limit.requests_per_s * self.peak_factor + self.peak_slack
     }
 
     /// Returns the requests a second that all gateways together send to a cold server.
     pub fn rate(&self, limit: ColdLimit) -> RequestRate {
-        let per_second = (limit.per_s * self.mean_part).min(self.most(limit) * self.most_part);
+        let per_second = (limit.requests_per_s * self.mean_share)
+            .min(self.max_per_second(limit) * self.peak_share);
         RequestRate::new(per_second).unwrap_or_default()
     }
 }
--- a/core/src/serving/evacuations.rs
+++ b/core/src/serving/evacuations.rs
@@ -5,10 +5,10 @@
 use crate::ids::{FailureDomain, Millis};
 
 /// Time for which the end of an order is remembered: servers are cold for seconds after it.
-const ENDED_KEPT: Millis = Millis(60_000);
+const RETURNED_RETENTION: Millis = Millis(60_000);
 
 /// Time that the operator has to write an order again which a store from an older copy lacks.
-const REWRITTEN_WITHIN: Millis = Millis(10_000);
+const REWRITE_GRACE: Millis = Millis(10_000);
 
 /// Something that changed.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -45,33 +45,33 @@
 struct Order {
     since: Millis,
     /// When it ends if it is not written again.
-    ends_at: Option<Millis>,
+    expires_at: Option<Millis>,
 }
 
 impl Evacuations {
     /// Takes an order.
-    pub fn order(&mut self, domain: &FailureDomain, now: Millis) -> Option<EvacuationChange> {
+    pub fn add_order(&mut self, domain: &FailureDomain, now: Millis) -> Option<EvacuationChange> {
         let is_new = !self.emptied.contains_key(domain);
         let order = self.emptied.entry(domain.clone());
-        order.or_insert(Order { since: now, ends_at: None }).ends_at = None;
+        order.or_insert(Order { since: now, expires_at: None }).expires_at = None;
         is_new.then(|| EvacuationChange::Emptied(domain.clone()))
     }
 
     /// Takes the end of an order.
-    pub fn take_back(&mut self, domain: &FailureDomain, now: Millis) -> Option<EvacuationChange> {
+    pub fn end_order(&mut self, domain: &FailureDomain, now: Millis) -> Option<EvacuationChange> {
         self.emptied.remove(domain)?;
-        self.returned.retain(|_, at| now.since(*at) < ENDED_KEPT);
+        self.returned.retain(|_, at| now.since(*at) < RETURNED_RETENTION);
         self.returned.insert(domain.clone(), now);
         Some(EvacuationChange::Returned(domain.clone()))
     }
 
     /// Takes all orders that stand.
     pub fn replace(&mut self, orders: &[FailureDomain], now: Millis) -> Vec<EvacuationChange> {
-        let is_kept = |order: &Order| order.ends_at.is_some_and(|at| now < at);
-        let mut ended = self.unlisted(orders);
-        ended.retain(|domain| !self.emptied.get(domain).is_some_and(is_kept));
-        let mut changes: Vec<_> = orders.iter().filter_map(|d| self.order(d, now)).collect();
-        changes.extend(ended.iter().filter_map(|d| self.take_back(d, now)));
+        let is_in_grace = |order: &Order| order.expires_at.is_some_and(|at| now < at);
+        let mut missing = self.unlisted(orders);
+        missing.retain(|domain| !self.emptied.get(domain).is_some_and(is_in_grace));
+        let mut changes: Vec<_> = orders.iter().filter_map(|d| self.add_order(d, now)).collect();
+        changes.extend(missing.iter().filter_map(|d| self.end_order(d, now)));
         changes
     }
 
@@ -84,10 +84,10 @@
         for domain in self.unlisted(orders) {
             let order = self.emptied.get_mut(&domain);
             order.into_iter().for_each(|order| {
-                order.ends_at.get_or_insert(now.after(REWRITTEN_WITHIN));
+                order.expires_at.get_or_insert(now.after(REWRITE_GRACE));
             });
         }
-        orders.iter().filter_map(|domain| self.order(domain, now)).collect()
+        orders.iter().filter_map(|domain| self.add_order(domain, now)).collect()
     }
 
     fn unlisted(&self, orders: &[FailureDomain]) -> Vec<FailureDomain> {
@@ -96,11 +96,11 @@
 
     /// Ends the orders that were not written again in time.
     pub fn expire(&mut self, now: Millis) -> Vec<EvacuationChange> {
-        let is_over = |order: &Order| order.ends_at.is_some_and(|at| now >= at);
+        let is_over = |order: &Order| order.expires_at.is_some_and(|at| now >= at);
         let over = self.emptied.iter().filter(|(_, order)| is_over(order));
         let over: Vec<_> = over.map(|(domain, _)| domain.clone()).collect();
-        self.returned.retain(|_, at| now.since(*at) < ENDED_KEPT);
-        over.iter().filter_map(|domain| self.take_back(domain, now)).collect()
+        self.returned.retain(|_, at| now.since(*at) < RETURNED_RETENTION);
+        over.iter().filter_map(|domain| self.end_order(domain, now)).collect()
     }
 
     /// Says whether a domain gets no new work.
--- a/core/src/serving/events.rs
+++ b/core/src/serving/events.rs
@@ -51,7 +51,7 @@
     /// let mut events = EventSplitter::after(None);
     /// let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
     /// assert_eq!((whole.count, events.last()), (1, Some(EventId(1))));
-    /// assert!(events.is_inside_event());
+    /// assert!(events.has_partial());
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
         self.pending.extend_from_slice(bytes);
@@ -78,17 +78,17 @@
     }
 
     /// Says whether the beginning of an event is held back.
-    pub fn is_inside_event(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Forgets the piece of an event that its server did not finish.
-    pub fn drop_piece(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
     /// Returns the bytes that are held back, for a stream that ended with no event around them.
-    pub fn take_piece(&mut self) -> Vec<u8> {
+    pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 }
--- a/core/src/serving/exposure.rs
+++ b/core/src/serving/exposure.rs
@@ -4,11 +4,11 @@
 
 /// Time over which a gateway counts its requests for their rate: longer ones see a burst too late, and
 /// in shorter ones a gateway of a large fleet has a request or two.
-const RATE_SPAN: Millis = Millis(500);
+const RATE_WINDOW: Millis = Millis(500);
 
 /// What was sent in a roll-out since its order, by one gateway or by several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sent {
+pub struct SendCounts {
     /// Requests that reached the service.
     pub all: u64,
     /// Those that reached the target.
@@ -17,7 +17,7 @@
     pub per_s: f64,
 }
 
-impl Sent {
+impl SendCounts {
     /// Adds what others have sent.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
@@ -31,12 +31,12 @@
     /// Says whether all requests may go to the target for a time, within an allowed share.
     ///
     /// ```
-    /// use redwingfold_core::{Millis, PerMille, Sent};
-    /// let sent = Sent { all: 1_000, target: 10, per_s: 50.0 };
-    /// assert!(sent.leaves(Millis(1_000), PerMille(100)));
-    /// assert!(!sent.leaves(Millis(3_000), PerMille(100)));
+    /// use redwingfold_core::{Millis, PerMille, SendCounts};
+    /// let sent = SendCounts { all: 1_000, target: 10, per_s: 50.0 };
+    /// assert!(sent.allows_full_traffic(Millis(1_000), PerMille(100)));
+    /// assert!(!sent.allows_full_traffic(Millis(3_000), PerMille(100)));
     /// ```
-    pub fn leaves(self, time: Millis, share: PerMille) -> bool {
+    pub fn allows_full_traffic(self, time: Millis, share: PerMille) -> bool {
         let share = f64::from(share.0) / 1000.0;
         self.target as f64 + reserve(self.per_s, time, share) <= share * self.all as f64
     }
@@ -72,9 +72,9 @@
     all: u64,
     target: u64,
     since: Option<Millis>,
-    span_began: Millis,
-    in_span: u64,
-    in_last_span: u64,
+    window_start: Millis,
+    window_requests: u64,
+    previous_window_requests: u64,
 }
 
 impl ExposureBudget {
@@ -84,7 +84,7 @@
     /// use redwingfold_core::{ExposureBudget, Millis, PerMille};
     /// let mut budget = ExposureBudget::new(PerMille(100), u64::MAX / 2);
     /// assert!(!budget.may_send(Millis(0), Millis(0)));
-    /// (0..20).for_each(|n| budget.reached_service(Millis(n * 100)));
+    /// (0..20).for_each(|n| budget.record_request(Millis(n * 100)));
     /// budget.reached_target();
     /// let now = Millis(2_000);
     /// assert!(budget.may_send(Millis(0), now) && !budget.may_send(Millis(500), now));
@@ -96,59 +96,59 @@
             all: 0,
             target: 0,
             since: None,
-            span_began: Millis(0),
-            in_span: 0,
-            in_last_span: 0,
+            window_start: Millis(0),
+            window_requests: 0,
+            previous_window_requests: 0,
         }
     }
 
     /// Counts a request that is sent to the service for the first time.
-    pub fn reached_service(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.since.get_or_insert(now);
-        self.turn(now);
+        self.rotate_window(now);
         self.all += 1;
-        self.in_span += 1;
+        self.window_requests += 1;
     }
 
     /// Counts a request that is sent to the target for the first time.
-    pub fn reached_target(&mut self) {
+    pub fn record_target_request(&mut self) {
         self.target += 1;
     }
 
     /// Says whether one more request may go to the target, while so much is held back that afterwards all
     /// may go there for a time.
-    pub fn may_send(&self, held_back: Millis, now: Millis) -> bool {
-        let held_back = reserve(self.per_s(now), held_back, self.share);
+    pub fn may_send(&self, reserved_time: Millis, now: Millis) -> bool {
+        let reserved_time = reserve(self.per_s(now), reserved_time, self.share);
         let allowed = self.share * (self.all + 1) as f64 + self.rounding;
-        (self.target + 1) as f64 + held_back <= allowed
+        (self.target + 1) as f64 + reserved_time <= allowed
     }
 
     /// Returns what this gateway has sent.
-    pub fn counts(&self, now: Millis) -> Sent {
-        Sent { all: self.all, target: self.target, per_s: self.per_s(now) }
+    pub fn counts(&self, now: Millis) -> SendCounts {
+        SendCounts { all: self.all, target: self.target, per_s: self.per_s(now) }
     }
 
     fn per_s(&self, now: Millis) -> f64 {
         let Some(since) = self.since else { return 0.0 };
         let per_s = |requests: u64, span: Millis| requests as f64 * 1000.0 / span.0 as f64;
-        let last = match now.since(self.span_began) {
-            span if span < RATE_SPAN => {
-                per_s(self.in_last_span + self.in_span, span.after(RATE_SPAN))
+        let last = match now.since(self.window_start) {
+            span if span < RATE_WINDOW => {
+                per_s(self.previous_window_requests + self.window_requests, span.after(RATE_WINDOW))
             }
-            span => per_s(self.in_span, span),
+            span => per_s(self.window_requests, span),
         };
-        last.max(per_s(self.all, now.since(since).max(RATE_SPAN)))
+        last.max(per_s(self.all, now.since(since).max(RATE_WINDOW)))
     }
 
     /// Begins a new span if the present one is over.
-    fn turn(&mut self, now: Millis) {
-        let span = now.since(self.span_began);
-        if span < RATE_SPAN {
+    fn rotate_window(&mut self, now: Millis) {
+        let span = now.since(self.window_start);
+        if span < RATE_WINDOW {
             return;
         }
-        let is_next = span.0 < 2 * RATE_SPAN.0;
-        self.in_last_span = if is_next { self.in_span } else { 0 };
-        self.in_span = 0;
-        self.span_began = if is_next { self.span_began.after(RATE_SPAN) } else { now };
+        let is_next = span.0 < 2 * RATE_WINDOW.0;
+        self.previous_window_requests = if is_next { self.window_requests } else { 0 };
+        self.window_requests = 0;
+        self.window_start = if is_next { self.window_start.after(RATE_WINDOW) } else { now };
     }
 }
--- a/core/src/serving/feed.rs
+++ b/core/src/serving/feed.rs
@@ -6,7 +6,7 @@
 
 /// What a gateway tells of its last read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct FeedTold {
+pub struct FeedUpdate {
     /// Offset from which the changes are told.
     pub from: u64,
     /// Offset at which the feed ended.
@@ -17,15 +17,15 @@
 
 /// What a message of another gateway is good for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FeedHeard {
+pub enum FeedUpdateOutcome {
     /// It goes on from what is known here: its changes are taken.
     Applies,
     /// It confirms what is known here.
     Confirms,
     /// It shows that something was missed: this gateway reads itself.
-    Missed,
+    Gap,
     /// It says nothing new.
-    Old,
+    Stale,
 }
 
 /// How far a gateway knows a feed, and as of when.
@@ -45,22 +45,22 @@
     fleet: usize,
     next: Option<u64>,
     /// Offset up to which the feed was ever known.
-    reached: Option<u64>,
-    fresh_at: Millis,
-    patience: Millis,
+    highest_next: Option<u64>,
+    known_as_of: Millis,
+    refresh_interval: Millis,
 }
 
 impl FeedView {
     /// Makes the view of a feed of which nothing is known; it is read once in `period` at least.
     ///
     /// ```
-    /// use redwingfold_core::{FeedHeard, FeedTold, FeedView, Millis};
+    /// use redwingfold_core::{FeedUpdateOutcome, FeedUpdate, FeedView, Millis};
     /// let mut view = FeedView::new(Millis(500));
     /// assert!(view.is_due(Millis(0)));
-    /// view.read(Millis(0), 7, 0);
+    /// view.record_read(Millis(0), 7, 0);
     /// assert!(!view.is_due(Millis(499)));
-    /// let message = FeedTold { from: 7, next: 9, age: Millis(10) };
-    /// assert_eq!(view.hear(message, Millis(500), 0), FeedHeard::Applies);
+    /// let message = FeedUpdate { from: 7, next: 9, age: Millis(10) };
+    /// assert_eq!(view.apply_update(message, Millis(500), 0), FeedUpdateOutcome::Applies);
     /// assert!(!view.is_due(Millis(800)) && view.is_due(Millis(990)));
     /// ```
     pub fn new(period: Millis) -> Self {
@@ -68,19 +68,19 @@
             period,
             fleet: 1,
             next: None,
-            reached: None,
-            fresh_at: Millis(0),
-            patience: Millis(0),
+            highest_next: None,
+            known_as_of: Millis(0),
+            refresh_interval: Millis(0),
         }
     }
 
     /// Notes how many gateways read this feed, this one included.
-    pub fn share_with(&mut self, fleet: usize) {
+    pub fn set_fleet_size(&mut self, fleet: usize) {
         self.fleet = fleet.max(1);
     }
 
     /// Returns how many gateways read this feed, this one included.
-    pub fn fleet(&self) -> usize {
+    pub fn fleet_size(&self) -> usize {
         self.fleet
     }
 
@@ -93,8 +93,8 @@
     ///
     /// A gateway that has lost it asks only those that know more. With nothing to compare, two that knew the same
     /// asked each other three times a second, and neither read the store's list for 20 s.
-    pub fn reached(&self) -> Option<u64> {
-        self.reached
+    pub fn highest_next(&self) -> Option<u64> {
+        self.highest_next
     }
 
     /// Returns as of when the feed was last known, if it ever was.
@@ -103,60 +103,65 @@
     /// younger than what was known before. Without that bound such an order was taken for just given, and
     /// a good version was done after its deadline.
     pub fn as_of(&self) -> Option<Millis> {
-        (self.fresh_at > Millis(0)).then_some(self.fresh_at)
+        (self.known_as_of > Millis(0)).then_some(self.known_as_of)
     }
 
     /// Says whether this gateway should read.
     pub fn is_due(&self, now: Millis) -> bool {
-        self.next.is_none() || now.since(self.fresh_at) >= self.patience
+        self.next.is_none() || now.since(self.known_as_of) >= self.refresh_interval
     }
 
     /// Takes an own read that began at `began`; `draw` is a random number.
-    pub fn read(&mut self, began: Millis, next: u64, draw: u64) {
+    pub fn record_read(&mut self, began: Millis, next: u64, draw: u64) {
         self.next = Some(next);
-        self.reached = self.reached.max(self.next);
+        self.highest_next = self.highest_next.max(self.next);
         self.refresh(began, draw);
     }
 
     /// Forgets how far the feed is known, because it no longer keeps what comes next.
-    pub fn lose(&mut self) {
+    pub fn clear_offset(&mut self) {
         self.next = None;
     }
 
     /// Takes another gateway's message; `draw` is a random number.
-    pub fn hear(&mut self, told: FeedTold, now: Millis, draw: u64) -> FeedHeard {
-        let as_of = Millis(now.0.saturating_sub(told.age.0));
+    pub fn apply_update(
+        &mut self,
+        update: FeedUpdate,
+        now: Millis,
+        draw: u64,
+    ) -> FeedUpdateOutcome {
+        let as_of = Millis(now.0.saturating_sub(update.age.0));
         match self.next {
-            None => FeedHeard::Old,
-            Some(own) if own > told.next => FeedHeard::Old,
-            Some(own) if own == told.next => {
+            None => FeedUpdateOutcome::Stale,
+            Some(own) if own > update.next => FeedUpdateOutcome::Stale,
+            Some(own) if own == update.next => {
                 self.refresh(as_of, draw);
-                FeedHeard::Confirms
+                FeedUpdateOutcome::Confirms
             }
-            Some(own) if own >= told.from => {
-                self.next = Some(told.next);
-                self.reached = self.reached.max(self.next);
+            Some(own) if own >= update.from => {
+                self.next = Some(update.next);
+                self.highest_next = self.highest_next.max(self.next);
                 self.refresh(as_of, draw);
-                FeedHeard::Applies
+                FeedUpdateOutcome::Applies
             }
             Some(_) => {
-                self.patience = Millis(0);
-                FeedHeard::Missed
+                self.refresh_interval = Millis(0);
+                FeedUpdateOutcome::Gap
             }
         }
     }
 
     fn refresh(&mut self, as_of: Millis, draw: u64) {
-        if as_of >= self.fresh_at {
-            self.fresh_at = as_of;
-            self.patience = self.period.after(wait(self.period, self.fleet, draw));
+        if as_of >= self.known_as_of {
+            self.known_as_of = as_of;
+            self.refresh_interval = self.period.after(random_wait(self.period, self.fleet, draw));
         }
     }
 }
 
 /// Length of an answer from which on it pays to ask for the newest of each key instead: below it a second
 /// call takes longer than the bytes that it saves.
-const LONG_ANSWER: u64 = 64 * 1024;
+const MIN_COMPACTED_READ_BYTES: u64 = 64 * 1024;
 
 /// Says whether the newest record of each key is shorter than all records since the last read.
 ///
@@ -165,12 +170,12 @@
 /// `behind` is the number of records that are due, `bytes` the length of the answer that brings them.
 ///
 /// ```
-/// use redwingfold_core::is_newest_shorter;
-/// assert!(is_newest_shorter(2, 600_000));
-/// assert!(!is_newest_shorter(1, 600_000) && !is_newest_shorter(20, 9_000));
+/// use redwingfold_core::is_compacted_read_shorter;
+/// assert!(is_compacted_read_shorter(2, 600_000));
+/// assert!(!is_compacted_read_shorter(1, 600_000) && !is_compacted_read_shorter(20, 9_000));
 /// ```
-pub fn is_newest_shorter(behind: u64, bytes: u64) -> bool {
-    behind > 1 && bytes >= LONG_ANSWER
+pub fn is_compacted_read_shorter(behind: u64, bytes: u64) -> bool {
+    behind > 1 && bytes >= MIN_COMPACTED_READ_BYTES
 }
 
 /// What the last reads of a feed brought, to be told again with each message.
@@ -179,7 +184,7 @@
 /// Among hundreds of gateways somebody always did: with one message in fifty lost, 330 of them read
 /// eight times as often as one. A message that also tells what the two before it did bridges the gap.
 #[derive(Clone, Debug)]
-pub struct FeedPast<C> {
+pub struct FeedHistory<C> {
     reads: VecDeque<PastRead<C>>,
     max_changes: usize,
 }
@@ -192,17 +197,17 @@
 }
 
 /// Reads that a message tells of: two lost ones in a row are rare enough to be read.
-const TOLD_READS: usize = 3;
+const MAX_HISTORY_READS: usize = 3;
 
-impl<C: Clone> FeedPast<C> {
+impl<C: Clone> FeedHistory<C> {
     /// Makes an empty past of which at most `max_changes` are told.
     ///
     /// ```
-    /// use redwingfold_core::FeedPast;
-    /// let mut past = FeedPast::new(8);
+    /// use redwingfold_core::FeedHistory;
+    /// let mut past = FeedHistory::new(8);
     /// past.add(10, 12, vec!["a"]);
     /// past.add(12, 13, vec!["b"]);
-    /// assert_eq!(past.told(), Some((10, vec!["a", "b"])));
+    /// assert_eq!(past.recent_changes(), Some((10, vec!["a", "b"])));
     /// ```
     pub fn new(max_changes: usize) -> Self {
         Self { reads: VecDeque::new(), max_changes }
@@ -216,7 +221,7 @@
         self.reads.push_back(PastRead { from, next, changes });
         let is_long = |reads: &VecDeque<PastRead<C>>| {
             let changes: usize = reads.iter().map(|read| read.changes.len()).sum();
-            reads.len() > TOLD_READS || changes > self.max_changes
+            reads.len() > MAX_HISTORY_READS || changes > self.max_changes
         };
         while is_long(&self.reads) {
             self.reads.pop_front();
@@ -224,7 +229,7 @@
     }
 
     /// Returns the offset from which changes can be told, and the changes since.
-    pub fn told(&self) -> Option<(u64, Vec<C>)> {
+    pub fn recent_changes(&self) -> Option<(u64, Vec<C>)> {
         let from = self.reads.front()?.from;
         Some((from, self.reads.iter().flat_map(|read| read.changes.iter().cloned()).collect()))
     }
@@ -235,9 +240,9 @@
 /// The time from `t` to `t + dt` is drawn with a density of `exp(lambda * t / most)`. With `lambda` of
 /// one more than the logarithm of the fleet's size, about one gateway is expected in the first part
 /// of the time, whatever that size is.
-pub(crate) fn wait(most: Millis, fleet: usize, draw: u64) -> Millis {
+pub(crate) fn random_wait(max: Millis, fleet: usize, draw: u64) -> Millis {
     let lambda = (fleet.max(1) as f64).ln() + 1.0;
-    let even = draw as f64 / u64::MAX as f64;
-    let part = (even * lambda.exp_m1()).ln_1p() / lambda;
-    Millis((part * most.0 as f64) as u64)
+    let uniform = draw as f64 / u64::MAX as f64;
+    let part = (uniform * lambda.exp_m1()).ln_1p() / lambda;
+    Millis((part * max.0 as f64) as u64)
 }
--- a/core/src/serving/health.rs
+++ b/core/src/serving/health.rs
@@ -15,17 +15,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HealthPolicy {
     /// Answers lost in a row after which a server is left out.
-    pub lost_in_a_row: u32,
+    pub max_consecutive_lost: u32,
     /// Smoothed share of failures from which a server is left out.
-    pub max_failing: f64,
+    pub max_failure_rate: f64,
     /// Answers that are needed before the share counts.
     pub min_answers: u32,
     /// First time out; it doubles with each one that follows.
-    pub first_out: Millis,
+    pub base_ejection: Millis,
     /// Longest time out.
-    pub max_out: Millis,
+    pub max_ejection: Millis,
     /// Largest share of a service's servers that is left out at a time.
-    pub max_out_share: f64,
+    pub max_ejected_share: f64,
 }
 
 impl Default for HealthPolicy {
@@ -35,40 +35,40 @@
     /// gateway's requests.
     fn default() -> Self {
         Self {
-            lost_in_a_row: 3,
-            max_failing: 0.42,
+            max_consecutive_lost: 3,
+            max_failure_rate: 0.42,
             min_answers: 5,
-            first_out: Millis(1_000),
-            max_out: Millis(8_000),
-            max_out_share: 0.5,
+            base_ejection: Millis(1_000),
+            max_ejection: Millis(8_000),
+            max_ejected_share: 0.5,
         }
     }
 }
 
 /// Part of the bar at which the share of failures begins anew after a time out.
-const RETURN_AT: f64 = 0.6;
+const RETURN_FACTOR: f64 = 0.6;
 
 /// Weight of the newest answer in the smoothed share: about the last eight count.
-const NEWEST: f64 = 0.12;
+const NEWEST_WEIGHT: f64 = 0.12;
 
 /// What the answers of one server say of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerHealth {
-    failing: f64,
+    failure_rate: f64,
     answers: u32,
-    in_a_row: u32,
-    times_out: u32,
-    out_until: Millis,
+    consecutive_lost: u32,
+    ejections: u32,
+    ejected_until: Millis,
 }
 
 impl ServerHealth {
     /// Counts a good answer.
-    pub fn good(&mut self) {
-        self.failing *= 1.0 - NEWEST;
+    pub fn record_success(&mut self) {
+        self.failure_rate *= 1.0 - NEWEST_WEIGHT;
         self.answers = self.answers.saturating_add(1);
-        self.in_a_row = 0;
-        if self.failing < NEWEST {
-            self.times_out = 0;
+        self.consecutive_lost = 0;
+        if self.failure_rate < NEWEST_WEIGHT {
+            self.ejections = 0;
         }
     }
 
@@ -79,34 +79,36 @@
     /// let (policy, mut health) = (HealthPolicy::default(), ServerHealth::default());
     /// health.bad(Fault::Lost, &policy, Millis(0));
     /// health.bad(Fault::Lost, &policy, Millis(1));
-    /// assert!(health.bad(Fault::Lost, &policy, Millis(2)));
-    /// assert!(health.is_out(Millis(900)) && !health.is_out(Millis(1_002)));
+    /// assert!(health.record_failure(Fault::Lost, &policy, Millis(2)));
+    /// assert!(health.is_ejected(Millis(900)) && !health.is_ejected(Millis(1_002)));
     /// ```
-    pub fn bad(&mut self, fault: Fault, policy: &HealthPolicy, now: Millis) -> bool {
-        self.failing = self.failing * (1.0 - NEWEST) + NEWEST;
+    pub fn record_failure(&mut self, fault: Fault, policy: &HealthPolicy, now: Millis) -> bool {
+        self.failure_rate = self.failure_rate * (1.0 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
         self.answers = self.answers.saturating_add(1);
-        self.in_a_row = if fault == Fault::Lost { self.in_a_row + 1 } else { 0 };
-        let is_lost = self.in_a_row >= policy.lost_in_a_row;
-        let is_failing = self.answers >= policy.min_answers && self.failing >= policy.max_failing;
-        if self.is_out(now) || !(is_failing || is_lost) {
+        self.consecutive_lost = if fault == Fault::Lost { self.consecutive_lost + 1 } else { 0 };
+        let is_lost = self.consecutive_lost >= policy.max_consecutive_lost;
+        let is_failing =
+            self.answers >= policy.min_answers && self.failure_rate >= policy.max_failure_rate;
+        if self.is_ejected(now) || !(is_failing || is_lost) {
             return false;
         }
-        let span = policy.first_out.0 << self.times_out.min(8);
-        self.out_until = now.after(Millis(span.min(policy.max_out.0)));
-        self.times_out += 1;
-        self.failing = self.failing.min(policy.max_failing * RETURN_AT);
+        let span = policy.base_ejection.0 << self.ejections.min(8);
+        self.ejected_until = now.after(Millis(span.min(policy.max_ejection.0)));
+        self.ejections += 1;
+        self.failure_rate = self.failure_rate.min(policy.max_failure_rate * RETURN_FACTOR);
         // One that was lost is left out again after one more; a good answer clears the row.
-        self.in_a_row = if is_lost { policy.lost_in_a_row.saturating_sub(1) } else { 0 };
+        self.consecutive_lost =
+            if is_lost { policy.max_consecutive_lost.saturating_sub(1) } else { 0 };
         true
     }
 
     /// Says whether the server is left out.
-    pub fn is_out(&self, now: Millis) -> bool {
-        now < self.out_until
+    pub fn is_ejected(&self, now: Millis) -> bool {
+        now < self.ejected_until
     }
 
     /// Returns the smoothed share of failures.
-    pub fn failing(&self) -> f64 {
-        self.failing
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,19 +1,19 @@
 //! Decisions of a gateway: routes, backend servers, placement, repeats, cascades and roll-outs.
 
+mod allowed_regions;
 mod answers;
 mod budget;
 mod canary;
 mod canary_policy;
 mod catalog;
 mod cold;
-mod connect_time;
+mod connect_timeout;
 mod evacuations;
 mod events;
 mod exposure;
 mod feed;
 mod fingerprint;
 mod health;
-mod homes;
 mod leads;
 mod leaving;
 mod limits;
@@ -35,23 +35,23 @@
 mod urgency;
 mod usual_time;
 
-pub use answers::{AnswerSums, Counts, RouteEvidence, Shared, Times};
-pub use budget::{RepeatBudget, RepeatUse};
+pub use allowed_regions::{AllowedRegions, DomainRegions};
+pub use answers::{AnswerCounts, AnswerSums, FleetEvidence, LatencySums, RouteEvidence};
+pub use budget::{ResendBudget, ResendReason};
 pub use canary::{Affinity, Arm, ArmChoice, Canary, OrderAge, Phase, RolloutOrder};
 pub use canary_policy::CanaryPolicy;
 pub use catalog::{
-    BackendId, CallLimits, Catalog, Customer, Priority, Repeat, Route, RouteName, Service,
+    BackendId, CallLimits, Catalog, Customer, Idempotency, Priority, Route, RouteName, Service,
     ServiceName, StreamRules,
 };
 pub use cold::{ColdLimit, ColdPolicy};
-pub use connect_time::ConnectTimes;
+pub use connect_timeout::ConnectTimeout;
 pub use evacuations::{EvacuationChange, Evacuations};
 pub use events::{EventId, EventSplitter, WholeEvents};
-pub use exposure::{ExposureBudget, Sent};
-pub use feed::{FeedHeard, FeedPast, FeedTold, FeedView, is_newest_shorter};
+pub use exposure::{ExposureBudget, SendCounts};
+pub use feed::{FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView, is_compacted_read_shorter};
 pub use fingerprint::Fingerprint;
 pub use health::{Fault, HealthPolicy, ServerHealth};
-pub use homes::{Homes, Regions};
 pub use leads::Leads;
 pub use leaving::LeavingServers;
 pub use limits::{LimitChange, LimitPolicy, ServerLimits};
--- a/core/src/serving/quarantine/mod.rs
+++ b/core/src/serving/quarantine/mod.rs
@@ -10,7 +10,7 @@
 pub use mark::{Mark, MarkChange};
 
 use super::catalog::BackendId;
-use super::feed::wait;
+use super::feed::random_wait;
 use super::fingerprint::Fingerprint;
 use super::server_ends::EndedRun;
 use crate::ids::Millis;
@@ -280,7 +280,7 @@
         now: Millis,
         draw: u64,
     ) -> Vec<Fingerprint> {
-        let due = now.after(wait(RESTORED_WITHIN, fleet, draw));
+        let due = now.after(random_wait(RESTORED_WITHIN, fleet, draw));
         for (request, mark) in self.not_among(marks) {
             let until = self.suspects.get(&request).map_or(now, |suspect| suspect.until);
             let age = self.policy.keep.since(until.since(now));
--- a/core/src/serving/status.rs
+++ b/core/src/serving/status.rs
@@ -4,7 +4,7 @@
 
 use super::canary::Phase;
 use super::catalog::ServiceName;
-use super::feed::wait;
+use super::feed::random_wait;
 use crate::ids::{Millis, VersionName};
 
 /// Longest wait before the word that a roll-out runs, which nobody acts on.
@@ -121,7 +121,7 @@
             Phase::Done | Phase::RolledBack => (&mut entry.end_due, END_WAIT),
             Phase::Trial | Phase::Ramp | Phase::Full => (&mut entry.running_due, RUNNING_WAIT),
         };
-        let due = due.get_or_insert_with(|| now.after(wait(longest, fleet, draw)));
+        let due = due.get_or_insert_with(|| now.after(random_wait(longest, fleet, draw)));
         Some(due.since(now))
     }
 }
--- a/core/src/serving/unreached.rs
+++ b/core/src/serving/unreached.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-use super::feed::wait;
+use super::feed::random_wait;
 use crate::ids::Millis;
 
 /// Gateways that must have failed to connect before a server is left out: one alone may be cut off itself. While
@@ -97,7 +97,7 @@
             return false;
         }
         suspect.settled_until = now.after(OUT);
-        suspect.out_until = now.after(OUT).after(wait(OUT, fleet, draw));
+        suspect.out_until = now.after(OUT).after(random_wait(OUT, fleet, draw));
         suspect.was_out = true;
         suspect.words.clear();
         true
--- a/core/tests/canary.rs
+++ b/core/tests/canary.rs
@@ -3,8 +3,8 @@
 mod rollout_fleet;
 
 use redwingfold_core::{
-    Affinity, Arm, ArmChoice, Canary, CanaryPolicy, Counts, Millis, OrderAge, Phase, RolloutOrder,
-    RouteEvidence, Sent, Shared,
+    Affinity, AnswerCounts, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence, Millis, OrderAge,
+    Phase, RolloutOrder, RouteEvidence, SendCounts,
 };
 use rollout_fleet::{Fleet, Kind, Version, WINDOW};
 
@@ -87,7 +87,7 @@
     let doubt = Millis(900);
     for after in [0, 300, 600, 900] {
         for seed in 0..10 {
-            let age = OrderAge { most: doubt, ..OrderAge::default() };
+            let age = OrderAge { max: doubt, ..OrderAge::default() };
             let fleet = Fleet::that_read(4, seed, Millis(after), age);
             let played = fleet.play(60, 0.0, |_, _, _| 0.0, Kind::Failed);
             let allowed = played.all * 15 / 100 + 30;
@@ -148,24 +148,24 @@
     for draw in 0..2_000 {
         let now = Millis(WINDOW / 2 - 1);
         for affinity in [Affinity::Bound(Arm::Current), Affinity::UnknownSession] {
-            assert_eq!(canary.arm(affinity, draw, now), ArmChoice::Arm(Arm::Current));
+            assert_eq!(canary.choose_arm(affinity, draw, now), ArmChoice::Arm(Arm::Current));
         }
         let moved = Affinity::Bound(Arm::Target);
-        assert_eq!(canary.arm(moved, draw, now), ArmChoice::Arm(Arm::Target));
+        assert_eq!(canary.choose_arm(moved, draw, now), ArmChoice::Arm(Arm::Target));
     }
     canary.end(Phase::RolledBack);
     let moved = Affinity::Bound(Arm::Target);
-    assert_eq!(canary.arm(moved, 0, Millis(0)), ArmChoice::Arm(Arm::Current));
+    assert_eq!(canary.choose_arm(moved, 0, Millis(0)), ArmChoice::Arm(Arm::Current));
 }
 
 /// A session that one gateway has moved is sent back by another that takes the order for up to 0.2 s younger, or that has
 /// not gone over to the next phase yet.
 #[test]
 fn gateway_behind_another_asks_for_each_session_that_may_have_moved() {
-    let good = Counts { good: 1_000, ..Counts::default() };
-    let shared = Shared {
+    let good = AnswerCounts { good: 1_000, ..AnswerCounts::default() };
+    let shared = FleetEvidence {
         routes: vec![RouteEvidence { target: good, current: good }],
-        sent: Sent::default(),
+        sent: SendCounts::default(),
     };
     for (window, behind) in [(24_000, 200), (24_000, 60), (12_000, 200), (8_000, 150)] {
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(window) };
@@ -177,7 +177,7 @@
         let mut has_moved = [false; 1000];
         for now in (behind..window).step_by(20).map(Millis) {
             (0..50).for_each(|_| {
-                ahead.sent(None, Arm::Current, now);
+                ahead.record_send(None, Arm::Current, now);
             });
             ahead.step(&shared, now);
             // Gateways look at their roll-outs each 0.2 s.
@@ -185,7 +185,8 @@
                 late.step(&shared, now);
             }
             for draw in 0..1000 {
-                let choice = |canary: &Canary| canary.arm(Affinity::UnknownSession, draw, now);
+                let choice =
+                    |canary: &Canary| canary.choose_arm(Affinity::UnknownSession, draw, now);
                 has_moved[draw as usize] |= choice(&ahead) == ArmChoice::Arm(Arm::Target);
                 let is_sent_back = choice(&late) == ArmChoice::Arm(Arm::Current);
                 let what = format!("draw {draw}, {now} ms of {window}, {behind} ms behind");
@@ -202,11 +203,11 @@
     let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
     let age = OrderAge { is_unknown: true, ..OrderAge::default() };
     let mut canary = Canary::new(CanaryPolicy::default(), order, age, Millis(0), 0);
-    let choice = |canary: &Canary| canary.arm(Affinity::UnknownSession, 0, Millis(100));
+    let choice = |canary: &Canary| canary.choose_arm(Affinity::UnknownSession, 0, Millis(100));
     assert_eq!(choice(&canary), ArmChoice::AskKeepers);
-    canary.is_older(Millis(200), false, Millis(100));
+    canary.merge_age(Millis(200), false, Millis(100));
     assert_eq!(choice(&canary), ArmChoice::AskKeepers);
-    canary.is_older(Millis(200), true, Millis(100));
+    canary.merge_age(Millis(200), true, Millis(100));
     assert_eq!(choice(&canary), ArmChoice::Arm(Arm::Current));
 }
 
@@ -217,15 +218,15 @@
     let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
     let age = OrderAge::default();
     let mut canary = Canary::new(CanaryPolicy::default(), order, age, Millis(1_000), 0);
-    canary.is_older(Millis(20_000), true, Millis(2_000));
+    canary.merge_age(Millis(20_000), true, Millis(2_000));
     assert_eq!(canary.elapsed(Millis(2_000)), Millis(2_000));
     let late = Millis(100_000);
-    canary.is_older(Millis(20_000), true, late);
+    canary.merge_age(Millis(20_000), true, late);
     assert!(canary.elapsed(late) >= Millis(20_000));
-    let good = Counts { good: 100, ..Counts::default() };
-    let shared = Shared {
+    let good = AnswerCounts { good: 100, ..AnswerCounts::default() };
+    let shared = FleetEvidence {
         routes: vec![RouteEvidence { target: good, ..RouteEvidence::default() }],
-        sent: Sent::default(),
+        sent: SendCounts::default(),
     };
     assert_eq!(canary.step(&shared, late), Phase::Ramp);
 }
@@ -236,7 +237,7 @@
 /// does not come into service on that little.
 #[test]
 fn service_of_thirty_a_second_ends_in_time() {
-    let age = OrderAge { most: Millis(600), ..OrderAge::default() };
+    let age = OrderAge { max: Millis(600), ..OrderAge::default() };
     let play = |seed, version, kind| {
         let fleet = Fleet::that_read(4, seed, Millis(600), age);
         fleet.play(30, 0.0, version, kind)
--- a/core/tests/cold.rs
+++ b/core/tests/cold.rs
@@ -6,13 +6,13 @@
 use turn_fleet::{Belief, Load, Way, worst};
 
 /// What a cold server bears.
-const LIMIT: ColdLimit = ColdLimit { lasts: Millis(3_000), per_s: 12.0 };
+const LIMIT: ColdLimit = ColdLimit { duration: Millis(3_000), requests_per_s: 12.0 };
 
 const SEEDS: u64 = 3;
 
 /// How near all gateways come to it.
 fn policy() -> ColdPolicy {
-    ColdPolicy { over: 1.5, slack: 5.0, ..ColdPolicy::default() }
+    ColdPolicy { peak_factor: 1.5, peak_slack: 5.0, ..ColdPolicy::default() }
 }
 
 /// A third of the servers come back cold, and are chosen before the loaded ones.
@@ -23,16 +23,16 @@
         cold: of(16),
         warm: of(33),
         per_s: 14.0 * gateways as f64,
-        limit: LIMIT.per_s,
+        limit: LIMIT.requests_per_s,
         target_rate: |_, _| policy().rate(LIMIT),
-        duration: LIMIT.lasts,
+        duration: LIMIT.duration,
         window: Millis(1_000),
         burst_at: None,
     }
 }
 
 fn bears() -> usize {
-    policy().most(LIMIT) as usize
+    policy().max_per_second(LIMIT) as usize
 }
 
 /// Servers come back together while gateways know all others, or a half, or nobody as they have just started: none gets
--- a/core/tests/evacuations.rs
+++ b/core/tests/evacuations.rs
@@ -56,8 +56,8 @@
             Some((known, from)) if known == era && !is_whole => {
                 for (domain, is_ordered) in &topic.records[from..] {
                     match is_ordered {
-                        true => self.believes.order(domain, now),
-                        false => self.believes.take_back(domain, now),
+                        true => self.believes.add_order(domain, now),
+                        false => self.believes.end_order(domain, now),
                     };
                 }
             }
@@ -181,13 +181,13 @@
 #[test]
 fn order_that_a_copy_lacks_stays_for_a_while() {
     let mut lost = Evacuations::default();
-    lost.order(&domain(1), Millis(0));
+    lost.add_order(&domain(1), Millis(0));
     let mut written_again = lost.clone();
     for evacuations in [&mut lost, &mut written_again] {
         assert!(evacuations.replace_by_copy(&[], Millis(1_000)).is_empty());
         assert!(evacuations.expire(Millis(5_000)).is_empty());
     }
-    written_again.order(&domain(1), Millis(5_000));
+    written_again.add_order(&domain(1), Millis(5_000));
     assert!(written_again.expire(Millis(60_000)).is_empty());
     assert_eq!(lost.expire(Millis(60_000)), [EvacuationChange::Returned(domain(1))]);
 }
@@ -197,7 +197,7 @@
 #[test]
 fn copy_that_is_passed_on_ends_no_order() {
     let mut evacuations = Evacuations::default();
-    evacuations.order(&domain(1), Millis(0));
+    evacuations.add_order(&domain(1), Millis(0));
     evacuations.replace_by_copy(&[], Millis(1_000));
     assert!(evacuations.replace(&[], Millis(1_200)).is_empty());
     assert!(evacuations.is_emptied(&domain(1)));
@@ -208,8 +208,8 @@
 #[test]
 fn order_of_a_copy_stands() {
     let mut evacuations = Evacuations::default();
-    evacuations.order(&domain(1), Millis(0));
-    evacuations.take_back(&domain(1), Millis(1_000));
+    evacuations.add_order(&domain(1), Millis(0));
+    evacuations.end_order(&domain(1), Millis(1_000));
     evacuations.replace_by_copy(&[domain(1)], Millis(2_000));
     assert!(evacuations.is_emptied(&domain(1)));
 }
@@ -232,8 +232,8 @@
         for (at, (n, is_ordered)) in (0..).zip(steps) {
             let (domain, now) = (domain(n % 5), Millis(at * 100));
             let change = match is_ordered {
-                true => evacuations.order(&domain, now),
-                false => evacuations.take_back(&domain, now),
+                true => evacuations.add_order(&domain, now),
+                false => evacuations.end_order(&domain, now),
             };
             take(change.into_iter().collect());
         }
--- a/core/tests/exposure.rs
+++ b/core/tests/exposure.rs
@@ -115,7 +115,7 @@
     let doubt = Millis(1_100);
     for after in [0, 300, 600, 900, 1_100] {
         for (gateways, per_s) in [(28, 300), (103, 800)] {
-            let age = OrderAge { most: doubt, ..OrderAge::default() };
+            let age = OrderAge { max: doubt, ..OrderAge::default() };
             let fleet = Fleet::that_read(gateways, 0, Millis(after), age);
             let fleet = fleet.with_policy(CanaryPolicy::for_exposure(0.0975), age, Millis(after));
             let played = fleet.play(per_s, 0.0, GOOD, Kind::Failed);
--- a/core/tests/feeds.rs
+++ b/core/tests/feeds.rs
@@ -2,13 +2,13 @@
 
 use std::collections::VecDeque;
 
-use redwingfold_core::{FeedHeard, FeedPast, FeedTold, FeedView, Millis};
+use redwingfold_core::{FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView, Millis};
 
 const PERIOD: u64 = 500;
 
 struct Gateway {
     view: FeedView,
-    past: FeedPast<()>,
+    past: FeedHistory<()>,
     /// As of when it truly knows the feed: what a checker sees, not what it believes.
     true_as_of: u64,
     asleep_until: u64,
@@ -16,7 +16,7 @@
 
 impl Gateway {
     fn new(fleet: usize) -> Self {
-        Self { view: view(fleet), past: FeedPast::new(8), true_as_of: 0, asleep_until: 0 }
+        Self { view: view(fleet), past: FeedHistory::new(8), true_as_of: 0, asleep_until: 0 }
     }
 }
 
@@ -29,7 +29,7 @@
 /// Makes the view of a gateway of `n`.
 fn view(n: usize) -> FeedView {
     let mut view = FeedView::new(Millis(PERIOD));
-    view.share_with(n);
+    view.set_fleet_size(n);
     view
 }
 
@@ -42,7 +42,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> = (0..n).map(|_| Gateway::new(n)).collect();
     let mut played = Played { reads: 0, stalest: 0, missed: 0 };
-    let mut on_the_way: VecDeque<(u64, usize, FeedTold)> = VecDeque::new();
+    let mut on_the_way: VecDeque<(u64, usize, FeedUpdate)> = VecDeque::new();
     // The feed grows by one record each 80 ms.
     let end_at = |ms: u64| ms / 80;
     for ms in (0..60_000).step_by(10) {
@@ -52,21 +52,21 @@
         }
         while on_the_way.front().is_some_and(|(sent, _, _)| sent + ON_THE_WAY <= ms) {
             let Some((sent, from, told)) = on_the_way.pop_front() else { break };
-            let told = FeedTold { age: Millis(ms - sent), ..told };
+            let told = FeedUpdate { age: Millis(ms - sent), ..told };
             for (other, gateway) in gateways.iter_mut().enumerate() {
                 if other == from || rng.f64() < loss || gateway.asleep_until > ms {
                     continue;
                 }
                 let before = gateway.view.next().unwrap_or_default();
-                match gateway.view.hear(told, Millis(ms), rng.u64(..)) {
-                    heard @ (FeedHeard::Applies | FeedHeard::Confirms) => {
+                match gateway.view.apply_update(told, Millis(ms), rng.u64(..)) {
+                    heard @ (FeedUpdateOutcome::Applies | FeedUpdateOutcome::Confirms) => {
                         gateway.true_as_of = gateway.true_as_of.max(sent);
-                        if heard == FeedHeard::Applies {
+                        if heard == FeedUpdateOutcome::Applies {
                             gateway.past.add(before, told.next, Vec::new());
                         }
                     }
-                    FeedHeard::Missed => played.missed += 1,
-                    FeedHeard::Old => {}
+                    FeedUpdateOutcome::Gap => played.missed += 1,
+                    FeedUpdateOutcome::Stale => {}
                 }
             }
         }
@@ -75,13 +75,13 @@
                 continue;
             }
             let from = gateway.view.next().unwrap_or(end_at(ms));
-            gateway.view.read(Millis(ms), end_at(ms), rng.u64(..));
+            gateway.view.record_read(Millis(ms), end_at(ms), rng.u64(..));
             gateway.true_as_of = ms;
             // The first read of all is each gateway's own: nobody can tell it what it has never seen.
             played.reads += u64::from(ms > 0);
             gateway.past.add(from, end_at(ms), Vec::new());
-            let from = gateway.past.told().map_or(from, |(from, _)| from);
-            on_the_way.push_back((ms, g, FeedTold { from, next: end_at(ms), age: Millis(0) }));
+            let from = gateway.past.recent_changes().map_or(from, |(from, _)| from);
+            on_the_way.push_back((ms, g, FeedUpdate { from, next: end_at(ms), age: Millis(0) }));
         }
         for gateway in &gateways {
             let awake_for = ms.saturating_sub(gateway.asleep_until);
@@ -130,12 +130,12 @@
 #[test]
 fn gap_is_read_and_not_skipped() {
     let mut view = FeedView::new(Millis(PERIOD));
-    view.read(Millis(0), 10, 0);
-    let told = FeedTold { from: 12, next: 15, age: Millis(0) };
-    assert_eq!(view.hear(told, Millis(100), 0), FeedHeard::Missed);
+    view.record_read(Millis(0), 10, 0);
+    let told = FeedUpdate { from: 12, next: 15, age: Millis(0) };
+    assert_eq!(view.apply_update(told, Millis(100), 0), FeedUpdateOutcome::Gap);
     assert_eq!((view.next(), view.is_due(Millis(100))), (Some(10), true));
-    let earlier = FeedTold { from: 3, next: 8, age: Millis(0) };
-    assert_eq!(view.hear(earlier, Millis(100), 0), FeedHeard::Old);
+    let earlier = FeedUpdate { from: 3, next: 8, age: Millis(0) };
+    assert_eq!(view.apply_update(earlier, Millis(100), 0), FeedUpdateOutcome::Stale);
     assert_eq!(view.next(), Some(10));
 }
 
@@ -143,9 +143,9 @@
 #[test]
 fn old_word_does_not_make_a_view_fresh() {
     let mut view = FeedView::new(Millis(PERIOD));
-    view.read(Millis(0), 10, 0);
-    let told = FeedTold { from: 10, next: 10, age: Millis(5_000) };
-    view.hear(told, Millis(PERIOD + 1), 0);
+    view.record_read(Millis(0), 10, 0);
+    let told = FeedUpdate { from: 10, next: 10, age: Millis(5_000) };
+    view.apply_update(told, Millis(PERIOD + 1), 0);
     assert!(view.is_due(Millis(PERIOD + 1)));
 }
 
@@ -155,7 +155,7 @@
 fn lost_feed_is_still_known_as_of_its_last_read() {
     let mut view = FeedView::new(Millis(450));
     assert_eq!(view.as_of(), None);
-    view.read(Millis(700), 4, 0);
-    view.lose();
+    view.record_read(Millis(700), 4, 0);
+    view.clear_offset();
     assert_eq!((view.as_of(), view.next()), (Some(Millis(700)), None));
 }
--- a/core/tests/freshness.rs
+++ b/core/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! How old the configurations of a fleet become, in virtual time: links that are slow, a store that turns hosts
 //! away, and messages that are lost.
 
-use redwingfold_core::{FeedTold, FeedView, Leads, Millis, is_newest_shorter};
+use redwingfold_core::{FeedUpdate, FeedView, Leads, Millis, is_compacted_read_shorter};
 
 /// Of reads of the operator's topic.
 const PERIOD: u64 = 450;
@@ -78,9 +78,9 @@
         let heard: Vec<_> = told.extract_if(.., |told| told.at <= ms).collect();
         for told in heard {
             let message =
-                FeedTold { from: told.next, next: told.next, age: Millis(ms - told.as_of) };
+                FeedUpdate { from: told.next, next: told.next, age: Millis(ms - told.as_of) };
             let gateway = &mut fleet[told.to];
-            gateway.view.hear(message, Millis(ms), rng.u64(..));
+            gateway.view.apply_update(message, Millis(ms), rng.u64(..));
             gateway.leads.heard(told.from, told.next, Millis(ms));
         }
         for n in 0..fleet.len() {
@@ -110,7 +110,7 @@
 
 fn gateway(n: usize, load: Load) -> Gateway {
     let mut view = FeedView::new(Millis(PERIOD));
-    view.share_with(load.gateways);
+    view.set_fleet_size(load.gateways);
     let one_in = |of: usize| of > 0 && n.is_multiple_of(of);
     Gateway {
         view,
@@ -144,14 +144,14 @@
         fleet[gateway].served -= 1;
         let next = fleet[gateway].view.next().unwrap_or(0);
         if fleet[n].view.next().is_none_or(|own| own < next) {
-            fleet[n].view.read(now, next, draw);
+            fleet[n].view.record_read(now, next, draw);
             fleet[n].read = None;
         }
     }
     if let Some((next, began, _)) = fleet[n].read.filter(|(_, _, ends)| *ends <= ms) {
         fleet[n].read = None;
         if fleet[n].view.next().is_none_or(|own| own <= next) {
-            fleet[n].view.read(Millis(began), next, draw);
+            fleet[n].view.record_read(Millis(began), next, draw);
         }
     }
     let lead = fleet[n].leads.pick(fleet[n].view.next(), draw, now).filter(|_| load.ask);
@@ -174,7 +174,8 @@
         let own = gateway.view.next().unwrap_or(0);
         let takes = if gateway.is_fast { 40 } else { load.slow_read };
         // As a list of the newest a record is a third longer.
-        let takes = if is_newest_shorter(end - own, 1 << 20) { takes * 4 / 3 } else { takes };
+        let takes =
+            if is_compacted_read_shorter(end - own, 1 << 20) { takes * 4 / 3 } else { takes };
         let takes = if end > own { takes } else { STEP };
         gateway.read = Some((end, ms, ms + takes));
     }
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -1,9 +1,9 @@
 //! Versions that fail under load, in virtual time: servers with slots, and a window with less load than comes after it.
 
 use redwingfold_core::{
-    Affinity, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, Counts, Millis, OrderAge, Phase,
-    Place, PlacementPolicy, RolloutOrder, RouteEvidence, Shared, UsualTime, Work, is_in_first_half,
-    lead_servers, place,
+    Affinity, AnswerCounts, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence,
+    Millis, OrderAge, Phase, Place, PlacementPolicy, RolloutOrder, RouteEvidence, UsualTime, Work,
+    is_in_first_half, lead_servers, place,
 };
 
 const WINDOW: u64 = 16_000;
@@ -105,8 +105,10 @@
                 self.request(ms, fails);
             }
             if ms.is_multiple_of(150) {
-                let shared =
-                    Shared { routes: vec![self.evidence], sent: self.canary.counts(Millis(ms)) };
+                let shared = FleetEvidence {
+                    routes: vec![self.evidence],
+                    sent: self.canary.counts(Millis(ms)),
+                };
                 let phase = self.canary.step(&shared, Millis(ms));
                 if phase >= Phase::Done {
                     self.played.ended.get_or_insert((phase, ms));
@@ -125,11 +127,11 @@
 
     fn request(&mut self, ms: u64, fails: Fails) {
         let now = Millis(ms);
-        let arm = match self.canary.arm(Affinity::UnknownSession, self.rng.u64(..), now) {
+        let arm = match self.canary.choose_arm(Affinity::UnknownSession, self.rng.u64(..), now) {
             ArmChoice::Arm(arm) => arm,
             ArmChoice::AskKeepers => Arm::Current,
         };
-        self.canary.sent(None, arm, now);
+        self.canary.record_send(None, arm, now);
         self.played.to_target += u64::from(arm == Arm::Target && ms < WINDOW);
         let servers = &mut self.servers[usize::from(arm == Arm::Target)];
         let places: Vec<_> = servers.iter().map(|s| s.place.clone()).collect();
@@ -173,14 +175,14 @@
                         Arm::Current => self.usual.ratio(time, load),
                         Arm::Target => self.usual.ratio_of_other(time, load),
                     };
-                    ratio.into_iter().for_each(|ratio| one.begin.add(ratio));
+                    ratio.into_iter().for_each(|ratio| one.first_byte.add(ratio));
                     if arm == Arm::Current {
                         self.usual.learn(time, load);
                     }
                 }
             }
             let half = if is_first_half { one } else { AnswerSums::default() };
-            let counts = Counts { half, ..one.into() };
+            let counts = AnswerCounts { half, ..one.into() };
             let sum = match arm {
                 Arm::Current => &mut self.evidence.current,
                 Arm::Target => &mut self.evidence.target,
--- a/core/tests/quarantine_fleet/mod.rs
+++ b/core/tests/quarantine_fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of gateways before servers that end under some requests, in virtual time.
 
 use redwingfold_core::{
-    Admission, BackendId, EndedRun, FeedHeard, FeedPast, FeedTold, FeedView, Fingerprint, Mark,
-    MarkChange, Millis, Quarantine, QuarantinePolicy,
+    Admission, BackendId, EndedRun, FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView,
+    Fingerprint, Mark, MarkChange, Millis, Quarantine, QuarantinePolicy,
 };
 
 const STEP: u64 = 10;
@@ -74,7 +74,7 @@
 struct Gateway {
     quarantine: Quarantine,
     view: FeedView,
-    past: FeedPast<MarkChange>,
+    past: FeedHistory<MarkChange>,
     up_since: u64,
     /// When it may call the store again, and until when it rests unless something is urgent.
     not_before: u64,
@@ -134,11 +134,11 @@
 
 fn gateway(now: u64, fleet: usize) -> Gateway {
     let mut view = FeedView::new(Millis(PERIOD));
-    view.share_with(fleet);
+    view.set_fleet_size(fleet);
     Gateway {
         quarantine: Quarantine::new(QuarantinePolicy::default()),
         view,
-        past: FeedPast::new(MAX_TOLD),
+        past: FeedHistory::new(MAX_TOLD),
         up_since: now,
         not_before: now,
         rests_until: now,
@@ -363,9 +363,9 @@
             let gateway = &mut self.gateways[told.to];
             let from = gateway.view.next();
             let message =
-                FeedTold { from: told.from, next: told.next, age: Millis(now - told.as_of) };
-            let heard = gateway.view.hear(message, Millis(now), self.rng.u64(..));
-            if let (FeedHeard::Applies, Some(from)) = (heard, from) {
+                FeedUpdate { from: told.from, next: told.next, age: Millis(now - told.as_of) };
+            let heard = gateway.view.apply_update(message, Millis(now), self.rng.u64(..));
+            if let (FeedUpdateOutcome::Applies, Some(from)) = (heard, from) {
                 gateway.past.add(from, told.next, told.changes.clone());
                 gateway.quarantine.hear(&told.changes, Millis(now));
             }
@@ -426,20 +426,20 @@
         let known = gateway.view.next().filter(|next| next >> OFFSET_BITS == self.era);
         let offset = known.map_or(0, |known| known & ((1 << OFFSET_BITS) - 1));
         let changes: Vec<_> = self.log[offset as usize..].iter().map(aged).collect();
-        let is_older = gateway.view.reached().is_some_and(|was| was >> OFFSET_BITS < self.era);
+        let is_older = gateway.view.highest_next().is_some_and(|was| was >> OFFSET_BITS < self.era);
         if known.is_none() && is_older {
-            let (fleet, draw) = (gateway.view.fleet(), self.rng.u64(..));
+            let (fleet, draw) = (gateway.view.fleet_size(), self.rng.u64(..));
             gateway.quarantine.hear_older_copy(&changes, fleet, Millis(now), draw);
         } else {
             gateway.quarantine.hear(&changes, Millis(now));
         }
-        gateway.view.read(Millis(now), end, self.rng.u64(..));
+        gateway.view.record_read(Millis(now), end, self.rng.u64(..));
         gateway.past.add(
             known.unwrap_or(end),
             end,
             if known.is_some() { changes } else { Vec::new() },
         );
-        let (from, changes) = gateway.past.told().unwrap_or((end, Vec::new()));
+        let (from, changes) = gateway.past.recent_changes().unwrap_or((end, Vec::new()));
         for to in (0..self.gateways.len()).filter(|to| *to != g) {
             if self.rng.f64() >= self.load.loss {
                 let changes = changes.clone();
--- a/core/tests/rollout_fleet/mod.rs
+++ b/core/tests/rollout_fleet/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use redwingfold_core::{
-    Affinity, Arm, ArmChoice, Canary, CanaryPolicy, Millis, MovedSessions, OrderAge, Phase,
-    RolloutOrder, RouteEvidence, Sent, SessionKey, Shared,
+    Affinity, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence, Millis, MovedSessions, OrderAge,
+    Phase, RolloutOrder, RouteEvidence, SendCounts, SessionKey,
 };
 
 const ROUTES: usize = 3;
@@ -75,7 +75,7 @@
 const RETENTION: Millis = Millis(17_000);
 
 /// What one gateway tells the others.
-type Told = ([RouteEvidence; ROUTES], Sent);
+type Told = ([RouteEvidence; ROUTES], SendCounts);
 
 /// What came of a roll-out.
 pub(crate) struct Played {
@@ -128,7 +128,7 @@
     }
 
     /// What gateway `g` knows; a message of another may be lost, so that what it knew before stands.
-    fn shared(&mut self, known: &mut [Vec<Told>], g: usize, now: Millis) -> Shared {
+    fn shared(&mut self, known: &mut [Vec<Told>], g: usize, now: Millis) -> FleetEvidence {
         let (mut oldest, mut is_age_known) = (Millis(0), false);
         let present = self.present(now.0);
         for (other, gateway) in self.gateways.iter().enumerate().take(present) {
@@ -139,17 +139,17 @@
             }
         }
         if oldest > Millis(0) {
-            self.gateways[g].canary.is_older(oldest, is_age_known, now);
+            self.gateways[g].canary.merge_age(oldest, is_age_known, now);
         }
         let mut routes = vec![RouteEvidence::default(); ROUTES];
-        let mut sent = Sent::default();
+        let mut sent = SendCounts::default();
         for (own, counts) in &known[g] {
             sent = sent.plus(*counts);
             for (sum, route) in routes.iter_mut().zip(own) {
                 *sum = sum.plus(*route);
             }
         }
-        Shared { routes, sent }
+        FleetEvidence { routes, sent }
     }
 
     /// Gives the roll-out the policy for another exposure.
@@ -203,7 +203,7 @@
     pub(crate) fn reading_apart(mut self, most: u64) -> Self {
         for g in 0..self.gateways.len() {
             let least = Millis(self.rng.u64(..=most));
-            let age = OrderAge { least, most: Millis(most), is_unknown: false };
+            let age = OrderAge { min: least, max: Millis(most), is_unknown: false };
             self.gateways[g].canary = self.new_canary(age, Millis(most));
         }
         self
@@ -224,7 +224,7 @@
             let age = OrderAge { is_unknown: self.sessions.is_some(), ..OrderAge::default() };
             let mut canary = self.new_canary(age, Millis(ms));
             if !age.is_unknown {
-                canary.is_older(Millis(ms), true, Millis(ms));
+                canary.merge_age(Millis(ms), true, Millis(ms));
             }
             let own = [RouteEvidence::default(); ROUTES];
             let moved = MovedSessions::new(RETENTION);
@@ -302,13 +302,17 @@
         let now = Millis(ms);
         let arm = match self.sessions.is_some() {
             true => self.request_of_session(g, ms, played),
-            false => match self.gateways[g].canary.arm(Affinity::None, self.rng.u64(..), now) {
-                ArmChoice::Arm(arm) => arm,
-                ArmChoice::AskKeepers => unreachable!("a request without a session has no keepers"),
-            },
+            false => {
+                match self.gateways[g].canary.choose_arm(Affinity::None, self.rng.u64(..), now) {
+                    ArmChoice::Arm(arm) => arm,
+                    ArmChoice::AskKeepers => {
+                        unreachable!("a request without a session has no keepers")
+                    }
+                }
+            }
         };
         let gateway = &mut self.gateways[g];
-        gateway.canary.sent(None, arm, now);
+        gateway.canary.record_send(None, arm, now);
         let share = f64::from(gateway.canary.share().0) / 1000.0;
         let rate = if arm == Arm::Target { version(route, ms, share) } else { usual };
         let is_bad = self.rng.f64() < rate;
@@ -323,11 +327,11 @@
             Kind::Failed if is_bad => counts.failed += 1,
             Kind::Slow if is_bad => {
                 counts.good += 1;
-                counts.begin.add(ratio * 8.0);
+                counts.first_byte.add(ratio * 8.0);
             }
             _ => {
                 counts.good += 1;
-                counts.begin.add(ratio);
+                counts.first_byte.add(ratio);
             }
         }
         (arm, is_bad)
@@ -340,7 +344,7 @@
         let has_moved = self.gateways[g].moved.contains(key, now);
         let affinity =
             if has_moved { Affinity::Bound(Arm::Target) } else { Affinity::UnknownSession };
-        let arm = match self.gateways[g].canary.arm(affinity, key.0, now) {
+        let arm = match self.gateways[g].canary.choose_arm(affinity, key.0, now) {
             ArmChoice::Arm(arm) => arm,
             ArmChoice::AskKeepers if self.ask(key, now) => Arm::Target,
             ArmChoice::AskKeepers => Arm::Current,
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 use redwingfold_core::{
-    BackendId, BackendServer, CallLimits, Catalog, Customer, EventId, EventSplitter, Fault,
-    HealthPolicy, Homes, Incarnation, Millis, PeerLoads, Place, PlacementPolicy, Pressure,
-    Priority, PutOutcome, Registry, RegistryPolicy, Repeat, RepeatBudget, RepeatUse, Route,
-    ServerHealth, ServerState, ServiceName, SizePolicy, Work, place,
+    AllowedRegions, BackendId, BackendServer, CallLimits, Catalog, Customer, EventId,
+    EventSplitter, Fault, HealthPolicy, Idempotency, Incarnation, Millis, PeerLoads, Place,
+    PlacementPolicy, Pressure, Priority, PutOutcome, Registry, RegistryPolicy, ResendBudget,
+    ResendReason, Route, ServerHealth, ServerState, ServiceName, SizePolicy, Work, place,
 };
 
 fn server(id: &str, state: ServerState) -> BackendServer {
@@ -29,16 +29,16 @@
         name: name.into(),
         host: "A.example".to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         stream: None,
         timeout: None,
-        aim: Millis(300),
+        latency_target: Millis(300),
         priority: Priority(1),
         targets: vec![("plain".into(), 9), ("other".into(), 1)],
         max_attempts: 2,
         is_public: false,
         sizes: Vec::new(),
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -46,8 +46,11 @@
 #[test]
 fn longest_prefix_decides() {
     let routes = [route("short", "/a/"), route("long", "/a/b/"), route("other", "/c/")];
-    let customer =
-        Customer { name: "ani".parse().unwrap(), priority: None, homes: Homes::default() };
+    let customer = Customer {
+        name: "ani".parse().unwrap(),
+        priority: None,
+        allowed_regions: AllowedRegions::default(),
+    };
     let limits = CallLimits::default();
     let catalog = Catalog::new(1, limits, routes, [], [("key".to_owned(), customer)]);
     let name = |path| catalog.route("a.EXAMPLE:80", path).map(|r| r.name.to_string());
@@ -64,7 +67,7 @@
     let mut rng = fastrand::Rng::with_seed(3);
     let mut counts: HashMap<ServiceName, u32> = HashMap::new();
     for _ in 0..10_000 {
-        *counts.entry(route.target(rng.u64(..)).unwrap().clone()).or_default() += 1;
+        *counts.entry(route.choose_service(rng.u64(..)).unwrap().clone()).or_default() += 1;
     }
     assert!((850..1_150).contains(&counts[&ServiceName::from("other")]));
 }
@@ -85,9 +88,9 @@
         }
         let whole = text[..from].rfind("\r\n\r\n").map_or(0, |at| at + 4);
         assert_eq!(out, &text.as_bytes()[..whole]);
-        assert_eq!(splitter.is_inside_event(), whole < from);
+        assert_eq!(splitter.has_partial(), whole < from);
         // Another server goes on, and repeats the last two events.
-        splitter.drop_piece();
+        splitter.discard_partial();
         let last = splitter.last();
         let again = last.map_or(0, |id| id.0.saturating_sub(1));
         let rest: String = (again..u64::from(events % 20))
@@ -115,7 +118,7 @@
     const WINDOW: u64 = 10_000;
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut budget = RepeatBudget::new(Millis(WINDOW), 0.8, 0.5, 2.0);
+        let mut budget = ResendBudget::new(Millis(WINDOW), 0.8, 0.5, 2.0);
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut now = 0;
         for _ in 0..4_000 {
@@ -123,7 +126,7 @@
             now += if rng.u32(..100) == 0 { rng.u64(..8_000) } else { rng.u64(..10) };
             budget.request(Millis(now));
             requests.push(now);
-            let what = if rng.bool() { RepeatUse::Failure } else { RepeatUse::Quality };
+            let what = if rng.bool() { ResendReason::Failure } else { ResendReason::Quality };
             if budget.try_take(what, Millis(now)) {
                 repeats.push(now);
                 let within = |at: &&u64| **at + WINDOW > now;
@@ -265,12 +268,12 @@
         let mut health = ServerHealth::default();
         let mut out = 0;
         for ms in (0..120_000).step_by(50) {
-            match health.is_out(Millis(ms)) {
+            match health.is_ejected(Millis(ms)) {
                 true => out += 1,
                 false if rng.f64() < rate => {
-                    health.bad(Fault::Answered, &policy, Millis(ms));
+                    health.record_failure(Fault::Answered, &policy, Millis(ms));
                 }
-                false => health.good(),
+                false => health.record_success(),
             }
         }
         f64::from(out) / 2_400.0
--- a/core/tests/unannounced.rs
+++ b/core/tests/unannounced.rs
@@ -1,8 +1,8 @@
 //! What a version that no order names may get from all gateways together.
 
 use redwingfold_core::{
-    Affinity, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, Millis, Phase, RouteEvidence, Sent,
-    Shared,
+    Affinity, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence, Millis, Phase,
+    RouteEvidence, SendCounts,
 };
 
 const GATEWAYS: [(usize, u64); 4] = [(3, 100), (27, 300), (103, 800), (330, 3_200)];
@@ -27,17 +27,17 @@
         .map(|at| Canary::unannounced(policy, target(), Millis(*at), rng.u64(..)))
         .collect();
     let mut own = vec![RouteEvidence::default(); gateways];
-    let mut told = (RouteEvidence::default(), Sent::default());
+    let mut told = (RouteEvidence::default(), SendCounts::default());
     let (mut got, mut all) = (0, 0);
     for ms in (1_000..25_000).step_by(50) {
         let now = Millis(ms);
         for _ in 0..per_s / 20 {
             let g = rng.usize(..gateways);
-            let arm = match trials[g].arm(Affinity::None, rng.u64(..), now) {
+            let arm = match trials[g].choose_arm(Affinity::None, rng.u64(..), now) {
                 ArmChoice::Arm(arm) => arm,
                 ArmChoice::AskKeepers => Arm::Current,
             };
-            trials[g].sent(None, arm, now);
+            trials[g].record_send(None, arm, now);
             all += 1;
             got += u64::from(arm == Arm::Target);
             let is_bad = arm == Arm::Target && rng.f64() < bad;
@@ -54,12 +54,12 @@
         }
         if ms % NEWS == 0 {
             let sum = own.iter().fold(RouteEvidence::default(), |sum, e| sum.plus(*e));
-            let sent = trials.iter().fold(Sent::default(), |sum, t| sum.plus(t.counts(now)));
+            let sent = trials.iter().fold(SendCounts::default(), |sum, t| sum.plus(t.counts(now)));
             told = (sum, sent);
         }
         for g in 0..gateways {
             let knows = if rng.bool() { told.0 } else { own[g] };
-            let shared = Shared { routes: vec![knows], sent: told.1 };
+            let shared = FleetEvidence { routes: vec![knows], sent: told.1 };
             trials[g].step(&shared, now);
         }
     }
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -7,7 +7,7 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use redwingfold_core::{BackendServer, EndedRun, EventId, Millis, Owed, Repeat, SilenceWatch};
+use redwingfold_core::{BackendServer, EndedRun, EventId, Idempotency, Millis, Owed, SilenceWatch};
 
 use crate::clock::within;
 use crate::facts::{AnswerFacts, AttemptFacts, ReportedLoad};
@@ -92,7 +92,7 @@
     ) -> Attempted {
         let gw = self.gw.clone();
         gw.sends_to(server);
-        let limit = gw.connect_times.get().limit().min(self.left());
+        let limit = gw.connect_times.get().timeout().min(self.left());
         let connecting_at = gw.now();
         gw.loads.tries(server, connecting_at);
         let connected = Caller::connect(&gw.executor, server.addr, limit).await;
@@ -248,14 +248,19 @@
         owed: Owed,
     ) -> bool {
         watch.look(self.gw.now(), self.gw.loads.heard_at(&server.id));
-        watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
+        watch.is_over(
+            &self.gw.settings.silence,
+            owed,
+            self.route.latency_target,
+            self.gw.pressure(),
+        )
     }
 
     /// Says whether the request may run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
-        match (self.route.repeat, self.route.stream) {
+        match (self.route.idempotency, self.route.stream) {
             (_, Some(stream)) => stream.resumable,
-            (repeat, None) => repeat == Repeat::Idempotent,
+            (idempotency, None) => idempotency == Idempotency::Idempotent,
         }
     }
 }
--- a/gateway/src/choice.rs
+++ b/gateway/src/choice.rs
@@ -128,7 +128,7 @@
         }
         let loads = &self.gw.loads;
         let mut places: Vec<Place> = pool.now.iter().map(|s| loads.place(s, now)).collect();
-        bound_left_out(&mut places, self.gw.settings.health.max_out_share);
+        bound_left_out(&mut places, self.gw.settings.health.max_ejected_share);
         let policy = &self.gw.settings.placement;
         let places = pool.lead.map_or(places.clone(), |count| lead_servers(places, count));
         let found = place(&places, self.work(self.size), policy, |n| fastrand::usize(..n))?;
@@ -254,11 +254,11 @@
             s.models.is_empty() || model.is_none_or(|model| s.models.contains(model))
         };
         let (evacuations, regions) = (self.gw.evacuations.borrow(), self.gw.regions.borrow());
-        let of_customer = self.customer.as_ref().map(|customer| &customer.homes);
-        let homes: Vec<_> = of_customer.into_iter().chain([&self.route.homes]).collect();
+        let of_customer = self.customer.as_ref().map(|customer| &customer.allowed_regions);
+        let homes: Vec<_> = of_customer.into_iter().chain([&self.route.allowed_regions]).collect();
         let is_anywhere = homes.iter().all(|homes| homes.is_anywhere());
         let may_run_in = |domain: &FailureDomain| {
-            is_anywhere || homes.iter().all(|homes| homes.allow(regions.of(domain)))
+            is_anywhere || homes.iter().all(|homes| homes.allows(regions.of(domain)))
         };
         let fits = |s: &&BackendServer| {
             s.service == self.service
--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -22,7 +22,7 @@
         }
         let limit = self.catalog()?.service(&server.service)?.cold?;
         let returned_at = evacuations.returned_at(&server.domain);
-        let is_returned = returned_at.is_some_and(|at| now.since(at) < limit.lasts);
+        let is_returned = returned_at.is_some_and(|at| now.since(at) < limit.duration);
         let is_cold = is_returned || registry.cold_left(&server.id, now) > Millis(0);
         is_cold.then_some(limit)
     }
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -8,8 +8,8 @@
     /// Takes the operator's order to empty a failure domain, or that it is taken back.
     pub fn order_evacuation(&self, domain: &FailureDomain, is_ordered: bool) {
         let change = self.with_evacuations(|e, now| match is_ordered {
-            true => e.order(domain, now),
-            false => e.take_back(domain, now),
+            true => e.add_order(domain, now),
+            false => e.end_order(domain, now),
         });
         self.log_evacuations(&change.into_iter().collect::<Vec<_>>());
     }
--- a/gateway/src/exchange/beliefs.rs
+++ b/gateway/src/exchange/beliefs.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use redwingfold_core::{FeedTold, Leads, Millis};
+use redwingfold_core::{FeedUpdate, Leads, Millis};
 
 use super::image::{Orders, Record};
 use crate::feeds::{Feed, Reach};
@@ -29,7 +29,7 @@
     }
 
     /// Takes another gateway's word on how far it knows the operator's topic.
-    pub(crate) fn hear_orders(&self, from: SocketAddr, told: FeedTold) {
+    pub(crate) fn hear_orders(&self, from: SocketAddr, told: FeedUpdate) {
         self.with_feeds(|feeds| feeds.hear_orders(told, self.now()));
         self.note_lead(Feed::Orders, from, told.next);
     }
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -1,7 +1,8 @@
 //! The feeds of the store that gateways read together: orders, backend servers, and marks of requests.
 
 use redwingfold_core::{
-    BackendId, BackendServer, FeedHeard, FeedPast, FeedTold, FeedView, MarkChange, Millis,
+    BackendId, BackendServer, FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView, MarkChange,
+    Millis,
 };
 
 /// A feed of the store.
@@ -69,10 +70,10 @@
     orders: FeedView,
     servers: FeedView,
     /// Changes of servers, from own reads and from others' messages.
-    past: FeedPast<ServerChange>,
+    past: FeedHistory<ServerChange>,
     marks: FeedView,
-    past_marks: FeedPast<MarkChange>,
-    untold_orders: Option<(FeedTold, Millis, Reach)>,
+    past_marks: FeedHistory<MarkChange>,
+    untold_orders: Option<(FeedUpdate, Millis, Reach)>,
     untold_servers: Option<(u64, Millis, Reach)>,
     untold_marks: Option<(u64, Millis)>,
 }
@@ -83,9 +84,9 @@
         Self {
             orders: FeedView::new(periods.orders),
             servers: FeedView::new(periods.servers),
-            past: FeedPast::new(MAX_CHANGES),
+            past: FeedHistory::new(MAX_CHANGES),
             marks: FeedView::new(periods.marks),
-            past_marks: FeedPast::new(MAX_MARKS),
+            past_marks: FeedHistory::new(MAX_MARKS),
             untold_orders: None,
             untold_servers: None,
             untold_marks: None,
@@ -94,14 +95,14 @@
 
     /// Notes how many gateways read together, this one included.
     pub(crate) fn share_with(&mut self, fleet: usize) {
-        self.orders.share_with(fleet);
-        self.servers.share_with(fleet);
-        self.marks.share_with(fleet);
+        self.orders.set_fleet_size(fleet);
+        self.servers.set_fleet_size(fleet);
+        self.marks.set_fleet_size(fleet);
     }
 
     /// Returns how many gateways read together, this one included.
     pub fn fleet(&self) -> usize {
-        self.servers.fleet()
+        self.servers.fleet_size()
     }
 
     fn view(&mut self, feed: Feed) -> &mut FeedView {
@@ -119,7 +120,7 @@
 
     /// Returns the position up to which a feed was ever known.
     pub fn reached(&mut self, feed: Feed) -> Option<u64> {
-        self.view(feed).reached()
+        self.view(feed).highest_next()
     }
 
     /// Returns as of when a feed is known, if it is known at all.
@@ -134,13 +135,13 @@
 
     /// Forgets how far a feed is known.
     pub fn lose(&mut self, feed: Feed) {
-        self.view(feed).lose();
+        self.view(feed).clear_offset();
     }
 
     /// Takes what is known of orders as of `as_of`, and tells as many others as `reach` says.
     pub(crate) fn know_orders(&mut self, as_of: Millis, next: u64, reach: Reach) {
-        self.orders.read(as_of, next, fastrand::u64(..));
-        self.untold_orders = Some((FeedTold { from: next, next, age: Millis(0) }, as_of, reach));
+        self.orders.record_read(as_of, next, fastrand::u64(..));
+        self.untold_orders = Some((FeedUpdate { from: next, next, age: Millis(0) }, as_of, reach));
     }
 
     /// Takes an own read of servers that began at `began`, with what it changed.
@@ -156,7 +157,7 @@
         reach: Reach,
     ) {
         let from = self.servers.next().unwrap_or(next);
-        self.servers.read(began, next, fastrand::u64(..));
+        self.servers.record_read(began, next, fastrand::u64(..));
         self.past.add(from, next, changes);
         self.untold_servers = Some((next, began, reach));
     }
@@ -164,25 +165,25 @@
     /// Takes the whole list of servers as of `as_of` from another gateway; what changed until then cannot be told,
     /// but a few may ask here as well.
     pub(crate) fn know_servers(&mut self, as_of: Millis, next: u64) {
-        self.servers.lose();
+        self.servers.clear_offset();
         self.learn_servers(as_of, next, Vec::new(), Reach::Few);
     }
 
     /// Takes a message on orders; `true` if some were missed.
-    pub(crate) fn hear_orders(&mut self, told: FeedTold, now: Millis) -> bool {
-        self.orders.hear(told, now, fastrand::u64(..)) == FeedHeard::Missed
+    pub(crate) fn hear_orders(&mut self, told: FeedUpdate, now: Millis) -> bool {
+        self.orders.apply_update(told, now, fastrand::u64(..)) == FeedUpdateOutcome::Gap
     }
 
     /// Takes a message on servers and returns the changes that it brings.
     pub(crate) fn hear_servers(
         &mut self,
-        told: FeedTold,
+        told: FeedUpdate,
         changes: Vec<ServerChange>,
         now: Millis,
     ) -> Vec<ServerChange> {
         let from = self.servers.next();
-        match (self.servers.hear(told, now, fastrand::u64(..)), from) {
-            (FeedHeard::Applies, Some(from)) => {
+        match (self.servers.apply_update(told, now, fastrand::u64(..)), from) {
+            (FeedUpdateOutcome::Applies, Some(from)) => {
                 self.past.add(from, told.next, changes.clone());
                 changes
             }
@@ -191,25 +192,25 @@
     }
 
     /// Returns what the others have not been told of orders.
-    pub(crate) fn take_orders(&mut self, now: Millis) -> Option<(FeedTold, Reach)> {
+    pub(crate) fn take_orders(&mut self, now: Millis) -> Option<(FeedUpdate, Reach)> {
         let (told, as_of, reach) = self.untold_orders.take()?;
-        Some((FeedTold { age: now.since(as_of), ..told }, reach))
+        Some((FeedUpdate { age: now.since(as_of), ..told }, reach))
     }
 
     /// Returns what the others have not been told of servers.
     pub(crate) fn take_servers(
         &mut self,
         now: Millis,
-    ) -> Option<(FeedTold, Vec<ServerChange>, Reach)> {
+    ) -> Option<(FeedUpdate, Vec<ServerChange>, Reach)> {
         let (next, began, reach) = self.untold_servers.take()?;
-        let (from, changes) = self.past.told().unwrap_or((next, Vec::new()));
-        Some((FeedTold { from, next, age: now.since(began) }, changes, reach))
+        let (from, changes) = self.past.recent_changes().unwrap_or((next, Vec::new()));
+        Some((FeedUpdate { from, next, age: now.since(began) }, changes, reach))
     }
 
     /// Takes an own read of marks that began at `began`, with what it brought.
     pub(crate) fn read_marks(&mut self, began: Millis, next: u64, changes: Vec<MarkChange>) {
         let from = self.marks.next().unwrap_or(next);
-        self.marks.read(began, next, fastrand::u64(..));
+        self.marks.record_read(began, next, fastrand::u64(..));
         self.past_marks.add(from, next, changes);
         self.untold_marks = Some((next, began));
     }
@@ -217,13 +218,13 @@
     /// Takes a message on marks and returns those that it brings.
     pub(crate) fn hear_marks(
         &mut self,
-        told: FeedTold,
+        told: FeedUpdate,
         changes: Vec<MarkChange>,
         now: Millis,
     ) -> Vec<MarkChange> {
         let from = self.marks.next();
-        match (self.marks.hear(told, now, fastrand::u64(..)), from) {
-            (FeedHeard::Applies, Some(from)) => {
+        match (self.marks.apply_update(told, now, fastrand::u64(..)), from) {
+            (FeedUpdateOutcome::Applies, Some(from)) => {
                 self.past_marks.add(from, told.next, changes.clone());
                 changes
             }
@@ -232,9 +233,9 @@
     }
 
     /// Returns what the others have not been told of marks.
-    pub(crate) fn take_marks(&mut self, now: Millis) -> Option<(FeedTold, Vec<MarkChange>)> {
+    pub(crate) fn take_marks(&mut self, now: Millis) -> Option<(FeedUpdate, Vec<MarkChange>)> {
         let (next, began) = self.untold_marks.take()?;
-        let (from, changes) = self.past_marks.told().unwrap_or((next, Vec::new()));
-        Some((FeedTold { from, next, age: now.since(began) }, changes))
+        let (from, changes) = self.past_marks.recent_changes().unwrap_or((next, Vec::new()));
+        Some((FeedUpdate { from, next, age: now.since(began) }, changes))
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -8,8 +8,8 @@
 
 use event_listener::Event;
 use redwingfold_core::{
-    Catalog, ConnectTimes, Evacuations, Leads, LeavingServers, Millis, Pressure, Quarantine,
-    QuarantinePolicy, ReadRates, Regions, Registry, RegistryPolicy, RepeatBudget, RepeatUse,
+    Catalog, ConnectTimeout, DomainRegions, Evacuations, Leads, LeavingServers, Millis, Pressure,
+    Quarantine, QuarantinePolicy, ReadRates, Registry, RegistryPolicy, ResendBudget, ResendReason,
     RetryAfterTimes, Rises, SendTurns, ServerEnds, ServerLimits, ServiceName, StreamTimes,
 };
 use redwingfold_telemetry::Telemetry;
@@ -87,7 +87,7 @@
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) claims: RefCell<VecDeque<Claim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
-    pub(crate) regions: RefCell<Regions>,
+    pub(crate) regions: RefCell<DomainRegions>,
     pub(crate) send_turns: RefCell<SendTurns>,
     pub(crate) turn_waiters: TurnWaiters,
     pub(crate) server_limits: RefCell<ServerLimits>,
@@ -107,8 +107,8 @@
     pub(crate) servers_written: RefCell<Option<WrittenServers>>,
     /// Another gateway knows more of one of them.
     pub(crate) ahead: Event,
-    budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
-    pub(crate) connect_times: Cell<ConnectTimes>,
+    budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
+    pub(crate) connect_times: Cell<ConnectTimeout>,
     pub(crate) rates: RefCell<ReadRates>,
     pub(crate) rises: RefCell<Rises>,
     pub(crate) stream_times: RefCell<StreamTimes>,
@@ -136,7 +136,7 @@
     ) -> Self {
         let rollouts = Rollouts::new(settings.canary, settings.session_keep);
         let feeds = Feeds::new(settings.feeds);
-        let connect_times = ConnectTimes::new(settings.connect_timeout);
+        let connect_times = ConnectTimeout::new(settings.connect_timeout);
         // Servers end before many gateways at once; marks that all of them wrote at the same moment would hold each other up.
         let hold = settings.quarantine.hold;
         let hold = hold.after(Millis(fastrand::u64(0..=hold.0 / 2)));
@@ -201,7 +201,7 @@
     }
 
     /// Takes the regions of failure domains.
-    pub fn set_regions(&self, regions: Regions) {
+    pub fn set_regions(&self, regions: DomainRegions) {
         *self.regions.borrow_mut() = regions;
     }
 
@@ -278,11 +278,11 @@
         f(&mut self.registry.borrow_mut())
     }
 
-    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RepeatBudget) -> T) -> T {
+    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut ResendBudget) -> T) -> T {
         let s = &self.settings;
         let mut budgets = self.budgets.borrow_mut();
         f(budgets.entry(service.clone()).or_insert_with(|| {
-            RepeatBudget::new(s.repeat_window, s.repeat_ratio, s.quality_ratio, s.repeat_slack)
+            ResendBudget::new(s.repeat_window, s.repeat_ratio, s.quality_ratio, s.repeat_slack)
         }))
     }
 
@@ -290,7 +290,7 @@
         self.with_budget(service, |budget| budget.request(self.now()));
     }
 
-    pub(crate) fn try_repeat(&self, service: &ServiceName, what: RepeatUse) -> bool {
+    pub(crate) fn try_repeat(&self, service: &ServiceName, what: ResendReason) -> bool {
         self.with_budget(service, |budget| budget.try_take(what, self.now()))
     }
 
@@ -298,8 +298,8 @@
     pub(crate) fn connected(&self, took: Option<Millis>) {
         let mut times = self.connect_times.get();
         match took {
-            Some(took) => times.took(took),
-            None => times.did_not_come(),
+            Some(took) => times.record_connected(took),
+            None => times.record_timeout(),
         }
         self.connect_times.set(times);
     }
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -162,7 +162,7 @@
             waiting: f64::from(waiting),
             unread: known.unread.after(tables.peers.backlog(short, now)),
             slots: server.slots,
-            is_out: known.health.is_out(now) || tables.unreached.is_out(short, now),
+            is_out: known.health.is_ejected(now) || tables.unreached.is_out(short, now),
         }
     }
 
@@ -288,7 +288,7 @@
 
     /// Counts a good answer.
     pub(crate) fn good(&self, server: &BackendServer) {
-        self.change(&server.into(), |known| known.health.good());
+        self.change(&server.into(), |known| known.health.record_success());
     }
 
     /// Counts a failure; `true` if the server is left out from now on.
@@ -300,7 +300,7 @@
         now: Millis,
     ) -> bool {
         let mut tables = self.0.borrow_mut();
-        tables.known(server).is_some_and(|known| known.health.bad(fault, policy, now))
+        tables.known(server).is_some_and(|known| known.health.record_failure(fault, policy, now))
     }
 
     /// Forgets a server that is gone, or has started again.
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -1,6 +1,6 @@
 //! Whether a model's answer is kept, or a larger one is asked.
 
-use redwingfold_core::{Larger, Millis, RepeatUse};
+use redwingfold_core::{Larger, Millis, ResendReason};
 
 use crate::request::Flight;
 
@@ -15,7 +15,7 @@
         }
         let may = self.sends < self.route.max_attempts && !self.is_quarantined();
         match self.larger(size, confidence).filter(|_| may) {
-            Some(larger) if self.gw.try_repeat(&self.service, RepeatUse::Quality) => {
+            Some(larger) if self.gw.try_repeat(&self.service, ResendReason::Quality) => {
                 self.log_larger(size, confidence, larger);
                 self.size = Some(larger);
                 false
@@ -45,7 +45,7 @@
             .map(|larger| Larger {
                 size: larger,
                 rise: self.gw.rises.borrow().expected(&self.service, size, larger),
-                in_time: spent.after(self.reading_time(larger)) < self.route.aim,
+                in_time: spent.after(self.reading_time(larger)) < self.route.latency_target,
             })
             .collect();
         self.gw.settings.sizes.larger(confidence, self.gw.pressure(), &larger)
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use redwingfold_core::{
-    AnswerSums, BackendServer, Counts, FeedTold, Fingerprint, Incarnation, Mark, MarkChange,
-    Millis, ParseIdError, Phase, RequestRate, RouteEvidence, Sent, ServerReport, ServerState,
-    Times,
+    AnswerCounts, AnswerSums, BackendServer, FeedUpdate, Fingerprint, Incarnation, LatencySums,
+    Mark, MarkChange, Millis, ParseIdError, Phase, RequestRate, RouteEvidence, SendCounts,
+    ServerReport, ServerState,
 };
 use serde::{Deserialize, Serialize};
 
@@ -90,13 +90,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 struct SentWire(u64, u64, f32);
 
-impl From<Sent> for SentWire {
-    fn from(sent: Sent) -> Self {
+impl From<SendCounts> for SentWire {
+    fn from(sent: SendCounts) -> Self {
         Self(sent.all, sent.target, sent.per_s as f32)
     }
 }
 
-impl From<SentWire> for Sent {
+impl From<SentWire> for SendCounts {
     fn from(message: SentWire) -> Self {
         Self { all: message.0, target: message.1, per_s: f64::from(message.2) }
     }
@@ -126,13 +126,13 @@
     RolledBack,
 }
 
-impl From<FeedTold> for FeedWire {
-    fn from(told: FeedTold) -> Self {
+impl From<FeedUpdate> for FeedWire {
+    fn from(told: FeedUpdate) -> Self {
         Self(told.from, told.next, told.age.0.min(u64::from(u32::MAX)) as u32)
     }
 }
 
-impl From<FeedWire> for FeedTold {
+impl From<FeedWire> for FeedUpdate {
     fn from(message: FeedWire) -> Self {
         Self { from: message.0, next: message.1, age: Millis(u64::from(message.2)) }
     }
@@ -258,30 +258,35 @@
 
 impl From<AnswerSums> for SumsWire {
     fn from(sums: AnswerSums) -> Self {
-        let times = |t: Times| (t.n, t.sum as f32, t.squares as f32);
-        Self(sums.good, sums.failed, times(sums.begin), times(sums.pace))
+        let times = |t: LatencySums| (t.count, t.log_sum as f32, t.log_square_sum as f32);
+        Self(sums.good, sums.failed, times(sums.first_byte), times(sums.event_gap))
     }
 }
 
 impl From<SumsWire> for AnswerSums {
     fn from(message: SumsWire) -> Self {
-        let times = |(n, sum, squares): (u64, f32, f32)| Times {
-            n,
-            sum: f64::from(sum),
-            squares: f64::from(squares),
+        let times = |(n, sum, squares): (u64, f32, f32)| LatencySums {
+            count: n,
+            log_sum: f64::from(sum),
+            log_square_sum: f64::from(squares),
         };
-        Self { good: message.0, failed: message.1, begin: times(message.2), pace: times(message.3) }
+        Self {
+            good: message.0,
+            failed: message.1,
+            first_byte: times(message.2),
+            event_gap: times(message.3),
+        }
     }
 }
 
-impl From<Counts> for CountsWire {
-    fn from(counts: Counts) -> Self {
+impl From<AnswerCounts> for CountsWire {
+    fn from(counts: AnswerCounts) -> Self {
         let half = (counts.half != AnswerSums::default()).then(|| counts.half.into());
         Self(counts.sums().into(), half)
     }
 }
 
-impl From<CountsWire> for Counts {
+impl From<CountsWire> for AnswerCounts {
     fn from(message: CountsWire) -> Self {
         let half = message.1.map(AnswerSums::from).unwrap_or_default();
         Self { half, ..AnswerSums::from(message.0).into() }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use redwingfold_core::{ByteBudget, FeedTold, Members, Millis};
+use redwingfold_core::{ByteBudget, FeedUpdate, Members, Millis};
 use smol::net::UdpSocket;
 
 use crate::clock::{sleep, within};
@@ -271,7 +271,7 @@
             changes.into_iter().map(TryInto::try_into).collect();
         match changes {
             Ok(changes) => {
-                let next = FeedTold::from(told).next;
+                let next = FeedUpdate::from(told).next;
                 let heard = gw.with_feeds(|feeds| feeds.hear_servers(told.into(), changes, now));
                 gw.take_changes(heard);
                 gw.note_lead(Feed::Servers, from, next);
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -74,7 +74,7 @@
             self.flight.broke_at(&begun, &why).await;
             // Dropped first: two servers must not work on one stream.
             drop(begun);
-            self.events.drop_piece();
+            self.events.discard_partial();
             if !std::mem::take(&mut self.is_paid) && !self.flight.try_again() {
                 return Ended::Cut(why);
             }
@@ -116,7 +116,7 @@
                 }
                 Step::Silent => continue,
                 Step::Next(Next::Broken(why)) => return Err(why),
-                Step::Next(Next::End) if self.events.is_inside_event() => {
+                Step::Next(Next::End) if self.events.has_partial() => {
                     return Err("ended inside an event".to_owned());
                 }
                 Step::Next(Next::End) => {
@@ -172,7 +172,7 @@
         };
         let silent = async {
             let mut watch = SilenceWatch::new(self.flight.gw.now(), SILENCE_POLL);
-            let gap = self.flight.route.stream.map_or(Millis(0), |stream| stream.gap);
+            let gap = self.flight.route.stream.map_or(Millis(0), |stream| stream.max_gap);
             loop {
                 sleep(SILENCE_POLL).await;
                 let is_silent = self.flight.is_silent(&mut watch, &server, Owed::Event(gap));
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, StatusCode, Uri};
 use redwingfold_core::{
     Arm, BackendId, BackendServer, Catalog, Customer, EndedRun, ErrorKind, EventId, Fault,
-    Fingerprint, Millis, Priority, RepeatUse, Route, RunState, ServiceName, VersionName, Work,
+    Fingerprint, Millis, Priority, ResendReason, Route, RunState, ServiceName, VersionName, Work,
     is_in_first_half,
 };
 
@@ -90,7 +90,7 @@
         asked: Asked,
         begun: Millis,
     ) -> Self {
-        let service = route.target(fastrand::u64(..)).cloned().unwrap_or_default();
+        let service = route.choose_service(fastrand::u64(..)).cloned().unwrap_or_default();
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
         let until = begun.after(facts.patience.unwrap_or(longest).min(longest));
         let is_chosen_here = facts.model == ModelAsk::Any && !route.sizes.is_empty();
@@ -256,7 +256,7 @@
         self.gw.loads.good(&begun.server);
         let (Some(size), true) = (self.size, begun.head.status.is_success()) else { return true };
         if size == 0 {
-            self.gw.first_try(begun.first_byte, self.route.aim);
+            self.gw.first_try(begun.first_byte, self.route.latency_target);
         }
         let own = self.own_tokens();
         self.gw.rates.borrow_mut().learn(&self.service, size, own, begun.first_byte);
@@ -360,7 +360,7 @@
     }
 
     fn pay_repeat(&mut self) -> bool {
-        self.gw.try_repeat(&self.service, RepeatUse::Failure)
+        self.gw.try_repeat(&self.service, ResendReason::Failure)
     }
 
     fn unreachable(&mut self, server: &BackendServer, why: String) -> Result<(), Failed> {
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -100,7 +100,7 @@
         let copy = if is_older { StoreCopy::Older } else { StoreCopy::Present };
         let least = Millis(0);
         let most = Millis(self.read_at.map_or(0, |at| ms - at));
-        let age = OrderAge { least, most, is_unknown: self.read_at.is_none() };
+        let age = OrderAge { min: least, max: most, is_unknown: self.read_at.is_none() };
         self.read_at = Some(ms);
         if let Some(target) = store.order.clone() {
             let order = RolloutOrder { target, window: Millis(WINDOW) };
--- a/gateway/src/rollout_choice.rs
+++ b/gateway/src/rollout_choice.rs
@@ -45,7 +45,7 @@
         match self.canary(service) {
             Some(canary) => {
                 let draw = bound.session.map_or(bound.draw, |session| session.0);
-                canary.arm(self.affinity(bound, now), draw, now)
+                canary.choose_arm(self.affinity(bound, now), draw, now)
             }
             None => ArmChoice::Arm(Arm::Current),
         }
--- a/gateway/src/rollout_news.rs
+++ b/gateway/src/rollout_news.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use redwingfold_core::{Millis, Phase, RouteEvidence, Sent, ServiceName, VersionName};
+use redwingfold_core::{Millis, Phase, RouteEvidence, SendCounts, ServiceName, VersionName};
 
 /// What one gateway tells the others of a roll-out.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// Its answers, by a hash of the route's name.
     pub routes: HashMap<u32, RouteEvidence>,
     /// What it has sent since the order.
-    pub sent: Sent,
+    pub sent: SendCounts,
     /// Whether it has found the target bad.
     pub is_rolled_back: bool,
     /// What the store says, as far as it knows: nothing, that the roll-out runs, or how it ended.
--- a/gateway/src/rollout_turns.rs
+++ b/gateway/src/rollout_turns.rs
@@ -25,7 +25,7 @@
         let now = self.now();
         let least = now.since(began);
         let most = known_as_of.map_or(least, |as_of| now.since(as_of));
-        let age = OrderAge { least, most, is_unknown: known_as_of.is_none() };
+        let age = OrderAge { min: least, max: most, is_unknown: known_as_of.is_none() };
         let (target, window) = (order.target.clone(), order.window);
         if !self.with_rollouts(|r| r.order(service, order, age, copy, now)) {
             return;
@@ -102,12 +102,12 @@
                 ("phase", &name(moved.phase)),
                 ("target_good", &total.target.good),
                 ("target_failed", &total.target.failed),
-                ("target_begin", &format_args!("{:.2}", total.target.begin.mean().exp())),
-                ("target_pace", &format_args!("{:.2}", total.target.pace.mean().exp())),
+                ("target_begin", &format_args!("{:.2}", total.target.first_byte.mean().exp())),
+                ("target_pace", &format_args!("{:.2}", total.target.event_gap.mean().exp())),
                 ("current_good", &total.current.good),
                 ("current_failed", &total.current.failed),
-                ("current_begin", &format_args!("{:.2}", total.current.begin.mean().exp())),
-                ("current_pace", &format_args!("{:.2}", total.current.pace.mean().exp())),
+                ("current_begin", &format_args!("{:.2}", total.current.first_byte.mean().exp())),
+                ("current_pace", &format_args!("{:.2}", total.current.event_gap.mean().exp())),
                 ("sent", &moved.shared.sent.all),
                 ("sent_target", &moved.shared.sent.target),
                 ("per_s", &format_args!("{:.0}", moved.shared.sent.per_s)),
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -1,7 +1,8 @@
 //! What gateways see of a version's answers, and tell each other.
 
 use redwingfold_core::{
-    AnswerSums, Arm, Counts, Millis, Phase, RouteName, Sent, ServiceName, Shared, VersionName,
+    AnswerCounts, AnswerSums, Arm, FleetEvidence, Millis, Phase, RouteName, SendCounts,
+    ServiceName, VersionName,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -79,12 +80,12 @@
             (Sight::Failed, _) => one.failed = 1,
             (Sight::FirstByte { .. }, ratio) => {
                 one.good = 1;
-                ratio.into_iter().for_each(|ratio| one.begin.add(ratio));
+                ratio.into_iter().for_each(|ratio| one.first_byte.add(ratio));
             }
-            (Sight::Pace(_), ratio) => ratio.into_iter().for_each(|ratio| one.pace.add(ratio)),
+            (Sight::Pace(_), ratio) => ratio.into_iter().for_each(|ratio| one.event_gap.add(ratio)),
         }
         let half = if seen.is_first_half { one } else { AnswerSums::default() };
-        *counts = counts.plus(Counts { half, ..one.into() });
+        *counts = counts.plus(AnswerCounts { half, ..one.into() });
     }
 
     /// Returns when another gateway was last heard on a roll-out under way.
@@ -141,7 +142,7 @@
         if canary.order().target != news.target || canary.is_announced() != news.is_announced {
             return false;
         }
-        canary.is_older(news.elapsed, news.is_age_known, now);
+        canary.merge_age(news.elapsed, news.is_age_known, now);
         let is_new = news.is_rolled_back && canary.phase() < Phase::Done;
         let (service, target, recorded) =
             (news.service.clone(), news.target.clone(), news.recorded);
@@ -174,9 +175,9 @@
 }
 
 impl ServiceVersions {
-    pub(super) fn shared(&self, now: Millis) -> Shared {
+    pub(super) fn shared(&self, now: Millis) -> FleetEvidence {
         let mut routes = self.routes.clone();
-        let mut sent = self.latest().map_or_else(Sent::default, |c| c.counts(now));
+        let mut sent = self.latest().map_or_else(SendCounts::default, |c| c.counts(now));
         for (news, at) in self.others.values() {
             for (route, evidence) in &news.routes {
                 let sum = routes.entry(*route).or_default();
@@ -184,8 +185,8 @@
             }
             let is_present = now.since(*at) < MAX_NEWS_AGE;
             let per_s = if is_present { news.sent.per_s } else { 0.0 };
-            sent = sent.plus(Sent { per_s, ..news.sent });
+            sent = sent.plus(SendCounts { per_s, ..news.sent });
         }
-        Shared { routes: routes.into_values().collect(), sent }
+        FleetEvidence { routes: routes.into_values().collect(), sent }
     }
 }
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{HashMap, HashSet};
 
 use redwingfold_core::{
-    Arm, Canary, CanaryPolicy, Millis, MovedSessions, OrderAge, Phase, PresentTime, RolloutOrder,
-    RouteEvidence, ServiceName, Shared, StatusBook, UsualTime, VersionName,
+    Arm, Canary, CanaryPolicy, FleetEvidence, Millis, MovedSessions, OrderAge, Phase, PresentTime,
+    RolloutOrder, RouteEvidence, ServiceName, StatusBook, UsualTime, VersionName,
 };
 
 use crate::gateway::StoreCopy;
@@ -87,7 +87,7 @@
     pub(crate) target: VersionName,
     pub(crate) phase: Phase,
     /// What was known.
-    pub(crate) shared: Shared,
+    pub(crate) shared: FleetEvidence,
 }
 
 impl Rollouts {
@@ -248,7 +248,7 @@
     ) -> Option<Arm> {
         let arm = self.arm_of(service, version)?;
         let canary = self.services.get_mut(service).and_then(ServiceVersions::latest_mut);
-        Some(canary.map_or(arm, |canary| canary.sent(reached, arm, now)))
+        Some(canary.map_or(arm, |canary| canary.record_send(reached, arm, now)))
     }
 
     /// Moves all roll-outs on; returns those that changed their phase.
