--- a/core/src/serving/canary.rs
+++ b/core/src/serving/canary.rs
@@ -1,4 +1,4 @@
-//! Rolling a new version of a service out, and back if it answers badly.
+//! Canary roll-out of a new service version, with automatic rollback if its answers regress.
 
 use super::answers::{AnswerCounts, FleetEvidence, LatencySums, RouteEvidence};
 use super::canary_policy::CanaryPolicy;
@@ -6,135 +6,143 @@
 use crate::ids::{Millis, PerMille, VersionName};
 use crate::rollout::{SequentialTest, Tally, TestVerdict};
 
-/// An operator's order to move a service to a version.
+/// An operator's order to move a service to another version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutOrder {
     /// The version to move to.
     pub target: VersionName,
-    /// Time from the order until it should be done.
+    /// Time from the order until its deadline.
     pub window: Millis,
 }
 
-/// Which version a request goes to.
+/// The version that serves a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Arm {
     /// The version in service.
     Current,
-    /// The version that is rolled out.
+    /// The version that is being rolled out.
     Target,
 }
 
-/// What binds a request to a version.
+/// What ties a request to a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Affinity {
-    /// Nothing: it belongs to no session.
+    /// Nothing: the request belongs to no session.
     None,
-    /// Its session, of which this gateway knows nothing.
+    /// A session of which this gateway has no entry.
     UnknownSession,
-    /// The version that it, or a request of its session, was sent to.
+    /// The version to which this request, or an earlier request of its session, was sent.
     Bound(Arm),
 }
 
-/// Which version a request goes to, as far as one gateway can tell.
+/// A gateway's routing decision for one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ArmChoice {
-    /// This one.
+    /// Send the request to this version.
     Arm(Arm),
-    /// The target if its session has moved there, else the version in service; the session's keepers know.
+    /// Ask the gateways that keep the session's entry: the request goes to the target if the
+    /// session has moved there, and to the version in service otherwise.
     AskKeepers,
 }
 
-/// Where a roll-out stands.
+/// Phase of a roll-out.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// A small share is tried.
+    /// A small share of the requests goes to the target.
     Trial,
-    /// The share grows.
+    /// A larger share goes to the target.
     Ramp,
-    /// All new requests go to the target; old ones end.
+    /// All new requests go to the target; requests in flight on the old version finish there.
     Full,
-    /// The version in service is the target, and the old one may stop.
+    /// The target is the version in service, and servers of the old version may stop.
     Done,
-    /// The target gets nothing.
+    /// The target gets no requests.
     RolledBack,
 }
 
-/// How old an order is, when it is read from a feed that shows no times.
+/// Bounds on the age of an order, which is read from a feed without timestamps.
 ///
-/// Both bounds are needed. Were the order taken for older than it is, all of the traffic would go to the
-/// target too early, and a version that never shows its fault would get more than it may: with the mean
-/// of both bounds, 461 requests of 2,669 in place of 430. Taken for younger, a good one would be done
+/// Both bounds are needed. If the order were taken to be older than it is, all traffic would go to
+/// the target too early, and a version whose fault never shows would exceed its exposure; so would
+/// it with the mean of both bounds. If it were taken to be younger, a good version would be done
 /// after its deadline.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OrderAge {
-    /// Time since the read that brought it: more traffic waits by this.
+    /// Time since the read that returned the order. The share of the target is raised by this age.
     pub min: Millis,
-    /// Time since the feed was last known without it: the end comes by this.
+    /// Time since the last read that did not return the order. The roll-out ends by this age.
     pub max: Millis,
-    /// Whether it stood in the feed when this gateway started, so that it may be of any age.
+    /// Whether the order was already in the feed when this gateway started, so that it may be of
+    /// any age.
     pub is_unknown: bool,
 }
 
-/// One roll-out as a gateway sees it.
+/// State of one roll-out at one gateway.
 #[derive(Clone, Debug)]
 pub struct Canary {
     policy: CanaryPolicy,
     order: RolloutOrder,
-    /// Whether an operator has given the order.
+    /// Whether an operator ordered the roll-out.
     is_announced: bool,
     /// The latest time at which the order may have been given.
     latest_order: Millis,
-    /// The earliest one.
+    /// The earliest time at which the order may have been given.
     earliest_order: Millis,
-    /// Whether this gateway, or one that told it, has seen the order come.
+    /// Whether this gateway, or one that sent it the age, was running when the order appeared.
     is_age_known: bool,
     phase: Phase,
     budget: ExposureBudget,
-    /// When full traffic began, and the target's answers until then.
+    /// When full traffic began, and the target's answer counts at that time.
     full_since: Option<(Millis, AnswerCounts)>,
 }
 
-/// Time for which a version that no order names is tried before it has its part of all requests.
+/// Duration of the trial of a version that no order names; after it, the version gets its regular
+/// share of the requests.
 const UNANNOUNCED_TRIAL: Millis = Millis(20_000);
 
-/// How long all requests must have gone to the target before old ones count as ended: gateways
-/// hear of each other's counts twice a second.
+/// Least duration of full traffic before the old version is retired: requests in flight on it
+/// finish, and gateways exchange their counts, which they do twice a second.
 const MIN_FULL_TRAFFIC: Millis = Millis(900);
 
-/// How long before the deadline the old version is given up at the latest, by the greatest age that the
-/// order may have: gateways look at a roll-out each 0.2 s, wait 0.15 s for each other at most, and the word takes
-/// 0.1 s to be written.
+/// Time between the latest retirement of the old version and the deadline, by the greatest possible
+/// age of the order. Gateways step a roll-out every 0.2 s, wait up to 0.15 s for each other, and
+/// take 0.1 s to write the status.
 const RETIRE_MARGIN: Millis = Millis(500);
 
-/// Level at which more failures than usual keep the old version from being given up: one good version
-/// in four waits a few seconds longer, and a bad one that is just short of proof is not let through.
+/// Significance level of the failure test at which the old version is not yet retired. One good
+/// version in four waits a few seconds longer for it; a bad version just short of the rollback
+/// level is not put into service.
 const ELEVATED_ALPHA: f64 = 0.25;
 
-/// Difference of the logarithms up to which a few answers are not slow: 1.4 times as long. Half of the
-/// answers at eight times the usual time make a difference of one.
+/// Largest difference of mean log latencies at which a few answers count as not slow (a factor of
+/// 1.4). If half of the answers take eight times as long, the difference is about 1.
 const MAX_CLEAN_LOG_SLOWDOWN: f64 = 0.35;
 
-/// Part of the window before which no session may move to the target.
+/// Part of the window before which no session moves to the target.
 const SESSION_MOVES_FROM: PerMille = PerMille(500);
 
-/// How much older another gateway may take the order to be: each hears the others' ages once a second or more, and the
-/// message that was on its way for the shortest time counts.
+/// How much older another gateway may take the order to be. Gateways receive each other's ages at
+/// least once a second, and the largest one counts, which is the one with the shortest transit
+/// time.
 const MAX_AGE_SKEW: Millis = Millis(200);
 
-/// Servers without which there is no load trial: one that fails by itself would be all of them.
+/// Fewest servers of a load trial: with a single one, its own failure would look like a fault of
+/// the version.
 const MIN_LOAD_TRIAL_SERVERS: usize = 2;
 
-/// Answers below which one half of the target's servers is passed over, once there are some of the other.
+/// Answers below which one half of the target's servers counts as empty, if the target has
+/// [`MIN_ANSWERS_BESIDE_EMPTY_HALF`].
 const MIN_HALF_ANSWERS: u64 = 4;
 
-/// Answers of the target after which a half with hardly any is taken to have no servers.
+/// Answers of the target from which a half with next to none is taken to have no servers.
 const MIN_ANSWERS_BESIDE_EMPTY_HALF: u64 = 20;
 
-/// Answers of the version in service below which its share of bad ones says little.
+/// Smallest divisor for the failure rate of the version in service: a rate of fewer answers means
+/// little.
 const MIN_CURRENT_ANSWERS: u64 = 20;
 
 impl Canary {
-    /// Begins a roll-out; `draw` is a random number.
+    /// Starts a roll-out; `draw` is a random number.
     pub fn new(
         policy: CanaryPolicy,
         order: RolloutOrder,
@@ -156,7 +164,7 @@
         }
     }
 
-    /// Begins the trial of a version that no order names; `draw` is a random number.
+    /// Starts the trial of a version that no order names; `draw` is a random number.
     ///
     /// ```
     /// use redwingfold_core::{Canary, CanaryPolicy, Millis, Phase, FleetEvidence};
@@ -170,7 +178,7 @@
         Self { is_announced: false, ..Self::new(policy, order, OrderAge::default(), now, draw) }
     }
 
-    /// Returns whether an operator has given the order.
+    /// Returns whether an operator ordered the roll-out.
     pub fn is_announced(&self) -> bool {
         self.is_announced
     }
@@ -185,37 +193,40 @@
         self.phase
     }
 
-    /// Returns the least time that has passed since the order.
+    /// Returns the least possible age of the order.
     pub fn elapsed(&self, now: Millis) -> Millis {
         now.since(self.latest_order)
     }
 
-    /// Returns whether this gateway, or one that told it, has seen the order come.
+    /// Returns whether this gateway, or one that sent it the age, was running when the order
+    /// appeared.
     pub fn is_age_known(&self) -> bool {
         self.is_age_known
     }
 
-    /// Learns from another gateway that the order is at least so old, and whether that one knows its age.
+    /// Merges another gateway's age of the order, which is a lower bound; `is_age_known` is that
+    /// gateway's [`Canary::is_age_known`].
     pub fn merge_age(&mut self, elapsed: Millis, is_age_known: bool, now: Millis) {
         self.is_age_known |= is_age_known;
         self.latest_order = self.latest_order.min(Millis(now.0.saturating_sub(elapsed.0)));
         self.earliest_order = self.earliest_order.min(self.latest_order);
     }
 
-    /// Ends the roll-out as another gateway wrote it.
+    /// Ends the roll-out in the phase that another gateway wrote to the store.
     pub fn end(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
-    /// Looks at what is known and moves on; returns the phase.
+    /// Advances the roll-out by the evidence of all gateways, and returns the phase.
     ///
-    /// A bad version is rolled back from every phase but the last: a version may turn bad late, or
-    /// only under the load of the last phase.
+    /// A regression rolls the target back from every phase but the final ones, because a version
+    /// may turn bad late, or only under full traffic.
     pub fn step(&mut self, shared: &FleetEvidence, now: Millis) -> Phase {
         self.phase = match self.phase {
             Phase::Done | Phase::RolledBack => self.phase,
             _ if self.has_regressed(shared, now) => Phase::RolledBack,
-            // The old version stays, and the servers of this one may be few: there is no moment of full traffic.
+            // There is no phase of full traffic without an order: the old version stays in service,
+            // and the target may have few servers.
             _ if !self.is_announced => self.step_unannounced(shared, now),
             Phase::Trial
                 if self.is_past(self.policy.trial_until, now) && self.has_min_good(shared) =>
@@ -249,8 +260,9 @@
         }
     }
 
-    /// Returns the share of sessions that goes to the target. It never falls, so that a session that a gateway draws
-    /// for the target is drawn for it by all others from then on.
+    /// Returns the share of sessions that goes to the target. It never falls, so that a session
+    /// which one gateway has drawn for the target is drawn for it by all other gateways from then
+    /// on.
     fn session_share(&self, now: Millis) -> PerMille {
         match self.phase {
             Phase::Trial if self.elapsed(now) >= self.sessions_move_from() => {
@@ -261,7 +273,7 @@
         }
     }
 
-    /// Returns the greatest share of sessions that another gateway may send to the target by now.
+    /// Returns the greatest share of sessions that another gateway may already send to the target.
     fn session_share_elsewhere(&self, now: Millis) -> PerMille {
         let elapsed = self.elapsed(now).after(MAX_AGE_SKEW);
         match () {
@@ -272,11 +284,13 @@
         }
     }
 
-    /// Returns how many of the target's servers should get its requests; `None` if all should.
+    /// Returns on how many of the target's servers its requests are concentrated; `None` if all of
+    /// them take requests.
     ///
-    /// A version that fails under load shows nothing while its few requests are spread over as many servers as the version
-    /// in service has: it comes into service and fails in the first burst, with no other left. So a few servers get them, as
-    /// many requests each as in a burst.
+    /// A version that fails under load shows no fault while its small share of requests is spread
+    /// over as many servers as the version in service has. It would be put into service and fail in
+    /// the first burst, with no other version left. So a few servers get all of its requests, each
+    /// as many as in a burst.
     pub fn load_trial(&self, servers: usize, now: Millis) -> Option<usize> {
         let is_load_trial = match self.phase {
             _ if !self.is_announced => false,
@@ -289,18 +303,21 @@
         (is_load_trial && (MIN_LOAD_TRIAL_SERVERS..servers).contains(&count)).then_some(count)
     }
 
-    /// Returns the least age of the order at which sessions move. All other gateways know then that the first half is over.
+    /// Returns the least age of the order from which sessions move. By then, all other gateways are
+    /// past the first half of the window as well.
     fn sessions_move_from(&self) -> Millis {
         self.part_of_window(SESSION_MOVES_FROM).after(MAX_AGE_SKEW)
     }
 
-    /// Chooses the version for a request; `draw` is a hash of its session, the same on all gateways, or of itself.
+    /// Chooses the version for a request. `draw` is a hash of its session, which is the same on all
+    /// gateways, or of the request if it has none.
     ///
-    /// The requests of a session reach any gateway, and most reach one that has not served the session before. So in
-    /// the first half of a roll-out no session is moved, and in the second half the draw alone decides who is. Where this
-    /// gateway has spent its part of the allowed exposure, takes the order for younger than others may, or has just started
-    /// and does not know which half it is, sessions that have moved already must be told apart from others, which only
-    /// their keepers can. After a roll-back sessions must leave the target.
+    /// Most requests of a session reach a gateway that has not served the session before. So no
+    /// session moves in the first half of the window, and in the second half the draw alone decides
+    /// which sessions move. The gateways that keep the session's entry must be asked whether it has
+    /// moved where this gateway has used up its exposure budget, takes the order to be younger than
+    /// others may, or has just started and doesn't know the age of the order. After a rollback,
+    /// sessions return to the version in service.
     pub fn choose_arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
         let is_half_over = self.is_past(SESSION_MOVES_FROM, now);
         let share = match affinity {
@@ -326,8 +343,9 @@
         }
     }
 
-    /// Counts a send of a request that has `reached` a version before; returns what it has reached then.
-    /// One that was ever sent to the target counts as the target's.
+    /// Counts a send of a request that was previously sent to `reached`, and returns the version
+    /// that the request counts for. A request that was ever sent to the target counts for the
+    /// target.
     pub fn record_send(&mut self, reached: Option<Arm>, arm: Arm, now: Millis) -> Arm {
         if reached.is_none() {
             self.budget.record_request(now);
@@ -342,12 +360,12 @@
         }
     }
 
-    /// Returns the time until the deadline, at most.
+    /// Returns the greatest possible time until the deadline.
     fn time_left(&self, now: Millis) -> Millis {
         self.order.window.since(self.elapsed(now))
     }
 
-    /// Says whether the bound on the exposure leaves one more request for the target.
+    /// Returns whether the exposure budget allows one more request for the target.
     fn may_expose(&self, now: Millis) -> bool {
         let reserved_time = match self.phase {
             Phase::Full => self.time_left(now).min(self.order.window.since(self.retire_age())),
@@ -356,17 +374,17 @@
         self.time_left(now) == Millis(0) || self.budget.may_send(reserved_time, now)
     }
 
-    /// Returns what this gateway has sent since the order.
+    /// Returns the send counts of this gateway since the order.
     pub fn counts(&self, now: Millis) -> SendCounts {
         self.budget.counts(now)
     }
 
-    /// Says whether the old version may be given up as far as the bound on the exposure goes: until the
-    /// deadline, everything goes to the target then.
+    /// Returns whether the exposure allows the old version to be retired: from then on until the
+    /// deadline, all requests go to the target.
     ///
-    /// All gateways together are asked. With each asking itself, the one of 28 that had the fewest requests in the
-    /// last moments gave it up in a burst that it had not seen, and 1,376 of 8,460 requests went to the
-    /// target where 1,299 are allowed (core/tests/exposure.rs).
+    /// The counts of all gateways are added up for this. When each gateway checked its own counts,
+    /// the one with the fewest recent requests retired the old version during a burst that had not
+    /// reached it, and the fleet exceeded the exposure.
     fn allows_full_traffic(&self, sent: SendCounts, now: Millis) -> bool {
         let left = self.time_left(now);
         left == Millis(0) || sent.allows_full_traffic(left, self.policy.exposure)
@@ -380,22 +398,23 @@
         Millis(self.order.window.0 * u64::from(part.0) / 1000)
     }
 
-    /// Returns the least age of the order at which the old version is given up.
+    /// Returns the least age of the order at which the old version is retired.
     ///
-    /// Both bounds on the age count. By the greatest one alone the end would come so early that the
-    /// exposure does not allow it yet; by the least one a good version would be done after its deadline.
+    /// Both bounds on the age count. By the greatest age alone, the old version would be retired
+    /// before the exposure allows it; by the least age alone, a good version would be done after
+    /// its deadline.
     fn retire_age(&self) -> Millis {
         let age_uncertainty = self.latest_order.since(self.earliest_order);
         let latest = self.order.window.since(age_uncertainty).since(RETIRE_MARGIN);
         latest.min(self.part_of_window(self.policy.retire_at))
     }
 
-    /// Returns the least age at which all traffic goes to the target: in time to be judged under it before
-    /// the end.
+    /// Returns the least age of the order at which all traffic goes to the target, early enough to
+    /// judge the target under full traffic before the old version is retired.
     ///
-    /// From the clock alone, with an age known to 1.1 s, full traffic began 0.8 s before the end of the window,
-    /// and good versions of fleets of 28 and 103 gateways were done after their deadlines
-    /// (core/tests/exposure.rs). What it may bring is bounded by count.
+    /// When full traffic began at a fixed part of the window and the age of the order was uncertain
+    /// by 1.1 s, good versions of large fleets were done after their deadlines. The exposure of an
+    /// earlier start is limited by the counted budget.
     fn full_traffic_age(&self) -> Millis {
         self.part_of_window(self.policy.ramp_until).min(self.retire_age().since(MIN_FULL_TRAFFIC))
     }
@@ -404,19 +423,23 @@
         shared.total().target.good >= self.policy.min_good
     }
 
-    /// Looks at each route and at all together.
+    /// Returns whether the target is worse than the version in service, on any route or on all
+    /// routes together.
     ///
-    /// A version may be bad on one route only, and its failures would drown among the answers of
-    /// the others: at half of one route's answers in three, it went on into full service.
+    /// A version may be bad on one route only. Its failures would be too few among the answers of
+    /// all routes, and it would be put into service.
     fn has_regressed(&self, shared: &FleetEvidence, now: Millis) -> bool {
         let has_route_regressed = |route| self.has_route_regressed(route, now);
         shared.routes.iter().copied().any(has_route_regressed)
             || has_route_regressed(shared.total())
     }
 
-    /// Compares with the version in service: what is wrong with both is not the target's fault. From the load trial on, nor is
-    /// what only one half of its servers shows: a few servers get most of its requests then, and one of these that fails by
-    /// itself would take a good version with it.
+    /// Returns whether the target fails more often or is slower than the version in service, with
+    /// which it is compared because a fault of both is not a regression.
+    ///
+    /// From the load trial on, both halves of the target's servers must show the fault. A few
+    /// servers get most of the target's requests then, and one that fails by itself would cause the
+    /// rollback of a good version.
     fn has_route_regressed(&self, route: RouteEvidence, now: Millis) -> bool {
         let RouteEvidence { target, current } = route;
         let base_allowed = self.policy.allowed_failures;
@@ -436,7 +459,8 @@
         is_failing || is_slow
     }
 
-    /// Says whether failures are more than usual, though not yet beyond doubt.
+    /// Returns whether any route has more failures than usual, at a level at which a rollback would
+    /// be too early.
     fn is_failure_rate_elevated(&self, shared: &FleetEvidence) -> bool {
         let base_allowed = self.policy.allowed_failures;
         let is_failure_rate_elevated = |route: &RouteEvidence| {
@@ -463,7 +487,8 @@
         test.verdict(target) == TestVerdict::Stop
     }
 
-    /// Says whether a few answers under full traffic show nothing at all against the target.
+    /// Returns whether the few answers under full traffic have neither failures nor a higher
+    /// latency that could point to a regression.
     fn shows_no_regression(&self, target: AnswerCounts, current: AnswerCounts) -> bool {
         let longer = |target: LatencySums, current: LatencySums| target.mean() - current.mean();
         let longest = longer(target.first_byte, current.first_byte)
@@ -471,9 +496,9 @@
         target.failed <= self.policy.max_clean_failures && longest <= MAX_CLEAN_LOG_SLOWDOWN
     }
 
-    /// Says whether the old version may be given up: the deadline is near, enough was seen of the target under
-    /// full traffic, and the exposure allows it. On that word the old servers stop, and nothing can be rolled
-    /// back any more.
+    /// Returns whether the old version may be retired: the deadline is near, the target has
+    /// answered enough requests under full traffic, and the exposure allows it. The old servers
+    /// stop after this decision, so that no rollback is possible any more.
     fn may_retire_current(&self, shared: &FleetEvidence, now: Millis) -> bool {
         let Some((since, before)) = self.full_since else { return false };
         let span = now.since(since);
@@ -481,9 +506,10 @@
         let counts = total.target.since(before);
         let seen = counts.answers();
         let is_near = self.elapsed(now) >= self.retire_age();
-        // What is late already can wait until it is sure: a service of twenty requests a second has a dozen
-        // answers under full traffic in the end of a window of ten seconds, and a version that was
-        // slow or failed under load went into service, with nothing left to go back to.
+        // After the deadline, the decision waits for more evidence. A service of 20 requests a
+        // second has a dozen answers under full traffic at the end of a 10 s window; on these,
+        // versions that were slow or failed under load were put into service, with no version left
+        // to roll back to.
         let (enough, longest) = match self.time_left(now) {
             Millis(0) => (self.policy.min_overdue_answers, self.policy.max_overdue_wait),
             _ if self.shows_no_regression(counts, total.current) => {
--- a/core/src/serving/canary_policy.rs
+++ b/core/src/serving/canary_policy.rs
@@ -1,66 +1,67 @@
-//! Shares and times of roll-outs.
+//! Traffic shares, durations and thresholds of canary roll-outs.
 
 use crate::ids::{Millis, PerMille};
 
-/// Shares and times of a roll-out.
+/// Traffic shares, durations and thresholds of a roll-out.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryPolicy {
-    /// Share of the requests in the window that a bad version may get.
+    /// Largest share of the requests in the window that a bad version may get.
     pub exposure: PerMille,
-    /// Share of the requests in the trial.
+    /// Target's share of the requests in the trial.
     pub trial_share: PerMille,
-    /// Share of the sessions that are tried, from the middle of the window on.
+    /// Target's share of the sessions in the trial, from the middle of the window on.
     pub session_trial_share: PerMille,
-    /// Share in the ramp.
+    /// Target's share of the requests in the ramp.
     pub ramp_share: PerMille,
-    /// Requests that a server gets in the load trial, as a multiple of those that it would get with all of the traffic.
+    /// Requests per server in the load trial, as a multiple of those that it would get with all of
+    /// the traffic.
     pub load_trial_factor: f64,
-    /// Part of the window that the trial takes.
+    /// Part of the window at which the trial ends.
     pub trial_until: PerMille,
     /// Part of the window at which the ramp ends.
     pub ramp_until: PerMille,
-    /// Part of the window, by the least age of the order, at which the old version is given up.
+    /// Part of the window, by the least age of the order, at which the old version is retired.
     pub retire_at: PerMille,
-    /// Good answers without which the trial goes on.
+    /// Good answers that the target needs before the trial ends.
     pub min_good: u64,
-    /// Answers under full traffic without which the old version is not given up.
+    /// Answers under full traffic that the target needs before the old version is retired.
     pub min_full_answers: u64,
-    /// Such answers where these show nothing against the target.
+    /// Replaces `min_full_answers` if these answers show no sign of a regression.
     pub min_clean_answers: u64,
-    /// Failures that these may have.
+    /// Failures among those answers that count as no sign of a regression.
     pub max_clean_failures: u64,
-    /// Time under full traffic after which fewer are enough.
+    /// Time under full traffic after which fewer answers are enough.
     pub max_full_wait: Millis,
-    /// Such answers once the window is over.
+    /// Replaces `min_full_answers` after the deadline.
     pub min_overdue_answers: u64,
-    /// Such a time once the window is over.
+    /// Replaces `max_full_wait` after the deadline.
     pub max_overdue_wait: Millis,
     /// Share of failures that is always allowed.
     pub allowed_failures: PerMille,
-    /// Probability with which a good version is rolled back, at most.
+    /// Greatest probability with which a good version is rolled back.
     pub alpha: f64,
 }
 
-/// Part of the allowed exposure that the time of full traffic may take.
+/// Part of the allowed exposure that full traffic may use.
 const FULL_TRAFFIC_PART: f64 = 0.8;
 
-/// Share of the trial, as a part of the allowed exposure.
+/// Share of the requests in the trial, as a part of the allowed exposure.
 const TRIAL_PART: f64 = 0.15;
 
-/// Share of the sessions in the trial, as a part of the allowed exposure: they are tried for less than half as long as
-/// other requests.
+/// Share of the sessions in the trial, as a part of the allowed exposure. It is larger than that of
+/// requests because the trial of sessions is less than half as long.
 const SESSION_TRIAL_PART: f64 = 0.4;
 
-/// Share of the ramp, as a part of the allowed exposure.
+/// Share of the requests in the ramp, as a part of the allowed exposure.
 const RAMP_PART: f64 = 0.5;
 
 impl CanaryPolicy {
-    /// Makes a policy under which a version that is bad, but never shows it before its window ends,
-    /// gets no more than `exposure` of the requests.
+    /// Creates the policy under which a version whose fault does not show before the end of its
+    /// window gets no more than `exposure` of the requests, a share from 0.0 to 1.0.
     ///
-    /// Some versions fail only under a load that comes once, and no trial finds them. So the target
-    /// has all of the traffic only at the end of its window, when what is left of it is less than
-    /// what a bad version may get.
+    /// Some versions fail only under a load that no trial produces. So the target gets all of the
+    /// traffic only at the end of the window, when the requests that are left are fewer than a bad
+    /// version may get.
     ///
     /// ```
     /// let policy = redwingfold_core::CanaryPolicy::for_exposure(0.15);
@@ -78,17 +79,18 @@
             ramp_until: per_mille(1.0 - exposure * FULL_TRAFFIC_PART),
             retire_at: PerMille(955),
             min_good: 3,
-            // A version that fails one in six under load shows it in these with near certainty.
+            // A version that fails one in six requests under load is detected in 70 answers with
+            // near certainty.
             min_full_answers: 70,
-            // The end of the window is near, and a service of thirty requests a second has seventy answers
-            // just after it: none of a hundred played good versions whose order was read 0.6 s late was done
-            // in time, and with these all are. Of 400 that fail one in six under load one came into service,
-            // of 400 half of whose answers are then eight times as slow none.
+            // A service of 30 requests a second has 70 answers only just after its deadline if its
+            // order is read late, so that good versions would miss it. 45 answers arrive in time,
+            // and hardly any version that fails one in six requests or is eight times slower for
+            // half of them passes as clean on these.
             min_clean_answers: 45,
             max_clean_failures: 1,
             max_full_wait: Millis(6_000),
-            // Half a service's answers that are eight times as slow are proved by some fifty, and the
-            // slowest of services here has twenty a second.
+            // About 50 answers prove a version that is eight times slower for half of its requests,
+            // and 20 requests a second is the lowest rate that services here have.
             min_overdue_answers: 300,
             max_overdue_wait: Millis(20_000),
             allowed_failures: PerMille(20),
@@ -98,7 +100,7 @@
 }
 
 impl Default for CanaryPolicy {
-    /// A bad version gets a seventh of the requests at most.
+    /// Allows a bad version 15% of the requests.
     fn default() -> Self {
         Self::for_exposure(0.15)
     }
