--- a/core/src/serving/answers.rs
+++ b/core/src/serving/answers.rs
@@ -1,21 +1,21 @@
-//! What gateways have seen of a version's answers, as sums that can be added up in any order.
+//! Answer counts and latency sums of a version, which gateways can add up in any order.
 
 use super::exposure::SendCounts;
 use crate::rollout::Tally;
 
-/// Times of answers, as sums that gateways can add up in any order.
+/// Sums over latencies relative to the usual one, which gateways can add up in any order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencySums {
-    /// Their number.
+    /// Number of samples.
     pub count: u64,
-    /// Sum of the logarithms of each time over the usual one.
+    /// Sum of the natural logarithms of latency / usual latency.
     pub log_sum: f64,
-    /// Sum of their squares.
+    /// Sum of the squares of these logarithms.
     pub log_square_sum: f64,
 }
 
 impl LatencySums {
-    /// Adds a time that is `ratio` times the usual one.
+    /// Adds a latency that is `ratio` times the usual one.
     pub fn add(&mut self, ratio: f64) {
         let x = ratio.max(MIN_RATIO).ln();
         self.count += 1;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the mean logarithm; 0 is the usual time.
+    /// Returns the mean logarithm; 0 is the usual latency.
     pub fn mean(self) -> f64 {
         if self.count == 0 { 0.0 } else { self.log_sum / self.count as f64 }
     }
@@ -51,11 +51,12 @@
         variance / n
     }
 
-    /// Says whether these times are longer than others beyond doubt.
+    /// Returns whether these latencies are longer than `usual`, at the level of
+    /// [`min_standard_errors`].
     ///
-    /// Times of one version differ by a factor of ten among themselves, so that counts of long ones
-    /// say little until many have come: a version whose answers took three times as long passed its
-    /// trial with 14 long ones in 73. Their logarithms are nearly normal, and a dozen tell.
+    /// Latencies of one version differ by a factor of ten, so that a count of slow answers needs
+    /// many samples: a version three times slower passed its trial by such a count. The logarithms
+    /// are nearly normal, and a dozen of them are enough.
     ///
     /// ```
     /// use redwingfold_core::LatencySums;
@@ -75,29 +76,28 @@
     }
 }
 
-/// Smallest ratio that counts: one beginning at once must not outweigh ten late ones.
+/// Smallest ratio that is used, so that one very fast answer doesn't outweigh ten slow ones.
 const MIN_RATIO: f64 = 0.1;
 
-/// Least variance of a logarithm: a few equal times are no proof of steadiness.
+/// Least variance of a logarithm, as a few similar samples may underestimate it.
 const MIN_VARIANCE: f64 = 0.1;
 
-/// Times without which nothing is said.
+/// Samples below which latencies are not compared.
 const MIN_SAMPLES: u64 = 8;
 
-/// Difference of the logarithms from which a version is slow: 1.8 times as long.
+/// Difference of mean logarithms above which a version is slow (a factor of 1.8).
 const MIN_LOG_SLOWDOWN: f64 = 0.59;
 
-/// Standard errors that the difference must have where their spread is known; looked at a few hundred
-/// times in a roll-out, a good version passes this by chance less than once in a hundred roll-outs.
+/// Standard errors by which the means must differ if the variance is known. A roll-out is tested a
+/// few hundred times, and a good version exceeds this by chance in fewer than one of a hundred
+/// roll-outs.
 const MIN_STANDARD_ERRORS: f64 = 4.4;
 
-/// Returns the standard errors that the difference must have after `n` times.
+/// Returns the standard errors by which the means must differ after `n` samples.
 ///
-/// The spread of a dozen times is itself a guess, and a bar of five for few times as for many was
-/// passed by chance by 7 of 1,200 played good versions. With the quantile of Student's distribution (its
-/// first terms by Cornish and Fisher) it was by none. A version of which half of the answers are eight times
-/// as slow got 37 requests in place of 34 at 60 a second (counted with the fleet of
-/// core/tests/canary.rs).
+/// The variance of a dozen samples is itself an estimate, and a constant threshold rolled good
+/// versions back by chance. This is a quantile of Student's t-distribution, by the first terms of
+/// its Cornish-Fisher expansion.
 fn min_standard_errors(n: u64) -> f64 {
     let freedom = n.saturating_sub(1).max(1) as f64;
     MIN_STANDARD_ERRORS + (MIN_STANDARD_ERRORS.powi(3) + MIN_STANDARD_ERRORS) / (4.0 * freedom)
@@ -106,28 +106,28 @@
 /// Answers of a version on one route, as sums that gateways can add up in any order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerCounts {
-    /// Answers that were no failures.
+    /// Answers that were not failures.
     pub good: u64,
     /// Failures.
     pub failed: u64,
     /// Times to the first byte.
     pub first_byte: LatencySums,
-    /// Pauses between the events of streams.
+    /// Gaps between the events of streams.
     pub event_gap: LatencySums,
-    /// Those of them that came from one half of the version's servers.
+    /// The part of these sums that came from the first half of the version's servers.
     pub half: AnswerSums,
 }
 
-/// Sums over answers that came from some of a version's servers.
+/// Sums over the answers of some of a version's servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AnswerSums {
-    /// Answers that were no failures.
+    /// Answers that were not failures.
     pub good: u64,
     /// Failures.
     pub failed: u64,
     /// Times to the first byte.
     pub first_byte: LatencySums,
-    /// Pauses between the events of streams.
+    /// Gaps between the events of streams.
     pub event_gap: LatencySums,
 }
 
@@ -158,28 +158,28 @@
     }
 }
 
-/// Answers on one route in the time of a roll-out.
+/// Answers on one route since a roll-out began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteEvidence {
-    /// Of the target.
+    /// Answers of the target.
     pub target: AnswerCounts,
-    /// Of the version in service.
+    /// Answers of the version in service.
     pub current: AnswerCounts,
 }
 
 impl AnswerCounts {
-    /// Adds others' counts.
+    /// Adds the counts of another gateway.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self { half: self.half.plus(other.half), ..self.sums().plus(other.sums()).into() }
     }
 
-    /// Returns what has been added since earlier counts.
+    /// Returns the counts that were added since `earlier`.
     pub(crate) fn since(self, earlier: Self) -> Self {
         Self { half: self.half.minus(earlier.half), ..self.sums().minus(earlier.sums()).into() }
     }
 
-    /// Returns the answers of each half of the version's servers.
+    /// Returns the counts of each half of the version's servers.
     pub(crate) fn halves(self) -> [Self; 2] {
         [self.half.into(), self.sums().minus(self.half).into()]
     }
@@ -203,7 +203,7 @@
             || self.event_gap.is_significantly_longer(usual.event_gap)
     }
 
-    /// Says whether the mean times are those of a slow version, with or without doubt.
+    /// Returns whether a mean latency is that of a slow version, without a test of significance.
     pub(crate) fn has_longer_mean(self, usual: Self) -> bool {
         let longer =
             |times: LatencySums, usual: LatencySums| times.mean() - usual.mean() > MIN_LOG_SLOWDOWN;
@@ -212,19 +212,19 @@
 }
 
 impl RouteEvidence {
-    /// Adds others' evidence.
+    /// Adds the evidence of another gateway.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self { target: self.target.plus(other.target), current: self.current.plus(other.current) }
     }
 }
 
-/// What all gateways together know.
+/// Evidence of all gateways.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetEvidence {
-    /// Answers, by route.
+    /// Answers, one entry for each route.
     pub routes: Vec<RouteEvidence>,
-    /// What they have sent.
+    /// Send counts of all gateways.
     pub sent: SendCounts,
 }
 
--- a/core/src/serving/exposure.rs
+++ b/core/src/serving/exposure.rs
@@ -1,24 +1,24 @@
-//! How many of its requests a gateway may send to a version on trial.
+//! Exposure budget: how many of its requests a gateway may send to a version on trial.
 
 use crate::ids::{Millis, PerMille};
 
-/// Time over which a gateway counts its requests for their rate: longer ones see a burst too late, and
-/// in shorter ones a gateway of a large fleet has a request or two.
+/// Window over which the request rate is measured. A longer window reacts to a burst too late; in a
+/// shorter one, a gateway of a large fleet has only one or two requests.
 const RATE_WINDOW: Millis = Millis(500);
 
-/// What was sent in a roll-out since its order, by one gateway or by several.
+/// Requests sent since the order of a roll-out, by one gateway or several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SendCounts {
-    /// Requests that reached the service.
+    /// Requests sent to the service.
     pub all: u64,
-    /// Those that reached the target.
+    /// Requests sent to the target.
     pub target: u64,
-    /// Requests a second, of the last moments or since the order, whichever are more.
+    /// Requests per second: the recent rate or the mean rate since the order, whichever is higher.
     pub per_s: f64,
 }
 
 impl SendCounts {
-    /// Adds what others have sent.
+    /// Adds the counts of other gateways.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Says whether all requests may go to the target for a time, within an allowed share.
+    /// Returns whether all requests may go to the target for `time` without exceeding `share`.
     ///
     /// ```
     /// use redwingfold_core::{Millis, PerMille, SendCounts};
@@ -42,32 +42,34 @@
     }
 }
 
-/// Returns what must be held back so that all requests may go to the target for a time: of each, its own
-/// part of the allowed share comes with it.
+/// Returns how much of the budget full traffic for `time` uses. Each request also adds its share to
+/// the budget, hence `1 - share`.
 fn reserve(per_s: f64, time: Millis, share: f64) -> f64 {
     per_s * time.0 as f64 / 1000.0 * (1.0 - share)
 }
 
-/// What one gateway has sent in a roll-out, and what it may still send to the target.
+/// Limits the requests that one gateway sends to the target of a roll-out.
 ///
-/// Load pattern: a bad version that shows no fault in its window, and a burst that begins when it has
-/// all of the traffic already. With full traffic by the clock alone, 433 of 2,414 requests went to it
-/// where 392 are allowed, and on a played fleet 772 of 4,560 (core/tests/exposure.rs).
+/// It guards against a version that shows no fault in its window, with a burst that begins when the
+/// version already has all of the traffic. With full traffic from a fixed time on, such a version
+/// got more requests than the exposure allows.
 ///
-/// Each gateway keeps the bound for itself: of the requests that it has sent since the order, at most the
-/// allowed share went to the target. What the trial leaves is saved up, and spent near the end of the
-/// window. The sum over a fleet keeps the bound then at any rate, without a message, and a gateway that
-/// starts anew begins with nothing saved. The last moments are another matter: once the old version is
-/// given up, everything goes to the target until the deadline. So that much is held back at the present
-/// rate, and the old version is not given up before it is there.
+/// Each gateway keeps the bound by itself: of the requests that it has sent since the order, at
+/// most the allowed share went to the target. What the trial doesn't use accumulates and is spent
+/// near the end of the window. So the fleet as a whole keeps the bound at any request rate, without
+/// messages, and a gateway that restarts begins with an empty budget.
 ///
-/// What is left open is a rate that rises after the old version is given up: only the operator's slack and
-/// the little that is left of the window bound that.
+/// After the old version is retired, everything goes to the target until the deadline. So the
+/// budget for that time is reserved at the present rate, and the old version is not retired before
+/// it is available.
+///
+/// The bound doesn't cover a rate that rises after the old version is retired. That is limited only
+/// by the operator's slack and the short rest of the window.
 #[derive(Clone, Debug)]
 pub struct ExposureBudget {
     share: f64,
-    /// A part of a request, drawn once: shares of a few requests are rounded up by as many gateways as it
-    /// takes for their sum to be right.
+    /// A fraction of a request, drawn once. Budgets of a few requests are rounded up at just as
+    /// many gateways as makes the fleet's total right.
     rounding: f64,
     all: u64,
     target: u64,
@@ -78,7 +80,7 @@
 }
 
 impl ExposureBudget {
-    /// Makes the budget of a gateway that has sent nothing; `draw` is a random number.
+    /// Creates the budget of a gateway that has sent nothing; `draw` is a random number.
     ///
     /// ```
     /// use redwingfold_core::{ExposureBudget, Millis, PerMille};
@@ -115,15 +117,15 @@
         self.target += 1;
     }
 
-    /// Says whether one more request may go to the target, while so much is held back that afterwards all
-    /// may go there for a time.
+    /// Returns whether one more request may go to the target, with the budget for full traffic of
+    /// `reserved_time` left over.
     pub fn may_send(&self, reserved_time: Millis, now: Millis) -> bool {
         let reserved_time = reserve(self.per_s(now), reserved_time, self.share);
         let allowed = self.share * (self.all + 1) as f64 + self.rounding;
         (self.target + 1) as f64 + reserved_time <= allowed
     }
 
-    /// Returns what this gateway has sent.
+    /// Returns the send counts of this gateway.
     pub fn counts(&self, now: Millis) -> SendCounts {
         SendCounts { all: self.all, target: self.target, per_s: self.per_s(now) }
     }
@@ -140,7 +142,7 @@
         last.max(per_s(self.all, now.since(since).max(RATE_WINDOW)))
     }
 
-    /// Begins a new span if the present one is over.
+    /// Starts a new rate window if the present one is over.
     fn rotate_window(&mut self, now: Millis) {
         let span = now.since(self.window_start);
         if span < RATE_WINDOW {
--- a/core/src/serving/feed.rs
+++ b/core/src/serving/feed.rs
@@ -1,57 +1,59 @@
-//! Reading a feed of the store together: one gateway reads, and the others hear what it saw.
+//! Shared reads of a store's feed: one gateway reads, and sends what it read to the others.
 
 use std::collections::VecDeque;
 
 use crate::ids::Millis;
 
-/// What a gateway tells of its last read.
+/// What a gateway sends to others after a read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FeedUpdate {
-    /// Offset from which the changes are told.
+    /// Offset from which the message carries the changes.
     pub from: u64,
     /// Offset at which the feed ended.
     pub next: u64,
-    /// How long ago that was.
+    /// Time since the feed was read.
     pub age: Millis,
 }
 
-/// What a message of another gateway is good for.
+/// How a message of another gateway relates to this gateway's offset.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FeedUpdateOutcome {
-    /// It goes on from what is known here: its changes are taken.
+    /// It continues at or before this gateway's offset: its changes are applied.
     Applies,
-    /// It confirms what is known here.
+    /// It ends at this gateway's offset.
     Confirms,
-    /// It shows that something was missed: this gateway reads itself.
+    /// It begins after this gateway's offset: this gateway must read the store itself.
     Gap,
-    /// It says nothing new.
+    /// It ends before this gateway's offset, or this gateway has no offset yet.
     Stale,
 }
 
-/// How far a gateway knows a feed, and as of when.
+/// A gateway's offset in a feed, and the time as of which it is current.
 ///
-/// With a read of each gateway's own, calls grow with the fleet while the feed says the same to
-/// all. Here each waits a random time after the last moment as of which it knows the feed; the
-/// first one reads, and its message lets the others wait anew. Nobody is elected, so nobody's death is
-/// noticed late: a gateway that hears nothing reads itself after twice its period at most.
+/// If every gateway read the store by itself, the calls would grow with the fleet, for the same
+/// data. Instead, each gateway waits for a random time since its view was last current. The first
+/// one to time out reads, and its message restarts the timers of the others. There is no leader
+/// whose failure would have to be detected: a gateway that receives no message reads after twice
+/// its period at most.
 ///
-/// The waits are not drawn evenly: the chance of an early one falls exponentially with the size of the
-/// fleet, as receivers of a multicast draw theirs. With even ones, a dozen of 28 gateways came to
-/// their end before the message of the first had reached them.
+/// The timers are not uniform. The probability of an early timeout falls exponentially with the
+/// size of the fleet, as with the feedback timers of multicast receivers. With uniform timers, a
+/// dozen of 28 gateways timed out before the first one's message reached them.
 #[derive(Clone, Debug)]
 pub struct FeedView {
     period: Millis,
-    /// Gateways that read this feed, this one included.
+    /// Gateways that read this feed, including this one.
     fleet: usize,
     next: Option<u64>,
-    /// Offset up to which the feed was ever known.
+    /// Highest offset that `next` ever had.
     highest_next: Option<u64>,
     known_as_of: Millis,
     refresh_interval: Millis,
 }
 
 impl FeedView {
-    /// Makes the view of a feed of which nothing is known; it is read once in `period` at least.
+    /// Creates a view without an offset. `period` is the least time without messages after which
+    /// this gateway reads; it reads after twice the period at most.
     ///
     /// ```
     /// use redwingfold_core::{FeedUpdateOutcome, FeedUpdate, FeedView, Millis};
@@ -74,56 +76,57 @@
         }
     }
 
-    /// Notes how many gateways read this feed, this one included.
+    /// Sets the number of gateways that read this feed, including this one.
     pub fn set_fleet_size(&mut self, fleet: usize) {
         self.fleet = fleet.max(1);
     }
 
-    /// Returns how many gateways read this feed, this one included.
+    /// Returns the number of gateways that read this feed, including this one.
     pub fn fleet_size(&self) -> usize {
         self.fleet
     }
 
-    /// Returns the offset up to which the feed is known.
+    /// Returns the offset of the next record to read; `None` if the feed must be read whole.
     pub fn next(&self) -> Option<u64> {
         self.next
     }
 
-    /// Returns the offset up to which the feed was ever known; it stands also when the feed is lost.
+    /// Returns the highest offset that this view ever had; [`FeedView::clear_offset`] leaves it.
     ///
-    /// A gateway that has lost it asks only those that know more. With nothing to compare, two that knew the same
-    /// asked each other three times a second, and neither read the store's list for 20 s.
+    /// A gateway without an offset asks only gateways whose offset is higher than this. Without
+    /// this comparison, two gateways in the same state kept asking each other, and neither read the
+    /// store's list for 20 s.
     pub fn highest_next(&self) -> Option<u64> {
         self.highest_next
     }
 
-    /// Returns as of when the feed was last known, if it ever was.
+    /// Returns the time as of which the view was last current; `None` if it never was.
     ///
-    /// That holds also while the next records cannot be read: an order that comes with the whole feed anew is
-    /// younger than what was known before. Without that bound such an order was taken for just given, and
-    /// a good version was done after its deadline.
+    /// It remains valid after the offset is cleared. An order that arrives with the next read of
+    /// the whole feed is younger than this; without that bound, such an order was taken to be just
+    /// given, and a good version was done after its deadline.
     pub fn as_of(&self) -> Option<Millis> {
         (self.known_as_of > Millis(0)).then_some(self.known_as_of)
     }
 
-    /// Says whether this gateway should read.
+    /// Returns whether this gateway should read the store.
     pub fn is_due(&self, now: Millis) -> bool {
         self.next.is_none() || now.since(self.known_as_of) >= self.refresh_interval
     }
 
-    /// Takes an own read that began at `began`; `draw` is a random number.
+    /// Records a read of this gateway that began at `began`; `draw` is a random number.
     pub fn record_read(&mut self, began: Millis, next: u64, draw: u64) {
         self.next = Some(next);
         self.highest_next = self.highest_next.max(self.next);
         self.refresh(began, draw);
     }
 
-    /// Forgets how far the feed is known, because it no longer keeps what comes next.
+    /// Clears the offset, because the feed no longer has the record at it.
     pub fn clear_offset(&mut self) {
         self.next = None;
     }
 
-    /// Takes another gateway's message; `draw` is a random number.
+    /// Applies the message of another gateway; `draw` is a random number.
     pub fn apply_update(
         &mut self,
         update: FeedUpdate,
@@ -159,15 +162,17 @@
     }
 }
 
-/// Length of an answer from which on it pays to ask for the newest of each key instead: below it a second
-/// call takes longer than the bytes that it saves.
+/// Length in bytes of an answer from which a compacted read pays: below it, the second call takes
+/// longer than the bytes that it saves.
 const MIN_COMPACTED_READ_BYTES: u64 = 64 * 1024;
 
-/// Says whether the newest record of each key is shorter than all records since the last read.
+/// Returns whether a compacted read, which has only the newest record of each key, is shorter than
+/// all records since the last read. `behind` is the number of records since then, and `bytes` the
+/// length of the answer that has them.
 ///
-/// A record that holds everything makes those before it useless. A gateway with 10 Mbit/s, behind by
-/// several configurations of 300 kB each that came 0.4 s apart, would read them all one by one and never catch up.
-/// `behind` is the number of records that are due, `bytes` the length of the answer that brings them.
+/// A record with the whole configuration supersedes the earlier ones. A gateway with a link of 10
+/// Mbit/s that is several configurations of 300 kB behind, one every 0.4 s, would never catch up by
+/// reading each of them.
 ///
 /// ```
 /// use redwingfold_core::is_compacted_read_shorter;
@@ -178,11 +183,12 @@
     behind > 1 && bytes >= MIN_COMPACTED_READ_BYTES
 }
 
-/// What the last reads of a feed brought, to be told again with each message.
+/// The changes of the last reads of a feed, which each message repeats.
 ///
-/// A message that is lost leaves a gap before the next one, and whoever missed it reads the store.
-/// Among hundreds of gateways somebody always did: with one message in fifty lost, 330 of them read
-/// eight times as often as one. A message that also tells what the two before it did bridges the gap.
+/// A lost message leaves a gap before the next one, and each gateway that missed it reads the
+/// store. In a fleet of hundreds, some gateway always did: with 2% of messages lost, 330 gateways
+/// read eight times as often as one. A message that repeats the changes of the two before it closes
+/// the gap.
 #[derive(Clone, Debug)]
 pub struct FeedHistory<C> {
     reads: VecDeque<PastRead<C>>,
@@ -196,11 +202,12 @@
     changes: Vec<C>,
 }
 
-/// Reads that a message tells of: two lost ones in a row are rare enough to be read.
+/// Reads whose changes a message carries. Two messages in a row are lost so rarely that the store
+/// can be read then.
 const MAX_HISTORY_READS: usize = 3;
 
 impl<C: Clone> FeedHistory<C> {
-    /// Makes an empty past of which at most `max_changes` are told.
+    /// Creates an empty history of at most `max_changes` changes.
     ///
     /// ```
     /// use redwingfold_core::FeedHistory;
@@ -213,7 +220,7 @@
         Self { reads: VecDeque::new(), max_changes }
     }
 
-    /// Adds what a read, or another gateway's message, brought between two offsets.
+    /// Adds the changes between two offsets, from an own read or another gateway's message.
     pub fn add(&mut self, from: u64, next: u64, changes: Vec<C>) {
         if self.reads.back().is_some_and(|last| last.next != from) {
             self.reads.clear();
@@ -228,18 +235,18 @@
         }
     }
 
-    /// Returns the offset from which changes can be told, and the changes since.
+    /// Returns the first offset in the history, and the changes since.
     pub fn recent_changes(&self) -> Option<(u64, Vec<C>)> {
         let from = self.reads.front()?.from;
         Some((from, self.reads.iter().flat_map(|read| read.changes.iter().cloned()).collect()))
     }
 }
 
-/// Draws a wait of up to `most`; early ones are the rarer the larger the fleet is.
+/// Draws a wait of up to `max`; the larger the fleet, the rarer an early one.
 ///
-/// The time from `t` to `t + dt` is drawn with a density of `exp(lambda * t / most)`. With `lambda` of
-/// one more than the logarithm of the fleet's size, about one gateway is expected in the first part
-/// of the time, whatever that size is.
+/// The wait `t` has a density proportional to `exp(lambda * t / max)`. With `lambda` of one more
+/// than the logarithm of the fleet's size, about one gateway is expected in the first part of the
+/// time, whatever the size is.
 pub(crate) fn random_wait(max: Millis, fleet: usize, draw: u64) -> Millis {
     let lambda = (fleet.max(1) as f64).ln() + 1.0;
     let uniform = draw as f64 / u64::MAX as f64;
