--- a/core/src/serving/budget.rs
+++ b/core/src/serving/budget.rs
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
-    begun: Millis,
+    start: Millis,
     requests: u32,
     repeats: u32,
 }
@@ -48,7 +48,7 @@
     /// ```
     /// use redwingfold_core::{Millis, ResendBudget, ResendReason};
     /// let mut budget = ResendBudget::new(Millis(10_000), 0.5, 0.25, 0.0);
-    /// (0..4).for_each(|_| budget.request(Millis(0)));
+    /// (0..4).for_each(|_| budget.record_request(Millis(0)));
     /// assert!(budget.try_take(ResendReason::Quality, Millis(1)));
     /// assert!(!budget.try_take(ResendReason::Quality, Millis(1)));
     /// assert!(budget.try_take(ResendReason::Failure, Millis(1)));
@@ -59,7 +59,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.slice(now).requests += 1;
     }
 
@@ -87,11 +87,11 @@
 
     fn slice(&mut self, now: Millis) -> &mut Slice {
         let len = Millis((self.window.0 / SLICES).max(1));
-        while self.slices.front().is_some_and(|s| now.since(s.begun) > self.window) {
+        while self.slices.front().is_some_and(|s| now.since(s.start) > self.window) {
             self.slices.pop_front();
         }
-        if self.slices.back().is_none_or(|s| now.since(s.begun) >= len) {
-            self.slices.push_back(Slice { begun: now, ..Slice::default() });
+        if self.slices.back().is_none_or(|s| now.since(s.start) >= len) {
+            self.slices.push_back(Slice { start: now, ..Slice::default() });
         }
         let last = self.slices.len() - 1;
         &mut self.slices[last]
--- a/core/src/serving/feed.rs
+++ b/core/src/serving/feed.rs
@@ -191,12 +191,12 @@
 /// the gap.
 #[derive(Clone, Debug)]
 pub struct FeedHistory<C> {
-    reads: VecDeque<PastRead<C>>,
+    reads: VecDeque<ReadChanges<C>>,
     max_changes: usize,
 }
 
 #[derive(Clone, Debug)]
-struct PastRead<C> {
+struct ReadChanges<C> {
     from: u64,
     next: u64,
     changes: Vec<C>,
@@ -211,10 +211,10 @@
     ///
     /// ```
     /// use redwingfold_core::FeedHistory;
-    /// let mut past = FeedHistory::new(8);
-    /// past.add(10, 12, vec!["a"]);
-    /// past.add(12, 13, vec!["b"]);
-    /// assert_eq!(past.recent_changes(), Some((10, vec!["a", "b"])));
+    /// let mut history = FeedHistory::new(8);
+    /// history.add(10, 12, vec!["a"]);
+    /// history.add(12, 13, vec!["b"]);
+    /// assert_eq!(history.recent_changes(), Some((10, vec!["a", "b"])));
     /// ```
     pub fn new(max_changes: usize) -> Self {
         Self { reads: VecDeque::new(), max_changes }
@@ -225,8 +225,8 @@
         if self.reads.back().is_some_and(|last| last.next != from) {
             self.reads.clear();
         }
-        self.reads.push_back(PastRead { from, next, changes });
-        let is_long = |reads: &VecDeque<PastRead<C>>| {
+        self.reads.push_back(ReadChanges { from, next, changes });
+        let is_long = |reads: &VecDeque<ReadChanges<C>>| {
             let changes: usize = reads.iter().map(|read| read.changes.len()).sum();
             reads.len() > MAX_HISTORY_READS || changes > self.max_changes
         };
--- a/core/tests/canary.rs
+++ b/core/tests/canary.rs
@@ -6,21 +6,25 @@
     Affinity, AnswerCounts, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence, Millis, OrderAge,
     Phase, RolloutOrder, RouteEvidence, SendCounts,
 };
-use rollout_fleet::{Fleet, Kind, Version, WINDOW};
+use rollout_fleet::{BadAnswerRate, FaultKind, Fleet, WINDOW};
 
-fn check_bad(version: Version, kind: Kind, name: &str) {
+fn assert_rolled_back(bad_rate: BadAnswerRate, kind: FaultKind, name: &str) {
     for gateways in [1, 4, 28] {
         for seed in 0..20 {
-            let played = Fleet::new(gateways, seed).play(60, 0.02, version, kind);
-            assert_eq!(played.phase, Phase::RolledBack, "{name}, {gateways} gateways, seed {seed}");
-            let allowed = played.all * 15 / 100 + 30;
+            let outcome = Fleet::new(gateways, seed).simulate(60, 0.02, bad_rate, kind);
+            assert_eq!(
+                outcome.phase,
+                Phase::RolledBack,
+                "{name}, {gateways} gateways, seed {seed}"
+            );
+            let allowed = outcome.all * 15 / 100 + 30;
             assert!(
-                played.to_target <= allowed,
+                outcome.to_target <= allowed,
                 "{name}, {gateways} gateways, seed {seed}: {} of {}",
-                played.to_target,
-                played.all
+                outcome.to_target,
+                outcome.all
             );
-            assert_eq!(played.after_50th, 0, "{name}, {gateways} gateways, seed {seed}");
+            assert_eq!(outcome.after_50th, 0, "{name}, {gateways} gateways, seed {seed}");
         }
     }
 }
@@ -28,29 +32,37 @@
 /// Half of a version's answers are failures from the start.
 #[test]
 fn failing_version_is_rolled_back() {
-    check_bad(|_, _, _| 0.5, Kind::Failed, "failing");
+    assert_rolled_back(|_, _, _| 0.5, FaultKind::Failed, "failing");
 }
 
 /// Only one route's answers are bad. Among the answers of all routes they are few: judged together,
 /// the version went into full service.
 #[test]
 fn version_that_is_bad_on_one_route_is_rolled_back() {
-    check_bad(|route, _, _| if route == 1 { 0.5 } else { 0.0 }, Kind::Failed, "one route");
+    assert_rolled_back(
+        |route, _, _| if route == 1 { 0.5 } else { 0.0 },
+        FaultKind::Failed,
+        "one route",
+    );
 }
 
 /// A version answers well for some seconds, and then does not. It must not have had most of the
 /// traffic by then.
 #[test]
 fn version_that_turns_bad_late_is_rolled_back() {
-    check_bad(|_, ms, _| if ms > 8_000 { 0.5 } else { 0.0 }, Kind::Failed, "late");
-    check_bad(|_, ms, _| if ms > 15_000 { 0.5 } else { 0.0 }, Kind::Failed, "later");
+    assert_rolled_back(|_, ms, _| if ms > 8_000 { 0.5 } else { 0.0 }, FaultKind::Failed, "late");
+    assert_rolled_back(|_, ms, _| if ms > 15_000 { 0.5 } else { 0.0 }, FaultKind::Failed, "later");
 }
 
 /// A version fails only once much of the traffic is there: the last step must be undone within a
 /// moment.
 #[test]
 fn version_that_fails_under_load_is_rolled_back() {
-    check_bad(|_, _, share| if share > 0.5 { 0.5 } else { 0.0 }, Kind::Failed, "under load");
+    assert_rolled_back(
+        |_, _, share| if share > 0.5 { 0.5 } else { 0.0 },
+        FaultKind::Failed,
+        "under load",
+    );
 }
 
 /// A version is bad, and shows it only under a load that does not come in its window: nothing can
@@ -59,9 +71,10 @@
 fn version_that_never_shows_it_stays_within_its_exposure() {
     for gateways in [1, 4, 28] {
         for seed in 0..20 {
-            let played = Fleet::new(gateways, seed).play(60, 0.0, |_, _, _| 0.0, Kind::Failed);
-            let allowed = played.all * 15 / 100 + 30;
-            assert!(played.to_target <= allowed, "{} of {}", played.to_target, played.all);
+            let outcome =
+                Fleet::new(gateways, seed).simulate(60, 0.0, |_, _, _| 0.0, FaultKind::Failed);
+            let allowed = outcome.all * 15 / 100 + 30;
+            assert!(outcome.to_target <= allowed, "{} of {}", outcome.to_target, outcome.all);
         }
     }
 }
@@ -73,7 +86,7 @@
 fn slow_version_of_a_small_service_does_not_come_into_service() {
     let done = |seed: &u64| {
         let fleet = Fleet::new(4, *seed).with_window(10_000);
-        fleet.play(19, 0.0, |_, _, _| 0.5, Kind::Slow).phase == Phase::Done
+        fleet.simulate(19, 0.0, |_, _, _| 0.5, FaultKind::Slow).phase == Phase::Done
     };
     let done: Vec<_> = (0..50).filter(done).collect();
     assert!(done.is_empty(), "{done:?}");
@@ -84,18 +97,18 @@
 /// one, at whose predecessor requests still run, is done before its deadline.
 #[test]
 fn order_of_unknown_age_ends_in_time_and_within_its_exposure() {
-    let doubt = Millis(900);
+    let age_uncertainty = Millis(900);
     for after in [0, 300, 600, 900] {
         for seed in 0..10 {
-            let age = OrderAge { max: doubt, ..OrderAge::default() };
-            let fleet = Fleet::that_read(4, seed, Millis(after), age);
-            let played = fleet.play(60, 0.0, |_, _, _| 0.0, Kind::Failed);
-            let allowed = played.all * 15 / 100 + 30;
-            assert!(played.to_target <= allowed, "{after}: {}", played.to_target);
+            let age = OrderAge { max: age_uncertainty, ..OrderAge::default() };
+            let fleet = Fleet::with_order_age(4, seed, Millis(after), age);
+            let outcome = fleet.simulate(60, 0.0, |_, _, _| 0.0, FaultKind::Failed);
+            let allowed = outcome.all * 15 / 100 + 30;
+            assert!(outcome.to_target <= allowed, "{after}: {}", outcome.to_target);
             assert!(
-                played.ended_at.is_some_and(|at| at < WINDOW),
+                outcome.ended_at.is_some_and(|at| at < WINDOW),
                 "{after}: {:?}",
-                played.ended_at
+                outcome.ended_at
             );
         }
     }
@@ -104,25 +117,27 @@
 /// A version answers everything, several times as slowly.
 #[test]
 fn slow_version_is_rolled_back() {
-    check_bad(|_, _, _| 0.6, Kind::Slow, "slow");
+    assert_rolled_back(|_, _, _| 0.6, FaultKind::Slow, "slow");
 }
 
 /// Good versions are done within their time, also where the version in service fails as often; there,
 /// one in a hundred may be rolled back by chance: that is what the level of the test of failures allows.
 #[test]
 fn good_version_is_done_in_time() {
-    for (usual, allowed) in [(0.0, 0), (0.05, 1)] {
-        let version: Version = if usual == 0.0 { |_, _, _| 0.0 } else { |_, _, _| 0.05 };
+    for (current_bad_rate, allowed) in [(0.0, 0), (0.05, 1)] {
+        let bad_rate: BadAnswerRate =
+            if current_bad_rate == 0.0 { |_, _, _| 0.0 } else { |_, _, _| 0.05 };
         let rolled_back = (0..100)
             .filter(|&seed| {
-                let played = Fleet::new(4, seed).play(60, usual, version, Kind::Failed);
-                if played.phase == Phase::Done {
-                    assert!(played.ended_at.unwrap() < WINDOW);
+                let outcome =
+                    Fleet::new(4, seed).simulate(60, current_bad_rate, bad_rate, FaultKind::Failed);
+                if outcome.phase == Phase::Done {
+                    assert!(outcome.ended_at.unwrap() < WINDOW);
                 }
-                played.phase != Phase::Done
+                outcome.phase != Phase::Done
             })
             .count();
-        assert!(rolled_back <= allowed, "{rolled_back} of 100 at {usual}");
+        assert!(rolled_back <= allowed, "{rolled_back} of 100 at {current_bad_rate}");
     }
 }
 
@@ -132,10 +147,10 @@
 #[test]
 fn good_version_is_done_though_its_order_was_read_late() {
     for seed in 0..20 {
-        let fleet = Fleet::that_read(4, seed, Millis(700), OrderAge::default());
-        let played = fleet.play(60, 0.0, |_, _, _| 0.0, Kind::Failed);
-        assert_eq!(played.phase, Phase::Done, "{seed}");
-        assert!(played.ended_at.is_some_and(|at| at < WINDOW), "{seed}: {:?}", played.ended_at);
+        let fleet = Fleet::with_order_age(4, seed, Millis(700), OrderAge::default());
+        let outcome = fleet.simulate(60, 0.0, |_, _, _| 0.0, FaultKind::Failed);
+        assert_eq!(outcome.phase, Phase::Done, "{seed}");
+        assert!(outcome.ended_at.is_some_and(|at| at < WINDOW), "{seed}: {:?}", outcome.ended_at);
     }
 }
 
@@ -238,16 +253,17 @@
 #[test]
 fn service_of_thirty_a_second_ends_in_time() {
     let age = OrderAge { max: Millis(600), ..OrderAge::default() };
-    let play = |seed, version, kind| {
-        let fleet = Fleet::that_read(4, seed, Millis(600), age);
-        fleet.play(30, 0.0, version, kind)
+    let simulate = |seed, bad_rate, kind| {
+        let fleet = Fleet::with_order_age(4, seed, Millis(600), age);
+        fleet.simulate(30, 0.0, bad_rate, kind)
     };
-    let in_time = |seed: &u64| play(*seed, |_, _, _| 0.0, Kind::Failed).phase == Phase::Done;
+    let in_time =
+        |seed: &u64| simulate(*seed, |_, _, _| 0.0, FaultKind::Failed).phase == Phase::Done;
     assert_eq!((0..100).filter(in_time).count(), 100);
-    let failing: Version = |_, _, share| if share > 0.5 { 0.167 } else { 0.0 };
-    let slow: Version = |_, _, share| if share > 0.5 { 0.5 } else { 0.0 };
-    for (version, kind, allowed) in [(failing, Kind::Failed, 2), (slow, Kind::Slow, 0)] {
-        let done = |seed: &u64| play(*seed, version, kind).phase == Phase::Done;
+    let failing: BadAnswerRate = |_, _, share| if share > 0.5 { 0.167 } else { 0.0 };
+    let slow: BadAnswerRate = |_, _, share| if share > 0.5 { 0.5 } else { 0.0 };
+    for (bad_rate, kind, allowed) in [(failing, FaultKind::Failed, 2), (slow, FaultKind::Slow, 0)] {
+        let done = |seed: &u64| simulate(*seed, bad_rate, kind).phase == Phase::Done;
         let done: Vec<_> = (0..100).filter(done).collect();
         assert!(done.len() <= allowed, "{kind:?}: {done:?}");
     }
--- a/core/tests/cold.rs
+++ b/core/tests/cold.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn bears() -> usize {
+fn max_per_second() -> usize {
     policy().max_per_second(LIMIT) as usize
 }
 
@@ -43,21 +43,25 @@
         for belief in [Belief::Right, Belief::Half, Belief::Anew, Belief::Clocks, Belief::Dead] {
             let seeds = if gateways > 100 { 1 } else { SEEDS };
             let played = worst(Way::Turns, belief, third_cold(gateways), seeds);
-            assert!(played.most <= bears(), "{gateways} gateways, {belief:?}: {}", played.most);
+            assert!(
+                played.most <= max_per_second(),
+                "{gateways} gateways, {belief:?}: {}",
+                played.most
+            );
         }
     }
     let played = worst(Way::Turns, Belief::Half, third_cold(330), 1);
-    assert!(played.most <= bears(), "330 gateways: {}", played.most);
+    assert!(played.most <= max_per_second(), "330 gateways: {}", played.most);
 }
 
 /// A burst comes after gateways had no use for their turns. Turns that are saved up would all be used at once.
 #[test]
 fn unused_turns_are_lost() {
     for gateways in [27, 103] {
-        let calm = third_cold(gateways);
-        let load = Load { per_s: calm.per_s / 2.0, burst_at: Some(2_000), ..calm };
+        let base = third_cold(gateways);
+        let load = Load { per_s: base.per_s / 2.0, burst_at: Some(2_000), ..base };
         let played = worst(Way::Turns, Belief::Right, load, 2);
-        assert!(played.most <= bears(), "{gateways} gateways: {}", played.most);
+        assert!(played.most <= max_per_second(), "{gateways} gateways: {}", played.most);
     }
 }
 
@@ -68,7 +72,11 @@
         for belief in [Belief::Right, Belief::Half, Belief::Anew] {
             let load = Load { warm: 0, ..third_cold(gateways) };
             let played = worst(Way::Turns, belief, load, 3);
-            assert!(played.most <= bears(), "{gateways} gateways, {belief:?}: {}", played.most);
+            assert!(
+                played.most <= max_per_second(),
+                "{gateways} gateways, {belief:?}: {}",
+                played.most
+            );
         }
     }
 }
@@ -77,8 +85,8 @@
 #[test]
 fn cold_servers_take_their_part() {
     for gateways in [3, 27, 103] {
-        let calm = third_cold(gateways);
-        let load = Load { per_s: calm.per_s * 1.5, ..calm };
+        let base = third_cold(gateways);
+        let load = Load { per_s: base.per_s * 1.5, ..base };
         let played = worst(Way::Turns, Belief::Right, load, 3);
         let rate = policy().rate(LIMIT).per_second();
         assert!(
@@ -93,11 +101,11 @@
 #[test]
 fn herd_is_caught() {
     let free = worst(Way::Free, Belief::Right, third_cold(27), 1);
-    assert!(free.most > bears(), "{}", free.most);
-    let calm = third_cold(103);
-    let load = Load { per_s: calm.per_s / 2.0, burst_at: Some(2_000), ..calm };
+    assert!(free.most > max_per_second(), "{}", free.most);
+    let base = third_cold(103);
+    let load = Load { per_s: base.per_s / 2.0, burst_at: Some(2_000), ..base };
     let saved = worst(Way::Saved, Belief::Right, load, 3);
-    assert!(saved.most > bears(), "{}", saved.most);
+    assert!(saved.most > max_per_second(), "{}", saved.most);
 }
 
 /// Prints what each way sends at most and on average, by belief.
--- a/core/tests/evacuations.rs
+++ b/core/tests/evacuations.rs
@@ -3,14 +3,14 @@
 use redwingfold_core::{EvacuationChange, Evacuations, FailureDomain, Millis};
 
 /// Longest time between two reads of a gateway.
-const READ_EVERY: u64 = 1_350;
+const READ_INTERVAL: u64 = 1_350;
 
 /// Time in which the operator writes again what a store from an older copy lacks.
-const WRITES_AGAIN: u64 = 3_000;
+const REWRITE_DELAY: u64 = 3_000;
 
 /// Time for which what is played goes on, and in which gateways settle afterwards.
-const SPAN: u64 = 40_000;
-const SETTLE: u64 = 15_000;
+const FAULT_PHASE: u64 = 40_000;
+const SETTLE_TIME: u64 = 15_000;
 
 /// The operator's topic: orders by time, and the copy from which it may come back.
 #[derive(Clone, Default)]
@@ -20,52 +20,52 @@
 }
 
 impl Topic {
-    fn standing(&self) -> Vec<FailureDomain> {
-        let mut standing: Vec<FailureDomain> = Vec::new();
+    fn orders_in_force(&self) -> Vec<FailureDomain> {
+        let mut orders_in_force: Vec<FailureDomain> = Vec::new();
         for (domain, is_ordered) in &self.records {
-            standing.retain(|d| d != domain);
-            standing.extend(is_ordered.then(|| domain.clone()));
+            orders_in_force.retain(|d| d != domain);
+            orders_in_force.extend(is_ordered.then(|| domain.clone()));
         }
-        standing
+        orders_in_force
     }
 }
 
 struct Gateway {
-    believes: Evacuations,
+    orders: Evacuations,
     next: Option<(u32, usize)>,
     reads_at: u64,
-    cut_until: u64,
+    partitioned_until: u64,
     /// Orders that it could read.
-    read: Vec<(FailureDomain, u64)>,
+    orders_read: Vec<(FailureDomain, u64)>,
 }
 
 impl Gateway {
     fn new(reads_at: u64) -> Self {
         Self {
-            believes: Evacuations::default(),
+            orders: Evacuations::default(),
             next: None,
             reads_at,
-            cut_until: 0,
-            read: Vec::new(),
+            partitioned_until: 0,
+            orders_read: Vec::new(),
         }
     }
 
-    fn read(&mut self, topic: &Topic, is_whole: bool, now: Millis) {
+    fn read(&mut self, topic: &Topic, is_full_read: bool, now: Millis) {
         let (era, next) = (topic.era, topic.records.len());
         match self.next {
-            Some((known, from)) if known == era && !is_whole => {
+            Some((known, from)) if known == era && !is_full_read => {
                 for (domain, is_ordered) in &topic.records[from..] {
                     match is_ordered {
-                        true => self.believes.add_order(domain, now),
-                        false => self.believes.end_order(domain, now),
+                        true => self.orders.add_order(domain, now),
+                        false => self.orders.end_order(domain, now),
                     };
                 }
             }
             Some((known, _)) if known < era => {
-                self.believes.replace_by_copy(&topic.standing(), now);
+                self.orders.replace_by_copy(&topic.orders_in_force(), now);
             }
             _ => {
-                self.believes.replace(&topic.standing(), now);
+                self.orders.replace(&topic.orders_in_force(), now);
             }
         }
         self.next = Some((era, next));
@@ -78,24 +78,24 @@
     /// Whether the store comes back from copies.
     restores: bool,
     /// Whether a copy's whole list is taken as any other: the planted fault.
-    forgets: bool,
+    treats_copy_as_current: bool,
 }
 
 /// Lets an operator order and end evacuations before gateways that read late, are cut off and start anew.
 ///
 /// Returns how often a gateway sent to a domain that had been emptied for as long as a gateway needs to hear of it.
-fn play(n: usize, faults: Faults, seed: u64) -> usize {
+fn simulate(n: usize, faults: Faults, seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut gateways: Vec<_> = (0..n).map(|_| Gateway::new(rng.u64(..READ_EVERY))).collect();
+    let mut gateways: Vec<_> = (0..n).map(|_| Gateway::new(rng.u64(..READ_INTERVAL))).collect();
     let (mut topic, mut copy) = (Topic::default(), Topic::default());
     // What the operator wants, since when, and what it has to write again.
     let mut wanted: Vec<(FailureDomain, u64)> = Vec::new();
     let mut rewrite_at: Option<u64> = None;
-    let mut wrong = 0;
-    for at in (0..SPAN + SETTLE).step_by(10) {
+    let mut violations = 0;
+    for at in (0..FAULT_PHASE + SETTLE_TIME).step_by(10) {
         let now = Millis(at);
-        let is_calm = at >= SPAN;
-        if !is_calm && rng.u32(..150) == 0 && rewrite_at.is_none() {
+        let is_settling = at >= FAULT_PHASE;
+        if !is_settling && rng.u32(..150) == 0 && rewrite_at.is_none() {
             let domain = domain(rng.u8(..4));
             let before = wanted.len();
             wanted.retain(|(d, _)| *d != domain);
@@ -106,9 +106,9 @@
         if rng.u32(..300) == 0 {
             copy = topic.clone();
         }
-        if faults.restores && !is_calm && rng.u32(..800) == 0 && rewrite_at.is_none() {
+        if faults.restores && !is_settling && rng.u32(..800) == 0 && rewrite_at.is_none() {
             topic = Topic { records: copy.records.clone(), era: topic.era + 1 };
-            rewrite_at = Some(at + rng.u64(..WRITES_AGAIN));
+            rewrite_at = Some(at + rng.u64(..REWRITE_DELAY));
         }
         if rewrite_at.is_some_and(|due| at >= due) {
             rewrite_at = None;
@@ -118,38 +118,38 @@
             }
         }
         for gateway in &mut gateways {
-            if !is_calm && rng.u32(..3_000) == 0 {
+            if !is_settling && rng.u32(..3_000) == 0 {
                 *gateway = Gateway::new(at);
             }
-            if !is_calm && rng.u32(..3_000) == 0 {
-                gateway.cut_until = at + rng.u64(..6_000);
+            if !is_settling && rng.u32(..3_000) == 0 {
+                gateway.partitioned_until = at + rng.u64(..6_000);
             }
-            gateway.believes.expire(now);
-            if at < gateway.reads_at || at < gateway.cut_until {
+            gateway.orders.expire(now);
+            if at < gateway.reads_at || at < gateway.partitioned_until {
                 continue;
             }
-            gateway.reads_at = at + rng.u64(..READ_EVERY);
+            gateway.reads_at = at + rng.u64(..READ_INTERVAL);
             let is_new_era = gateway.next.is_some_and(|(era, _)| era < topic.era);
-            if faults.forgets && is_new_era {
+            if faults.treats_copy_as_current && is_new_era {
                 gateway.next = None;
             }
             gateway.read(&topic, rng.u32(..4) == 0, now);
             // Between a restore and the operator's next write, only what was read before can be known.
             if rewrite_at.is_none() {
-                gateway.read.clone_from(&wanted);
+                gateway.orders_read.clone_from(&wanted);
             }
-            let due = wanted.iter().filter(|order| gateway.read.contains(order));
-            wrong += due.filter(|(domain, _)| !gateway.believes.is_emptied(domain)).count();
+            let due = wanted.iter().filter(|order| gateway.orders_read.contains(order));
+            violations += due.filter(|(domain, _)| !gateway.orders.is_emptied(domain)).count();
         }
     }
-    let standing = topic.standing();
+    let orders_in_force = topic.orders_in_force();
     for gateway in &gateways {
         (0..4).for_each(|n| {
-            let is_emptied = gateway.believes.is_emptied(&domain(n));
-            assert_eq!(is_emptied, standing.contains(&domain(n)), "{n}, seed {seed}");
+            let is_emptied = gateway.orders.is_emptied(&domain(n));
+            assert_eq!(is_emptied, orders_in_force.contains(&domain(n)), "{n}, seed {seed}");
         });
     }
-    wrong
+    violations
 }
 
 /// Gateways read late, in pieces and whole, are cut off and start anew, and the store comes back from copies and is written
@@ -159,8 +159,9 @@
     for (n, seeds) in [(3, 30), (27, 10), (103, 3), (330, 1)] {
         for seed in 0..seeds {
             for restores in [false, true] {
-                let wrong = play(n, Faults { restores, forgets: false }, seed);
-                assert_eq!(wrong, 0, "{n} gateways, seed {seed}, restores: {restores}");
+                let violations =
+                    simulate(n, Faults { restores, treats_copy_as_current: false }, seed);
+                assert_eq!(violations, 0, "{n} gateways, seed {seed}, restores: {restores}");
             }
         }
     }
@@ -169,8 +170,9 @@
 /// The check above finds what it should: gateways that take a copy's list for the present lose orders.
 #[test]
 fn order_that_is_lost_with_a_copy_is_caught() {
-    let wrong = |seed| play(27, Faults { restores: true, forgets: true }, seed);
-    assert!((0..20).map(wrong).sum::<usize>() > 0);
+    let violations =
+        |seed| simulate(27, Faults { restores: true, treats_copy_as_current: true }, seed);
+    assert!((0..20).map(violations).sum::<usize>() > 0);
 }
 
 fn domain(n: u8) -> FailureDomain {
@@ -220,12 +222,12 @@
 fn whole_read_settles_what_is_emptied() {
     bolero::check!().with_type::<(Vec<(u8, bool)>, Vec<u8>)>().for_each(|(steps, last)| {
         let mut evacuations = Evacuations::default();
-        let mut told = std::collections::HashSet::new();
+        let mut reported = std::collections::HashSet::new();
         let mut take = |changes: Vec<EvacuationChange>| {
             for change in changes {
                 match change {
-                    EvacuationChange::Emptied(domain) => assert!(told.insert(domain)),
-                    EvacuationChange::Returned(domain) => assert!(told.remove(&domain)),
+                    EvacuationChange::Emptied(domain) => assert!(reported.insert(domain)),
+                    EvacuationChange::Returned(domain) => assert!(reported.remove(&domain)),
                 }
             }
         };
@@ -241,7 +243,7 @@
         take(evacuations.replace(&last, Millis(1_000_000)));
         for n in 0..5 {
             assert_eq!(evacuations.is_emptied(&domain(n)), last.contains(&domain(n)));
-            assert_eq!(told.contains(&domain(n)), last.contains(&domain(n)));
+            assert_eq!(reported.contains(&domain(n)), last.contains(&domain(n)));
         }
     });
 }
--- a/core/tests/exposure.rs
+++ b/core/tests/exposure.rs
@@ -3,7 +3,7 @@
 mod rollout_fleet;
 
 use redwingfold_core::{CanaryPolicy, Millis, OrderAge, Phase};
-use rollout_fleet::{Fleet, Kind, Played, Version, WINDOW};
+use rollout_fleet::{BadAnswerRate, FaultKind, Fleet, Outcome, WINDOW};
 
 /// Shares of a service's requests that operators allow, and gateways with requests a second.
 const EXPOSURES: [f64; 2] = [0.15, 0.0975];
@@ -11,10 +11,10 @@
 /// Requests beyond the share that operators allow.
 const SLACK: u64 = 30;
 
-const GOOD: Version = |_, _, _| 0.0;
+const GOOD: BadAnswerRate = |_, _, _| 0.0;
 
 /// A rate that is multiplied by a factor at a time for good.
-fn jump(per_s: u64, at: u64, factor: f64) -> impl Fn(u64) -> u64 {
+fn rate_step(per_s: u64, at: u64, factor: f64) -> impl Fn(u64) -> u64 {
     move |ms| if ms < at { per_s } else { (per_s as f64 * factor) as u64 }
 }
 
@@ -22,9 +22,9 @@
     WINDOW * percent / 100
 }
 
-fn check(played: &Played, exposure: f64, what: &str) {
-    let allowed = (played.all as f64 * exposure) as u64 + SLACK;
-    let Played { to_target, all, .. } = played;
+fn assert_within_exposure(outcome: &Outcome, exposure: f64, what: &str) {
+    let allowed = (outcome.all as f64 * exposure) as u64 + SLACK;
+    let Outcome { to_target, all, .. } = outcome;
     assert!(*to_target <= allowed, "{what}: {to_target} of {all}, {allowed} allowed");
 }
 
@@ -47,11 +47,11 @@
         for (percent, factor) in [(80, 1.7), (88, 1.7), (92, 1.7), (88, 3.0), (91, 3.0), (94, 3.0)]
         {
             let fleet = Fleet::new(gateways, seed).with_exposure(exposure);
-            let load = jump(per_s, part_of_window(percent), factor);
-            let played = fleet.play_at(load, 0.0, GOOD, Kind::Failed);
+            let load = rate_step(per_s, part_of_window(percent), factor);
+            let outcome = fleet.simulate_rate(load, 0.0, GOOD, FaultKind::Failed);
             let what =
                 format!("{gateways} gateways, {exposure}, seed {seed}, {percent}%, {factor}");
-            check(&played, exposure, &what);
+            assert_within_exposure(&outcome, exposure, &what);
         }
     });
 }
@@ -62,10 +62,10 @@
     for_each_fleet(|gateways, per_s, exposure, seed| {
         for (percent, factor) in [(50, 0.4), (85, 0.4), (92, 0.2)] {
             let fleet = Fleet::new(gateways, seed).with_exposure(exposure);
-            let load = jump(per_s, part_of_window(percent), factor);
-            let played = fleet.play_at(load, 0.0, GOOD, Kind::Failed);
-            check(
-                &played,
+            let load = rate_step(per_s, part_of_window(percent), factor);
+            let outcome = fleet.simulate_rate(load, 0.0, GOOD, FaultKind::Failed);
+            assert_within_exposure(
+                &outcome,
                 exposure,
                 &format!("{gateways} gateways, seed {seed}, {percent}%, {factor}"),
             );
@@ -80,10 +80,15 @@
     for_each_fleet(|gateways, per_s, exposure, seed| {
         for percent in [60, 86, 92] {
             let at = part_of_window(percent);
-            let fleet = Fleet::new(gateways, seed).with_exposure(exposure).losing(0.5);
-            let fleet = fleet.restarting(at, gateways.div_ceil(3));
-            let played = fleet.play_at(jump(per_s, at, 1.7), 0.0, GOOD, Kind::Failed);
-            check(&played, exposure, &format!("{gateways} gateways, seed {seed}, {percent}%"));
+            let fleet = Fleet::new(gateways, seed).with_exposure(exposure).with_message_loss(0.5);
+            let fleet = fleet.with_restart(at, gateways.div_ceil(3));
+            let outcome =
+                fleet.simulate_rate(rate_step(per_s, at, 1.7), 0.0, GOOD, FaultKind::Failed);
+            assert_within_exposure(
+                &outcome,
+                exposure,
+                &format!("{gateways} gateways, seed {seed}, {percent}%"),
+            );
         }
     });
 }
@@ -95,12 +100,16 @@
     for_each_fleet(|gateways, per_s, exposure, seed| {
         for (percent, factor) in [(0, 1.0), (80, 1.7), (88, 1.7), (92, 1.7), (91, 3.0), (85, 0.4)] {
             let fleet = Fleet::new(gateways, seed).with_exposure(exposure);
-            let load = jump(per_s, part_of_window(percent), factor);
-            let played = fleet.play_at(load, 0.0, GOOD, Kind::Failed);
+            let load = rate_step(per_s, part_of_window(percent), factor);
+            let outcome = fleet.simulate_rate(load, 0.0, GOOD, FaultKind::Failed);
             let what =
                 format!("{gateways} gateways, {exposure}, seed {seed}, {percent}%, {factor}");
-            assert_eq!(played.phase, Phase::Done, "{what}");
-            assert!(played.ended_at.is_some_and(|at| at < WINDOW), "{what}: {:?}", played.ended_at);
+            assert_eq!(outcome.phase, Phase::Done, "{what}");
+            assert!(
+                outcome.ended_at.is_some_and(|at| at < WINDOW),
+                "{what}: {:?}",
+                outcome.ended_at
+            );
         }
     });
 }
@@ -112,16 +121,20 @@
 /// `age_least_ms=37 age_most_ms=1211`, `phase=full` from 25.0 s on, `phase=done` at 27.0 s.
 #[test]
 fn good_version_is_done_in_time_though_the_age_of_its_order_is_doubtful() {
-    let doubt = Millis(1_100);
+    let age_uncertainty = Millis(1_100);
     for after in [0, 300, 600, 900, 1_100] {
         for (gateways, per_s) in [(28, 300), (103, 800)] {
-            let age = OrderAge { max: doubt, ..OrderAge::default() };
-            let fleet = Fleet::that_read(gateways, 0, Millis(after), age);
+            let age = OrderAge { max: age_uncertainty, ..OrderAge::default() };
+            let fleet = Fleet::with_order_age(gateways, 0, Millis(after), age);
             let fleet = fleet.with_policy(CanaryPolicy::for_exposure(0.0975), age, Millis(after));
-            let played = fleet.play(per_s, 0.0, GOOD, Kind::Failed);
+            let outcome = fleet.simulate(per_s, 0.0, GOOD, FaultKind::Failed);
             let what = format!("{gateways} gateways, read after {after} ms");
-            check(&played, 0.0975, &what);
-            assert!(played.ended_at.is_some_and(|at| at < WINDOW), "{what}: {:?}", played.ended_at);
+            assert_within_exposure(&outcome, 0.0975, &what);
+            assert!(
+                outcome.ended_at.is_some_and(|at| at < WINDOW),
+                "{what}: {:?}",
+                outcome.ended_at
+            );
         }
     }
 }
--- a/core/tests/feeds.rs
+++ b/core/tests/feeds.rs
@@ -8,22 +8,22 @@
 
 struct Gateway {
     view: FeedView,
-    past: FeedHistory<()>,
+    history: FeedHistory<()>,
     /// As of when it truly knows the feed: what a checker sees, not what it believes.
     true_as_of: u64,
-    asleep_until: u64,
+    frozen_until: u64,
 }
 
 impl Gateway {
     fn new(fleet: usize) -> Self {
-        Self { view: view(fleet), past: FeedHistory::new(8), true_as_of: 0, asleep_until: 0 }
+        Self { view: view(fleet), history: FeedHistory::new(8), true_as_of: 0, frozen_until: 0 }
     }
 }
 
-struct Played {
+struct Outcome {
     reads: u64,
-    stalest: u64,
-    missed: u64,
+    max_staleness: u64,
+    gaps: u64,
 }
 
 /// Makes the view of a gateway of `n`.
@@ -34,63 +34,63 @@
 }
 
 /// Time from a read until a message of it is heard: a turn of a busy host, and the way.
-const ON_THE_WAY: u64 = 40;
+const MESSAGE_DELAY: u64 = 40;
 
 /// Plays a minute of `n` gateways; messages take a while and are lost with a probability, and every
 /// second one of them freezes for a while.
-fn play(n: usize, loss: f64, freezes: bool, seed: u64) -> Played {
+fn simulate(n: usize, loss: f64, freezes: bool, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> = (0..n).map(|_| Gateway::new(n)).collect();
-    let mut played = Played { reads: 0, stalest: 0, missed: 0 };
-    let mut on_the_way: VecDeque<(u64, usize, FeedUpdate)> = VecDeque::new();
+    let mut outcome = Outcome { reads: 0, max_staleness: 0, gaps: 0 };
+    let mut in_flight: VecDeque<(u64, usize, FeedUpdate)> = VecDeque::new();
     // The feed grows by one record each 80 ms.
     let end_at = |ms: u64| ms / 80;
     for ms in (0..60_000).step_by(10) {
         if freezes && ms % 1_000 == 0 && ms > 0 {
             let g = rng.usize(..n);
-            gateways[g].asleep_until = ms + rng.u64(500..4_000);
+            gateways[g].frozen_until = ms + rng.u64(500..4_000);
         }
-        while on_the_way.front().is_some_and(|(sent, _, _)| sent + ON_THE_WAY <= ms) {
-            let Some((sent, from, told)) = on_the_way.pop_front() else { break };
-            let told = FeedUpdate { age: Millis(ms - sent), ..told };
+        while in_flight.front().is_some_and(|(sent, _, _)| sent + MESSAGE_DELAY <= ms) {
+            let Some((sent, from, update)) = in_flight.pop_front() else { break };
+            let update = FeedUpdate { age: Millis(ms - sent), ..update };
             for (other, gateway) in gateways.iter_mut().enumerate() {
-                if other == from || rng.f64() < loss || gateway.asleep_until > ms {
+                if other == from || rng.f64() < loss || gateway.frozen_until > ms {
                     continue;
                 }
                 let before = gateway.view.next().unwrap_or_default();
-                match gateway.view.apply_update(told, Millis(ms), rng.u64(..)) {
-                    heard @ (FeedUpdateOutcome::Applies | FeedUpdateOutcome::Confirms) => {
+                match gateway.view.apply_update(update, Millis(ms), rng.u64(..)) {
+                    effect @ (FeedUpdateOutcome::Applies | FeedUpdateOutcome::Confirms) => {
                         gateway.true_as_of = gateway.true_as_of.max(sent);
-                        if heard == FeedUpdateOutcome::Applies {
-                            gateway.past.add(before, told.next, Vec::new());
+                        if effect == FeedUpdateOutcome::Applies {
+                            gateway.history.add(before, update.next, Vec::new());
                         }
                     }
-                    FeedUpdateOutcome::Gap => played.missed += 1,
+                    FeedUpdateOutcome::Gap => outcome.gaps += 1,
                     FeedUpdateOutcome::Stale => {}
                 }
             }
         }
         for (g, gateway) in gateways.iter_mut().enumerate() {
-            if gateway.asleep_until > ms || !gateway.view.is_due(Millis(ms)) {
+            if gateway.frozen_until > ms || !gateway.view.is_due(Millis(ms)) {
                 continue;
             }
             let from = gateway.view.next().unwrap_or(end_at(ms));
             gateway.view.record_read(Millis(ms), end_at(ms), rng.u64(..));
             gateway.true_as_of = ms;
             // The first read of all is each gateway's own: nobody can tell it what it has never seen.
-            played.reads += u64::from(ms > 0);
-            gateway.past.add(from, end_at(ms), Vec::new());
-            let from = gateway.past.recent_changes().map_or(from, |(from, _)| from);
-            on_the_way.push_back((ms, g, FeedUpdate { from, next: end_at(ms), age: Millis(0) }));
+            outcome.reads += u64::from(ms > 0);
+            gateway.history.add(from, end_at(ms), Vec::new());
+            let from = gateway.history.recent_changes().map_or(from, |(from, _)| from);
+            in_flight.push_back((ms, g, FeedUpdate { from, next: end_at(ms), age: Millis(0) }));
         }
         for gateway in &gateways {
-            let awake_for = ms.saturating_sub(gateway.asleep_until);
-            if gateway.view.next().is_some() && awake_for > 2 * PERIOD {
-                played.stalest = played.stalest.max(ms - gateway.true_as_of);
+            let running_for = ms.saturating_sub(gateway.frozen_until);
+            if gateway.view.next().is_some() && running_for > 2 * PERIOD {
+                outcome.max_staleness = outcome.max_staleness.max(ms - gateway.true_as_of);
             }
         }
     }
-    played
+    outcome
 }
 
 /// Whatever is lost or frozen, no gateway that is awake knows the feed as of longer ago than twice
@@ -100,8 +100,12 @@
     for n in [1, 3, 4, 28] {
         for loss in [0.0, 0.1, 0.5, 1.0] {
             for seed in 0..5 {
-                let played = play(n, loss, true, seed);
-                assert!(played.stalest <= 2 * PERIOD + 10, "{n} {loss} {seed}: {}", played.stalest);
+                let outcome = simulate(n, loss, true, seed);
+                assert!(
+                    outcome.max_staleness <= 2 * PERIOD + 10,
+                    "{n} {loss} {seed}: {}",
+                    outcome.max_staleness
+                );
             }
         }
     }
@@ -112,17 +116,12 @@
 /// it; with all messages lost, each reads for itself.
 #[test]
 fn reads_do_not_grow_with_the_fleet() {
-    let alone = play(1, 0.0, false, 1).reads;
+    let alone = simulate(1, 0.0, false, 1).reads;
     for n in [4, 28, 330] {
-        let many = play(n, 0.02, false, 1);
-        assert!(
-            many.reads <= alone * 3,
-            "{n}: {} against {alone}, {} missed",
-            many.reads,
-            many.missed
-        );
+        let many = simulate(n, 0.02, false, 1);
+        assert!(many.reads <= alone * 3, "{n}: {} against {alone}, {} gaps", many.reads, many.gaps);
     }
-    assert!(play(28, 1.0, false, 1).reads >= alone * 20);
+    assert!(simulate(28, 1.0, false, 1).reads >= alone * 20);
 }
 
 /// A message that tells of changes after ones that were missed must not be taken: what was missed
@@ -131,8 +130,8 @@
 fn gap_is_read_and_not_skipped() {
     let mut view = FeedView::new(Millis(PERIOD));
     view.record_read(Millis(0), 10, 0);
-    let told = FeedUpdate { from: 12, next: 15, age: Millis(0) };
-    assert_eq!(view.apply_update(told, Millis(100), 0), FeedUpdateOutcome::Gap);
+    let update = FeedUpdate { from: 12, next: 15, age: Millis(0) };
+    assert_eq!(view.apply_update(update, Millis(100), 0), FeedUpdateOutcome::Gap);
     assert_eq!((view.next(), view.is_due(Millis(100))), (Some(10), true));
     let earlier = FeedUpdate { from: 3, next: 8, age: Millis(0) };
     assert_eq!(view.apply_update(earlier, Millis(100), 0), FeedUpdateOutcome::Stale);
@@ -144,8 +143,8 @@
 fn old_word_does_not_make_a_view_fresh() {
     let mut view = FeedView::new(Millis(PERIOD));
     view.record_read(Millis(0), 10, 0);
-    let told = FeedUpdate { from: 10, next: 10, age: Millis(5_000) };
-    view.apply_update(told, Millis(PERIOD + 1), 0);
+    let update = FeedUpdate { from: 10, next: 10, age: Millis(5_000) };
+    view.apply_update(update, Millis(PERIOD + 1), 0);
     assert!(view.is_due(Millis(PERIOD + 1)));
 }
 
--- a/core/tests/freshness.rs
+++ b/core/tests/freshness.rs
@@ -6,15 +6,15 @@
 /// Of reads of the operator's topic.
 const PERIOD: u64 = 450;
 /// Between a message's sending and its being heard.
-const ON_THE_WAY: u64 = 40;
+const MESSAGE_DELAY: u64 = 40;
 /// What a gateway takes to answer another one, on a host with a tenth of a core.
-const ANSWER: u64 = 60;
+const ANSWER_DELAY: u64 = 60;
 /// Gateways that one answers at a time.
-const SERVED: usize = 8;
+const MAX_SERVED: usize = 8;
 /// Gateways that are told of what was fetched.
-const FEW: usize = 8;
+const FANOUT: usize = 8;
 /// Time that a gateway which is ahead has before the store is asked, too.
-const HEAD_START: u64 = 300;
+const PEER_HEAD_START: u64 = 300;
 const STEP: u64 = 10;
 
 /// What a fleet has to bear.
@@ -24,41 +24,41 @@
     /// One gateway in so many has a fast link; 0 for none.
     fast_one_in: usize,
     /// Milliseconds that a slow link takes for one configuration.
-    slow_read: u64,
+    slow_read_ms: u64,
     /// Milliseconds between changes, while they go on.
-    gap: u64,
+    change_interval: u64,
     /// One gateway in so many is turned away by the store all the time; 0 for none.
-    away_one_in: usize,
+    refused_one_in: usize,
     loss: f64,
     /// Whether gateways ask each other.
-    ask: bool,
+    peer_fetch: bool,
 }
 
-const CALM: Load = Load {
+const BASELINE: Load = Load {
     gateways: 24,
     fast_one_in: 3,
-    slow_read: 700,
-    gap: 3_000,
-    away_one_in: 0,
+    slow_read_ms: 700,
+    change_interval: 3_000,
+    refused_one_in: 0,
     loss: 0.02,
-    ask: true,
+    peer_fetch: true,
 };
 
 struct Gateway {
     view: FeedView,
     leads: Leads<usize>,
     is_fast: bool,
-    is_away: bool,
+    is_refused: bool,
     /// Version, and when the read began that will bring it, and when it ends.
     read: Option<(u64, u64, u64)>,
     not_before: u64,
     /// Whom it asked, and when the answer is there.
-    asked: Option<(usize, u64)>,
+    fetch: Option<(usize, u64)>,
     served: usize,
 }
 
 /// A message: who hears it when, from whom, and what it says.
-struct Told {
+struct Message {
     at: u64,
     to: usize,
     from: usize,
@@ -68,30 +68,33 @@
 
 /// Plays changes for twenty seconds and a calm time after them; returns for how long, at most, a gateway had not
 /// yet the version that was in the store, or a newer one.
-fn oldest(load: Load, seed: u64) -> u64 {
+fn max_staleness(load: Load, seed: u64) -> u64 {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut fleet: Vec<_> = (0..load.gateways).map(|n| gateway(n, load)).collect();
-    let mut told: Vec<Told> = Vec::new();
-    let mut oldest = 0;
-    let end_at = |ms: u64| 1 + ms.min(20_000) / load.gap;
+    let mut in_flight: Vec<Message> = Vec::new();
+    let mut max_staleness = 0;
+    let end_at = |ms: u64| 1 + ms.min(20_000) / load.change_interval;
     for ms in (0..30_000).step_by(STEP as usize) {
-        let heard: Vec<_> = told.extract_if(.., |told| told.at <= ms).collect();
-        for told in heard {
-            let message =
-                FeedUpdate { from: told.next, next: told.next, age: Millis(ms - told.as_of) };
-            let gateway = &mut fleet[told.to];
-            gateway.view.apply_update(message, Millis(ms), rng.u64(..));
-            gateway.leads.heard(told.from, told.next, Millis(ms));
+        let delivered: Vec<_> = in_flight.extract_if(.., |message| message.at <= ms).collect();
+        for message in delivered {
+            let update = FeedUpdate {
+                from: message.next,
+                next: message.next,
+                age: Millis(ms - message.as_of),
+            };
+            let gateway = &mut fleet[message.to];
+            gateway.view.apply_update(update, Millis(ms), rng.u64(..));
+            gateway.leads.heard(message.from, message.next, Millis(ms));
         }
         for n in 0..fleet.len() {
             let known = fleet[n].view.next();
             step(&mut fleet, n, load, ms, end_at(ms), &mut rng);
             if let (true, Some(next)) = (fleet[n].view.next() != known, fleet[n].view.next()) {
-                let to = others(n, &fleet[n], load, &mut rng);
+                let to = recipients(n, &fleet[n], load, &mut rng);
                 let sent = to.into_iter().filter(|_| rng.f64() >= load.loss);
                 let sent: Vec<_> = sent.collect();
-                told.extend(sent.into_iter().map(|to| Told {
-                    at: ms + ON_THE_WAY,
+                in_flight.extend(sent.into_iter().map(|to| Message {
+                    at: ms + MESSAGE_DELAY,
                     to,
                     from: n,
                     next,
@@ -99,13 +102,14 @@
                 }));
             }
             let has = fleet[n].view.next().unwrap_or(0);
-            let missing_since = if has == 0 { ms } else { ms.saturating_sub(has * load.gap) };
+            let staleness =
+                if has == 0 { ms } else { ms.saturating_sub(has * load.change_interval) };
             if has < end_at(ms) && ms > 5_000 {
-                oldest = oldest.max(missing_since);
+                max_staleness = max_staleness.max(staleness);
             }
         }
     }
-    oldest
+    max_staleness
 }
 
 fn gateway(n: usize, load: Load) -> Gateway {
@@ -116,31 +120,38 @@
         view,
         leads: Leads::new(),
         is_fast: one_in(load.fast_one_in),
-        is_away: load.away_one_in > 0 && n % load.away_one_in == 1,
+        is_refused: load.refused_one_in > 0 && n % load.refused_one_in == 1,
         read: None,
         not_before: 0,
-        asked: None,
+        fetch: None,
         served: 0,
     }
 }
 
 /// Whom a gateway tells of what it has just learnt.
-fn others(n: usize, gateway: &Gateway, load: Load, rng: &mut fastrand::Rng) -> Vec<usize> {
-    let mut others: Vec<_> = (0..load.gateways).filter(|other| *other != n).collect();
-    if gateway.asked.is_some() {
-        rng.shuffle(&mut others);
-        others.truncate(FEW);
+fn recipients(n: usize, gateway: &Gateway, load: Load, rng: &mut fastrand::Rng) -> Vec<usize> {
+    let mut recipients: Vec<_> = (0..load.gateways).filter(|other| *other != n).collect();
+    if gateway.fetch.is_some() {
+        rng.shuffle(&mut recipients);
+        recipients.truncate(FANOUT);
     }
-    others
+    recipients
 }
 
-fn step(fleet: &mut [Gateway], n: usize, load: Load, ms: u64, end: u64, rng: &mut fastrand::Rng) {
+fn step(
+    fleet: &mut [Gateway],
+    n: usize,
+    load: Load,
+    ms: u64,
+    feed_end: u64,
+    rng: &mut fastrand::Rng,
+) {
     let (now, draw) = (Millis(ms), rng.u64(..));
     // What was asked of another gateway last time is told on by now.
-    if fleet[n].asked.is_some_and(|(_, at)| at < ms) {
-        fleet[n].asked = None;
+    if fleet[n].fetch.is_some_and(|(_, at)| at < ms) {
+        fleet[n].fetch = None;
     }
-    if let Some((gateway, _)) = fleet[n].asked.filter(|(_, at)| *at == ms) {
+    if let Some((gateway, _)) = fleet[n].fetch.filter(|(_, at)| *at == ms) {
         fleet[gateway].served -= 1;
         let next = fleet[gateway].view.next().unwrap_or(0);
         if fleet[n].view.next().is_none_or(|own| own < next) {
@@ -154,13 +165,13 @@
             fleet[n].view.record_read(Millis(began), next, draw);
         }
     }
-    let lead = fleet[n].leads.pick(fleet[n].view.next(), draw, now).filter(|_| load.ask);
-    if let (Some(lead), None) = (lead, fleet[n].asked) {
-        match fleet[lead].served < SERVED {
+    let lead = fleet[n].leads.pick(fleet[n].view.next(), draw, now).filter(|_| load.peer_fetch);
+    if let (Some(lead), None) = (lead, fleet[n].fetch) {
+        match fleet[lead].served < MAX_SERVED {
             true => {
                 fleet[lead].served += 1;
-                fleet[n].asked = Some((lead, ms + ANSWER));
-                fleet[n].not_before = ms + HEAD_START;
+                fleet[n].fetch = Some((lead, ms + ANSWER_DELAY));
+                fleet[n].not_before = ms + PEER_HEAD_START;
             }
             false => fleet[n].leads.failed(lead, now),
         }
@@ -169,15 +180,15 @@
     if gateway.read.is_none()
         && ms >= gateway.not_before
         && gateway.view.is_due(now)
-        && !gateway.is_away
+        && !gateway.is_refused
     {
         let own = gateway.view.next().unwrap_or(0);
-        let takes = if gateway.is_fast { 40 } else { load.slow_read };
+        let takes = if gateway.is_fast { 40 } else { load.slow_read_ms };
         // As a list of the newest a record is a third longer.
         let takes =
-            if is_compacted_read_shorter(end - own, 1 << 20) { takes * 4 / 3 } else { takes };
-        let takes = if end > own { takes } else { STEP };
-        gateway.read = Some((end, ms, ms + takes));
+            if is_compacted_read_shorter(feed_end - own, 1 << 20) { takes * 4 / 3 } else { takes };
+        let takes = if feed_end > own { takes } else { STEP };
+        gateway.read = Some((feed_end, ms, ms + takes));
     }
 }
 
@@ -187,14 +198,17 @@
 #[test]
 fn changes_reach_gateways_that_the_store_does_not() {
     for seed in 0..20 {
-        for gap in [3_000, 300, 80] {
-            let load = Load { gap, away_one_in: 3, ..CALM };
-            let oldest = oldest(load, seed);
-            assert!(oldest <= 2_000, "{oldest} ms old with a change each {gap} ms, seed {seed}");
+        for change_interval in [3_000, 300, 80] {
+            let load = Load { change_interval, refused_one_in: 3, ..BASELINE };
+            let max_staleness = max_staleness(load, seed);
+            assert!(
+                max_staleness <= 2_000,
+                "{max_staleness} ms old with a change each {change_interval} ms, seed {seed}"
+            );
         }
     }
-    let alone = Load { away_one_in: 3, ask: false, ..CALM };
-    assert!(oldest(alone, 1) > 10_000);
+    let alone = Load { refused_one_in: 3, peer_fetch: false, ..BASELINE };
+    assert!(max_staleness(alone, 1) > 10_000);
 }
 
 /// All links are slow, and one configuration takes a second on each, a third more as a list of the newest. A change
@@ -202,12 +216,12 @@
 #[test]
 fn slow_links_read_once_for_all() {
     for seed in 0..20 {
-        for gap in [3_000, 300] {
-            let load = Load { gap, fast_one_in: 0, slow_read: 1_000, ..CALM };
-            let oldest = oldest(load, seed);
+        for change_interval in [3_000, 300] {
+            let load = Load { change_interval, fast_one_in: 0, slow_read_ms: 1_000, ..BASELINE };
+            let max_staleness = max_staleness(load, seed);
             assert!(
-                oldest <= 2 * 1_333 + 2 * ON_THE_WAY,
-                "{oldest} ms old with a change each {gap} ms, seed {seed}"
+                max_staleness <= 2 * 1_333 + 2 * MESSAGE_DELAY,
+                "{max_staleness} ms old with a change each {change_interval} ms, seed {seed}"
             );
         }
     }
@@ -217,8 +231,14 @@
 #[test]
 fn changes_spread_in_a_large_fleet() {
     for seed in 0..3 {
-        let load = Load { gateways: 330, fast_one_in: 20, away_one_in: 3, gap: 1_000, ..CALM };
-        let oldest = oldest(load, seed);
-        assert!(oldest <= 2_500, "{oldest} ms old, seed {seed}");
+        let load = Load {
+            gateways: 330,
+            fast_one_in: 20,
+            refused_one_in: 3,
+            change_interval: 1_000,
+            ..BASELINE
+        };
+        let max_staleness = max_staleness(load, seed);
+        assert!(max_staleness <= 2_500, "{max_staleness} ms old, seed {seed}");
     }
 }
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -9,20 +9,20 @@
 const WINDOW: u64 = 16_000;
 const STEP: u64 = 50;
 /// Time after the window in which load is higher.
-const AFTER: u64 = 10_000;
+const AFTER_WINDOW: u64 = 10_000;
 const SLOTS: u32 = 24;
 /// Age of what the gateways know of servers' loads.
 const REPORT_AGE: u64 = 100;
 
 /// How a trial's requests are placed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    Lead,
+enum RequestPlacement {
+    Concentrated,
     Spread,
 }
 
 /// Probability with which a server fails a request, by its number and the requests that it runs.
-type Fails = fn(usize, u32) -> f64;
+type FailureRate = fn(usize, u32) -> f64;
 
 struct Server {
     place: Place,
@@ -31,7 +31,7 @@
 }
 
 /// An answer that comes at a time.
-struct Coming {
+struct PendingAnswer {
     at: u64,
     arm: Arm,
     is_first_half: bool,
@@ -40,26 +40,26 @@
 }
 
 struct Fleet {
-    way: Way,
+    placement: RequestPlacement,
     rng: fastrand::Rng,
     canary: Canary,
     evidence: RouteEvidence,
-    usual: UsualTime,
+    baseline: UsualTime,
     /// Servers of the version in service, and of the target.
     servers: [Vec<Server>; 2],
-    coming: Vec<Coming>,
-    played: Played,
+    pending: Vec<PendingAnswer>,
+    outcome: Outcome,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Played {
+struct Outcome {
     to_target: u64,
     bad: u64,
     ended: Option<(Phase, u64)>,
 }
 
 impl Fleet {
-    fn new(way: Way, servers: usize, exposure: f64, seed: u64) -> Self {
+    fn new(placement: RequestPlacement, servers: usize, exposure: f64, seed: u64) -> Self {
         let policy = CanaryPolicy::for_exposure(exposure);
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
         let server = |arm: &str, n: usize| {
@@ -79,30 +79,30 @@
         let at = first(&servers[1]);
         servers[1].swap(0, at);
         Self {
-            way,
+            placement,
             rng: fastrand::Rng::with_seed(seed),
             canary: Canary::new(policy, order, OrderAge::default(), Millis(0), seed),
             evidence: RouteEvidence::default(),
-            usual: UsualTime::default(),
+            baseline: UsualTime::default(),
             servers,
-            coming: Vec::new(),
-            played: Played::default(),
+            pending: Vec::new(),
+            outcome: Outcome::default(),
         }
     }
 
     /// Plays a roll-out with so many requests a second that each server of a version runs `running` of them.
-    fn play(mut self, running: f64, burst: f64, fails: Fails) -> Played {
+    fn simulate(mut self, running: f64, burst: f64, failure_rate: FailureRate) -> Outcome {
         let per_step = running * self.servers[0].len() as f64 * STEP as f64 / 2_000.0;
-        let mut owed = 0.0;
-        for ms in (0..WINDOW + AFTER).step_by(STEP as usize) {
-            self.take_answers(ms);
+        let mut due_requests = 0.0;
+        for ms in (0..WINDOW + AFTER_WINDOW).step_by(STEP as usize) {
+            self.deliver_answers(ms);
             if ms.is_multiple_of(REPORT_AGE) {
-                self.report(ms);
+                self.refresh_reports(ms);
             }
-            owed += if ms < WINDOW { per_step } else { per_step * burst };
-            while owed >= 1.0 {
-                owed -= 1.0;
-                self.request(ms, fails);
+            due_requests += if ms < WINDOW { per_step } else { per_step * burst };
+            while due_requests >= 1.0 {
+                due_requests -= 1.0;
+                self.request(ms, failure_rate);
             }
             if ms.is_multiple_of(150) {
                 let shared = FleetEvidence {
@@ -111,32 +111,33 @@
                 };
                 let phase = self.canary.step(&shared, Millis(ms));
                 if phase >= Phase::Done {
-                    self.played.ended.get_or_insert((phase, ms));
+                    self.outcome.ended.get_or_insert((phase, ms));
                 }
             }
         }
-        self.played
+        self.outcome
     }
 
-    fn report(&mut self, ms: u64) {
+    fn refresh_reports(&mut self, ms: u64) {
         for server in self.servers.iter_mut().flatten() {
             server.ends.retain(|end| *end > ms);
             server.place.running = server.ends.len() as f64;
         }
     }
 
-    fn request(&mut self, ms: u64, fails: Fails) {
+    fn request(&mut self, ms: u64, failure_rate: FailureRate) {
         let now = Millis(ms);
         let arm = match self.canary.choose_arm(Affinity::UnknownSession, self.rng.u64(..), now) {
             ArmChoice::Arm(arm) => arm,
             ArmChoice::AskKeepers => Arm::Current,
         };
         self.canary.record_send(None, arm, now);
-        self.played.to_target += u64::from(arm == Arm::Target && ms < WINDOW);
+        self.outcome.to_target += u64::from(arm == Arm::Target && ms < WINDOW);
         let servers = &mut self.servers[usize::from(arm == Arm::Target)];
         let places: Vec<_> = servers.iter().map(|s| s.place.clone()).collect();
-        let is_lead = arm == Arm::Target && self.way == Way::Lead;
-        let count = self.canary.load_trial(places.len(), now).filter(|_| is_lead);
+        let is_concentrated =
+            arm == Arm::Target && self.placement == RequestPlacement::Concentrated;
+        let count = self.canary.load_trial(places.len(), now).filter(|_| is_concentrated);
         let lead = count.map_or(places.clone(), |count| lead_servers(places.clone(), count));
         let rng = &mut self.rng;
         let policy = PlacementPolicy::default();
@@ -147,10 +148,10 @@
         let running = server.ends.len() as u32 + 1;
         server.place.running += 1.0;
         let is_first_half = is_in_first_half(&server.place.id);
-        let is_bad = arm == Arm::Target && rng.f64() < fails(at, running);
+        let is_bad = arm == Arm::Target && rng.f64() < failure_rate(at, running);
         if is_bad {
-            self.played.bad += 1;
-            self.coming.push(Coming { at: ms + 10, arm, is_first_half, good: None });
+            self.outcome.bad += 1;
+            self.pending.push(PendingAnswer { at: ms + 10, arm, is_first_half, good: None });
             return;
         }
         let load = f64::from(running) / f64::from(SLOTS);
@@ -158,26 +159,26 @@
         let time = 100.0 * (1.0 + load) * (rng.f64() * 2.2 - 1.1).exp();
         server.ends.push(ms + 1_000 + rng.u64(..2_000));
         let good = Some((time, load));
-        self.coming.push(Coming { at: ms + time as u64, arm, is_first_half, good });
+        self.pending.push(PendingAnswer { at: ms + time as u64, arm, is_first_half, good });
     }
 
-    fn take_answers(&mut self, ms: u64) {
-        let (come, coming) =
-            std::mem::take(&mut self.coming).into_iter().partition(|answer| answer.at <= ms);
-        self.coming = coming;
-        for Coming { arm, is_first_half, good, .. } in come {
+    fn deliver_answers(&mut self, ms: u64) {
+        let (due, pending) =
+            std::mem::take(&mut self.pending).into_iter().partition(|answer| answer.at <= ms);
+        self.pending = pending;
+        for PendingAnswer { arm, is_first_half, good, .. } in due {
             let mut one = AnswerSums::default();
             match good {
                 None => one.failed = 1,
                 Some((time, load)) => {
                     one.good = 1;
                     let ratio = match arm {
-                        Arm::Current => self.usual.ratio(time, load),
-                        Arm::Target => self.usual.ratio_of_other(time, load),
+                        Arm::Current => self.baseline.ratio(time, load),
+                        Arm::Target => self.baseline.ratio_of_other(time, load),
                     };
                     ratio.into_iter().for_each(|ratio| one.first_byte.add(ratio));
                     if arm == Arm::Current {
-                        self.usual.learn(time, load);
+                        self.baseline.learn(time, load);
                     }
                 }
             }
@@ -193,7 +194,7 @@
 }
 
 /// Half of the requests fail at a server that is half full.
-const UNDER_LOAD: Fails = |_, running| if running >= SLOTS / 2 { 0.5 } else { 0.0 };
+const UNDER_LOAD: FailureRate = |_, running| if running >= SLOTS / 2 { 0.5 } else { 0.0 };
 
 /// Servers of a version, requests that each runs before the end of the window, and what operators allow.
 const FLEETS: [(usize, f64, f64); 4] =
@@ -210,11 +211,11 @@
 #[test]
 fn version_that_fails_under_load_is_found_before_its_window_ends() {
     for_each_fleet(|servers, running, exposure, seed| {
-        let fleet = Fleet::new(Way::Lead, servers, exposure, seed);
-        let played = fleet.play(running, 1.7, UNDER_LOAD);
-        let what = format!("{servers} servers, {running} each, seed {seed}: {played:?}");
-        assert!(matches!(played.ended, Some((Phase::RolledBack, at)) if at < WINDOW), "{what}");
-        assert!(played.bad < 50, "{what}");
+        let fleet = Fleet::new(RequestPlacement::Concentrated, servers, exposure, seed);
+        let outcome = fleet.simulate(running, 1.7, UNDER_LOAD);
+        let what = format!("{servers} servers, {running} each, seed {seed}: {outcome:?}");
+        assert!(matches!(outcome.ended, Some((Phase::RolledBack, at)) if at < WINDOW), "{what}");
+        assert!(outcome.bad < 50, "{what}");
     });
 }
 
@@ -223,10 +224,10 @@
 fn good_version_whose_trial_loads_servers_is_done_in_time() {
     for_each_fleet(|servers, running, exposure, seed| {
         for burst in [1.0, 1.7] {
-            let fleet = Fleet::new(Way::Lead, servers, exposure, seed);
-            let played = fleet.play(running, burst, |_, _| 0.0);
-            let what = format!("{servers} servers, {running} each, seed {seed}: {played:?}");
-            assert!(matches!(played.ended, Some((Phase::Done, at)) if at < WINDOW), "{what}");
+            let fleet = Fleet::new(RequestPlacement::Concentrated, servers, exposure, seed);
+            let outcome = fleet.simulate(running, burst, |_, _| 0.0);
+            let what = format!("{servers} servers, {running} each, seed {seed}: {outcome:?}");
+            assert!(matches!(outcome.ended, Some((Phase::Done, at)) if at < WINDOW), "{what}");
         }
     });
 }
@@ -235,10 +236,10 @@
 #[test]
 fn one_server_that_fails_does_not_take_its_version_back() {
     for_each_fleet(|servers, running, exposure, seed| {
-        let fleet = Fleet::new(Way::Lead, servers, exposure, seed);
-        let played = fleet.play(running, 1.0, |server, _| if server == 0 { 0.4 } else { 0.0 });
-        let what = format!("{servers} servers, {running} each, seed {seed}: {played:?}");
-        assert!(matches!(played.ended, Some((Phase::Done, _))), "{what}");
+        let fleet = Fleet::new(RequestPlacement::Concentrated, servers, exposure, seed);
+        let outcome = fleet.simulate(running, 1.0, |server, _| if server == 0 { 0.4 } else { 0.0 });
+        let what = format!("{servers} servers, {running} each, seed {seed}: {outcome:?}");
+        assert!(matches!(outcome.ended, Some((Phase::Done, _))), "{what}");
     });
 }
 
@@ -246,11 +247,11 @@
 #[test]
 fn failing_version_is_found_in_both_halves() {
     for_each_fleet(|servers, running, exposure, seed| {
-        let fleet = Fleet::new(Way::Lead, servers, exposure, seed);
-        let played = fleet.play(running, 1.0, |_, _| 0.4);
-        let what = format!("{servers} servers, {running} each, seed {seed}: {played:?}");
-        assert!(matches!(played.ended, Some((Phase::RolledBack, _))), "{what}");
-        assert!(played.bad < 40, "{what}");
+        let fleet = Fleet::new(RequestPlacement::Concentrated, servers, exposure, seed);
+        let outcome = fleet.simulate(running, 1.0, |_, _| 0.4);
+        let what = format!("{servers} servers, {running} each, seed {seed}: {outcome:?}");
+        assert!(matches!(outcome.ended, Some((Phase::RolledBack, _))), "{what}");
+        assert!(outcome.bad < 40, "{what}");
     });
 }
 
@@ -258,8 +259,9 @@
 #[test]
 fn spread_trial_does_not_show_a_fault_under_load() {
     let is_found = |seed| {
-        let played = Fleet::new(Way::Spread, 180, 0.0975, seed).play(8.0, 1.7, UNDER_LOAD);
-        matches!(played.ended, Some((Phase::RolledBack, _)))
+        let outcome =
+            Fleet::new(RequestPlacement::Spread, 180, 0.0975, seed).simulate(8.0, 1.7, UNDER_LOAD);
+        matches!(outcome.ended, Some((Phase::RolledBack, _)))
     };
     assert!(!(0..5).any(is_found));
 }
--- a/core/tests/roaming_sessions.rs
+++ b/core/tests/roaming_sessions.rs
@@ -3,7 +3,7 @@
 mod rollout_fleet;
 
 use redwingfold_core::Phase;
-use rollout_fleet::{Fleet, Kind, Knowledge, Played, Version, WINDOW};
+use rollout_fleet::{BadAnswerRate, FaultKind, Fleet, Outcome, SessionLookup, WINDOW};
 
 /// Gateways, with requests a second.
 const FLEETS: [(usize, u64); 3] = [(3, 150), (27, 300), (103, 800)];
@@ -17,7 +17,7 @@
 /// Parts of the requests that follow another one of their session.
 const FOLLOWING: [f64; 2] = [0.1, 0.5];
 
-const GOOD: Version = |_, _, _| 0.0;
+const GOOD: BadAnswerRate = |_, _, _| 0.0;
 
 struct Load {
     gateways: usize,
@@ -33,15 +33,15 @@
         Fleet::new(self.gateways, seed).with_exposure(self.exposure)
     }
 
-    fn play(&self, fleet: Fleet, knowledge: Knowledge) -> Played {
+    fn play(&self, fleet: Fleet, knowledge: SessionLookup) -> Outcome {
         let (percent, factor) = self.burst;
         let at = WINDOW * percent / 100;
         let rate = |ms| if ms < at { self.per_s } else { (self.per_s as f64 * factor) as u64 };
         let fleet = fleet.with_sessions(knowledge, self.following);
-        fleet.play_at(rate, 0.0, GOOD, Kind::Failed)
+        fleet.simulate_rate(rate, 0.0, GOOD, FaultKind::Failed)
     }
 
-    fn allowed(&self, played: &Played) -> u64 {
+    fn allowed(&self, played: &Outcome) -> u64 {
         (played.all as f64 * self.exposure) as u64 + EXPOSURE_SLACK
     }
 }
@@ -58,7 +58,7 @@
     }
 }
 
-fn check(load: &Load, played: &Played, seed: u64) {
+fn check(load: &Load, played: &Outcome, seed: u64) {
     let what = format!(
         "{} gateways, {} allowed, {} following, burst {:?}, seed {seed}: {} of {} to the target",
         load.gateways, load.exposure, load.following, load.burst, played.to_target, played.all
@@ -72,7 +72,7 @@
 fn roaming_sessions_keep_their_version_and_the_exposure_holds_in_bursts() {
     let bursts = [(0, 1.0), (80, 1.7), (88, 1.7), (92, 1.7), (88, 3.0), (91, 3.0), (94, 3.0)];
     for_each_load(&bursts, |load, seed| {
-        let played = load.play(load.fleet(seed).losing(0.01), Knowledge::Keepers);
+        let played = load.play(load.fleet(seed).with_message_loss(0.01), SessionLookup::Keepers);
         check(load, &played, seed);
     });
 }
@@ -81,7 +81,7 @@
 #[test]
 fn good_version_of_sessions_is_done_in_time() {
     for_each_load(&[(0, 1.0), (88, 1.7), (85, 0.4)], |load, seed| {
-        let played = load.play(load.fleet(seed).losing(0.01), Knowledge::Keepers);
+        let played = load.play(load.fleet(seed).with_message_loss(0.01), SessionLookup::Keepers);
         let what = format!("{} gateways, seed {seed}: {:?}", load.gateways, played.ended_at);
         assert_eq!(played.phase, Phase::Done, "{what}");
         assert!(played.ended_at.is_some_and(|at| at < WINDOW), "{what}");
@@ -94,8 +94,8 @@
     for percent in [60, 86, 93] {
         for_each_load(&[(0, 1.0)], |load, seed| {
             let at = WINDOW * percent / 100;
-            let fleet = load.fleet(seed).restarting(at, load.gateways.div_ceil(10));
-            check(load, &load.play(fleet.losing(0.01), Knowledge::Keepers), seed);
+            let fleet = load.fleet(seed).with_restart(at, load.gateways.div_ceil(10));
+            check(load, &load.play(fleet.with_message_loss(0.01), SessionLookup::Keepers), seed);
         });
     }
 }
@@ -106,8 +106,8 @@
     for percent in [92, 93, 94] {
         for_each_load(&[(91, 3.0)], |load, seed| {
             let before = load.gateways.div_ceil(3).max(3);
-            let fleet = load.fleet(seed).growing(WINDOW * percent / 100, before);
-            check(load, &load.play(fleet.losing(0.01), Knowledge::Keepers), seed);
+            let fleet = load.fleet(seed).with_growth(WINDOW * percent / 100, before);
+            check(load, &load.play(fleet.with_message_loss(0.01), SessionLookup::Keepers), seed);
         });
     }
 }
@@ -116,8 +116,8 @@
 #[test]
 fn roaming_sessions_keep_their_version_though_gateways_read_the_order_apart() {
     for_each_load(&[(0, 1.0)], |load, seed| {
-        let fleet = load.fleet(seed).reading_apart(1_100);
-        check(load, &load.play(fleet.losing(0.01), Knowledge::Keepers), seed);
+        let fleet = load.fleet(seed).with_order_age_spread(1_100);
+        check(load, &load.play(fleet.with_message_loss(0.01), SessionLookup::Keepers), seed);
     });
 }
 
@@ -127,9 +127,9 @@
 fn checks_find_both_faults_where_sessions_have_no_keepers() {
     let load =
         Load { gateways: 27, per_s: 300, exposure: 0.0975, following: 0.5, burst: (91, 3.0) };
-    let own = load.play(load.fleet(0), Knowledge::Own);
+    let own = load.play(load.fleet(0), SessionLookup::Local);
     assert!(own.moved_back > 0, "{} of {}", own.to_target, own.all);
-    let presumed = load.play(load.fleet(0), Knowledge::Presumed);
+    let presumed = load.play(load.fleet(0), SessionLookup::Assumed);
     assert_eq!(presumed.moved_back, 0);
     assert!(presumed.to_target > load.allowed(&presumed), "{}", presumed.to_target);
 }
--- a/core/tests/rollout_fleet/mod.rs
+++ b/core/tests/rollout_fleet/mod.rs
@@ -12,11 +12,11 @@
 pub(crate) const WINDOW: u64 = 24_000;
 
 /// How a version answers: by route, time since the order, and share of the traffic.
-pub(crate) type Version = fn(usize, u64, f64) -> f64;
+pub(crate) type BadAnswerRate = fn(usize, u64, f64) -> f64;
 
 /// In which way a version's bad answers are bad.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Kind {
+pub(crate) enum FaultKind {
     Failed,
     Slow,
 }
@@ -31,7 +31,7 @@
     /// Time at which gateways are added, and how many there are before.
     growth: Option<(u64, usize)>,
     /// Part of the messages that is lost.
-    lost: f64,
+    message_loss: f64,
     /// Sessions of callers, if their requests have any.
     sessions: Option<Sessions>,
 }
@@ -39,33 +39,33 @@
 /// One of them.
 pub(crate) struct Gateway {
     pub(crate) canary: Canary,
-    own: [RouteEvidence; ROUTES],
+    evidence: [RouteEvidence; ROUTES],
     moved: MovedSessions,
 }
 
 /// Who knows which sessions have moved.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Knowledge {
+pub(crate) enum SessionLookup {
     /// The keepers of each.
     Keepers,
     /// Only gateways that have served them.
-    Own,
+    Local,
     /// Nobody; all are taken to have moved that may have.
-    Presumed,
+    Assumed,
 }
 
 /// Sessions whose requests reach gateways at random.
 struct Sessions {
-    knowledge: Knowledge,
+    lookup: SessionLookup,
     /// Part of the requests that follow another one of their session.
-    following: f64,
-    live: Vec<Session>,
+    continued_share: f64,
+    active: Vec<Session>,
 }
 
 struct Session {
     key: SessionKey,
     last: Arm,
-    used_at: u64,
+    last_request_at: u64,
 }
 
 /// Time within which the next request of a session follows.
@@ -75,10 +75,10 @@
 const RETENTION: Millis = Millis(17_000);
 
 /// What one gateway tells the others.
-type Told = ([RouteEvidence; ROUTES], SendCounts);
+type GossipState = ([RouteEvidence; ROUTES], SendCounts);
 
 /// What came of a roll-out.
-pub(crate) struct Played {
+pub(crate) struct Outcome {
     pub(crate) phase: Phase,
     pub(crate) to_target: u64,
     pub(crate) all: u64,
@@ -94,16 +94,16 @@
 impl Fleet {
     /// Makes gateways that read the order when it is given.
     pub(crate) fn new(gateways: usize, seed: u64) -> Self {
-        Self::that_read(gateways, seed, Millis(0), OrderAge::default())
+        Self::with_order_age(gateways, seed, Millis(0), OrderAge::default())
     }
 
     /// Makes gateways that read the order some time after it was given, and take it for so old.
-    pub(crate) fn that_read(gateways: usize, seed: u64, after: Millis, age: OrderAge) -> Self {
+    pub(crate) fn with_order_age(gateways: usize, seed: u64, after: Millis, age: OrderAge) -> Self {
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
         let draw = |g: u64| fastrand::Rng::with_seed(seed << 16 | g).u64(..);
         let gateway = |g| Gateway {
             canary: Canary::new(CanaryPolicy::default(), order.clone(), age, after, draw(g as u64)),
-            own: [RouteEvidence::default(); ROUTES],
+            evidence: [RouteEvidence::default(); ROUTES],
             moved: MovedSessions::new(RETENTION),
         };
         Self {
@@ -112,7 +112,7 @@
             policy: CanaryPolicy::default(),
             restart: None,
             growth: None,
-            lost: 0.1,
+            message_loss: 0.1,
             sessions: None,
         }
     }
@@ -128,12 +128,17 @@
     }
 
     /// What gateway `g` knows; a message of another may be lost, so that what it knew before stands.
-    fn shared(&mut self, known: &mut [Vec<Told>], g: usize, now: Millis) -> FleetEvidence {
+    fn shared(
+        &mut self,
+        received: &mut [Vec<GossipState>],
+        g: usize,
+        now: Millis,
+    ) -> FleetEvidence {
         let (mut oldest, mut is_age_known) = (Millis(0), false);
-        let present = self.present(now.0);
-        for (other, gateway) in self.gateways.iter().enumerate().take(present) {
-            if other == g || self.rng.f64() > self.lost {
-                known[g][other] = (gateway.own, gateway.canary.counts(now));
+        let gateway_count = self.gateway_count(now.0);
+        for (other, gateway) in self.gateways.iter().enumerate().take(gateway_count) {
+            if other == g || self.rng.f64() > self.message_loss {
+                received[g][other] = (gateway.evidence, gateway.canary.counts(now));
                 oldest = oldest.max(gateway.canary.elapsed(now));
                 is_age_known |= gateway.canary.is_age_known();
             }
@@ -143,9 +148,9 @@
         }
         let mut routes = vec![RouteEvidence::default(); ROUTES];
         let mut sent = SendCounts::default();
-        for (own, counts) in &known[g] {
+        for (routes_seen, counts) in &received[g] {
             sent = sent.plus(*counts);
-            for (sum, route) in routes.iter_mut().zip(own) {
+            for (sum, route) in routes.iter_mut().zip(routes_seen) {
                 *sum = sum.plus(*route);
             }
         }
@@ -168,19 +173,19 @@
     }
 
     /// Lets some gateways start anew at a time.
-    pub(crate) fn restarting(mut self, at: u64, gateways: usize) -> Self {
+    pub(crate) fn with_restart(mut self, at: u64, gateways: usize) -> Self {
         self.restart = Some((at, gateways));
         self
     }
 
     /// Lets all gateways but the first `before` be added at a time.
-    pub(crate) fn growing(mut self, at: u64, before: usize) -> Self {
+    pub(crate) fn with_growth(mut self, at: u64, before: usize) -> Self {
         self.growth = Some((at, before));
         self
     }
 
     /// Returns how many gateways there are at a time.
-    fn present(&self, ms: u64) -> usize {
+    fn gateway_count(&self, ms: u64) -> usize {
         match self.growth {
             Some((at, before)) if ms < at => before,
             _ => self.gateways.len(),
@@ -188,23 +193,23 @@
     }
 
     /// Loses more of the messages.
-    pub(crate) fn losing(mut self, lost: f64) -> Self {
-        self.lost = lost;
+    pub(crate) fn with_message_loss(mut self, message_loss: f64) -> Self {
+        self.message_loss = message_loss;
         self
     }
 
     /// Gives each request a session; a part of them follow another one of theirs.
-    pub(crate) fn with_sessions(mut self, knowledge: Knowledge, following: f64) -> Self {
-        self.sessions = Some(Sessions { knowledge, following, live: Vec::new() });
+    pub(crate) fn with_sessions(mut self, lookup: SessionLookup, continued_share: f64) -> Self {
+        self.sessions = Some(Sessions { lookup, continued_share, active: Vec::new() });
         self
     }
 
     /// Lets each gateway know another bound on the age of its order, up to `most`.
-    pub(crate) fn reading_apart(mut self, most: u64) -> Self {
+    pub(crate) fn with_order_age_spread(mut self, max: u64) -> Self {
         for g in 0..self.gateways.len() {
-            let least = Millis(self.rng.u64(..=most));
-            let age = OrderAge { min: least, max: Millis(most), is_unknown: false };
-            self.gateways[g].canary = self.new_canary(age, Millis(most));
+            let min = Millis(self.rng.u64(..=max));
+            let age = OrderAge { min, max: Millis(max), is_unknown: false };
+            self.gateways[g].canary = self.new_canary(age, Millis(max));
         }
         self
     }
@@ -215,7 +220,7 @@
     }
 
     /// Starts gateways anew: they know nothing but the order, and from the others how old it is.
-    fn start_anew(&mut self, ms: u64) {
+    fn restart_gateways(&mut self, ms: u64) {
         let restarted = self.restart.filter(|(at, _)| *at == ms).map_or(0..0, |(_, n)| 0..n);
         let all = self.gateways.len();
         let added = self.growth.filter(|(at, _)| *at == ms).map_or(0..0, |(_, n)| n..all);
@@ -226,29 +231,35 @@
             if !age.is_unknown {
                 canary.merge_age(Millis(ms), true, Millis(ms));
             }
-            let own = [RouteEvidence::default(); ROUTES];
+            let evidence = [RouteEvidence::default(); ROUTES];
             let moved = MovedSessions::new(RETENTION);
-            self.gateways[g] = Gateway { canary, own, moved };
+            self.gateways[g] = Gateway { canary, evidence, moved };
         }
     }
 
     /// Plays a roll-out with `per_s` requests a second; `usual` of the version in service's answers
     /// are bad, and the target's as `version` says.
-    pub(crate) fn play(self, per_s: u64, usual: f64, version: Version, kind: Kind) -> Played {
-        self.play_at(|_| per_s, usual, version, kind)
+    pub(crate) fn simulate(
+        self,
+        per_s: u64,
+        current_bad_rate: f64,
+        target_bad_rate: BadAnswerRate,
+        kind: FaultKind,
+    ) -> Outcome {
+        self.simulate_rate(|_| per_s, current_bad_rate, target_bad_rate, kind)
     }
 
     /// Plays a roll-out with as many requests a second as `per_s` says for a time.
-    pub(crate) fn play_at(
+    pub(crate) fn simulate_rate(
         mut self,
         per_s: impl Fn(u64) -> u64,
-        usual: f64,
-        version: Version,
-        kind: Kind,
-    ) -> Played {
+        current_bad_rate: f64,
+        target_bad_rate: BadAnswerRate,
+        kind: FaultKind,
+    ) -> Outcome {
         let n = self.gateways.len();
-        let mut known = vec![vec![Told::default(); n]; n];
-        let mut played = Played {
+        let mut received = vec![vec![GossipState::default(); n]; n];
+        let mut outcome = Outcome {
             phase: Phase::Trial,
             to_target: 0,
             all: 0,
@@ -257,51 +268,53 @@
             moved_early: 0,
             moved_back: 0,
         };
-        let (mut bad, mut fiftieth) = (0, None);
+        let (mut bad, mut fiftieth_bad_at) = (0, None);
         for ms in (0..WINDOW).step_by(100) {
-            self.start_anew(ms);
+            self.restart_gateways(ms);
             for _ in 0..per_s(ms) / 10 {
-                let (arm, is_bad) = self.request(ms, usual, version, kind, &mut played);
-                played.all += 1;
+                let (arm, is_bad) =
+                    self.request(ms, current_bad_rate, target_bad_rate, kind, &mut outcome);
+                outcome.all += 1;
                 if arm == Arm::Target {
-                    played.to_target += 1;
+                    outcome.to_target += 1;
                     bad += u64::from(is_bad);
-                    played.after_50th += u64::from(fiftieth.is_some_and(|at: u64| ms > at + 5_000));
+                    outcome.after_50th +=
+                        u64::from(fiftieth_bad_at.is_some_and(|at: u64| ms > at + 5_000));
                 }
-                if bad == 50 && fiftieth.is_none() {
-                    fiftieth = Some(ms);
+                if bad == 50 && fiftieth_bad_at.is_none() {
+                    fiftieth_bad_at = Some(ms);
                 }
             }
-            for g in 0..self.present(ms) {
-                let shared = self.shared(&mut known, g, Millis(ms));
+            for g in 0..self.gateway_count(ms) {
+                let shared = self.shared(&mut received, g, Millis(ms));
                 let phase = self.gateways[g].canary.step(&shared, Millis(ms));
                 // The first to end it writes the status, and the others read it.
-                if phase >= Phase::Done && played.ended_at.is_none() {
-                    played.ended_at = Some(ms);
-                    played.phase = phase;
+                if phase >= Phase::Done && outcome.ended_at.is_none() {
+                    outcome.ended_at = Some(ms);
+                    outcome.phase = phase;
                 }
             }
             // The old servers stop on that word, so that everything goes to the target.
-            if played.phase == Phase::Done {
+            if outcome.phase == Phase::Done {
                 self.gateways.iter_mut().for_each(|g| g.canary.end(Phase::Done));
             }
         }
-        played
+        outcome
     }
 
     /// Plays one request; returns which version it went to, and whether its answer was bad.
     fn request(
         &mut self,
         ms: u64,
-        usual: f64,
-        version: Version,
-        kind: Kind,
-        played: &mut Played,
+        current_bad_rate: f64,
+        target_bad_rate: BadAnswerRate,
+        kind: FaultKind,
+        outcome: &mut Outcome,
     ) -> (Arm, bool) {
-        let (g, route) = (self.rng.usize(..self.present(ms)), self.rng.usize(..ROUTES));
+        let (g, route) = (self.rng.usize(..self.gateway_count(ms)), self.rng.usize(..ROUTES));
         let now = Millis(ms);
         let arm = match self.sessions.is_some() {
-            true => self.request_of_session(g, ms, played),
+            true => self.request_of_session(g, ms, outcome),
             false => {
                 match self.gateways[g].canary.choose_arm(Affinity::None, self.rng.u64(..), now) {
                     ArmChoice::Arm(arm) => arm,
@@ -314,18 +327,19 @@
         let gateway = &mut self.gateways[g];
         gateway.canary.record_send(None, arm, now);
         let share = f64::from(gateway.canary.share().0) / 1000.0;
-        let rate = if arm == Arm::Target { version(route, ms, share) } else { usual };
+        let rate =
+            if arm == Arm::Target { target_bad_rate(route, ms, share) } else { current_bad_rate };
         let is_bad = self.rng.f64() < rate;
         // Times differ by a factor of three either way.
         let ratio = (self.rng.f64() * 2.2 - 1.1).exp();
-        let evidence = &mut gateway.own[route];
+        let evidence = &mut gateway.evidence[route];
         let counts = match arm {
             Arm::Current => &mut evidence.current,
             Arm::Target => &mut evidence.target,
         };
         match kind {
-            Kind::Failed if is_bad => counts.failed += 1,
-            Kind::Slow if is_bad => {
+            FaultKind::Failed if is_bad => counts.failed += 1,
+            FaultKind::Slow if is_bad => {
                 counts.good += 1;
                 counts.first_byte.add(ratio * 8.0);
             }
@@ -338,7 +352,7 @@
     }
 
     /// Chooses the version for a request of a session, and counts it if the session changes its version as it must not.
-    fn request_of_session(&mut self, g: usize, ms: u64, played: &mut Played) -> Arm {
+    fn request_of_session(&mut self, g: usize, ms: u64, outcome: &mut Outcome) -> Arm {
         let now = Millis(ms);
         let (key, last) = self.take_session(ms);
         let has_moved = self.gateways[g].moved.contains(key, now);
@@ -352,27 +366,31 @@
         if arm == Arm::Target {
             self.record(g, key, now);
         }
-        let is_rolled_back = played.phase == Phase::RolledBack;
+        let is_rolled_back = outcome.phase == Phase::RolledBack;
         match (last, arm) {
-            (Some(Arm::Current), Arm::Target) if ms < WINDOW / 2 => played.moved_early += 1,
-            (Some(Arm::Target), Arm::Current) if !is_rolled_back => played.moved_back += 1,
+            (Some(Arm::Current), Arm::Target) if ms < WINDOW / 2 => outcome.moved_early += 1,
+            (Some(Arm::Target), Arm::Current) if !is_rolled_back => outcome.moved_back += 1,
             _ => {}
         }
-        let session = Session { key, last: arm, used_at: ms };
-        self.sessions.as_mut().unwrap().live.push(session);
+        let session = Session { key, last: arm, last_request_at: ms };
+        self.sessions.as_mut().unwrap().active.push(session);
         arm
     }
 
     /// Takes one that goes on, or begins another; returns its key, and the version that it ran on last.
     fn take_session(&mut self, ms: u64) -> (SessionKey, Option<Arm>) {
         let sessions = self.sessions.as_mut().unwrap();
-        if sessions.live.first().is_some_and(|oldest| oldest.used_at + 2 * SESSION_GAP < ms) {
-            sessions.live.retain(|session| session.used_at + SESSION_GAP >= ms);
+        if sessions
+            .active
+            .first()
+            .is_some_and(|oldest| oldest.last_request_at + 2 * SESSION_GAP < ms)
+        {
+            sessions.active.retain(|session| session.last_request_at + SESSION_GAP >= ms);
         }
-        let goes_on = !sessions.live.is_empty() && self.rng.f64() < sessions.following;
-        if goes_on {
-            let session = sessions.live.swap_remove(self.rng.usize(..sessions.live.len()));
-            if session.used_at + SESSION_GAP >= ms {
+        let continues = !sessions.active.is_empty() && self.rng.f64() < sessions.continued_share;
+        if continues {
+            let session = sessions.active.swap_remove(self.rng.usize(..sessions.active.len()));
+            if session.last_request_at + SESSION_GAP >= ms {
                 return (session.key, Some(session.last));
             }
         }
@@ -380,31 +398,31 @@
     }
 
     fn keepers(&self, key: SessionKey, now: Millis) -> Vec<usize> {
-        let gateways: Vec<_> = (0..self.present(now.0)).collect();
+        let gateways: Vec<_> = (0..self.gateway_count(now.0)).collect();
         key.keepers(&gateways, |g| *g as u64)
     }
 
     /// Returns the gateways that are asked for a session.
-    fn asked(&self, key: SessionKey, now: Millis) -> Vec<usize> {
-        let mut asked = self.keepers(key, now);
+    fn gateways_to_ask(&self, key: SessionKey, now: Millis) -> Vec<usize> {
+        let mut gateways_to_ask = self.keepers(key, now);
         if let Some((at, before)) = self.growth.filter(|(at, _)| now.0 >= *at) {
             let is_settled = now.since(Millis(at)) >= RETENTION;
             let settled: Vec<_> =
                 (0..if is_settled { self.gateways.len() } else { before }).collect();
-            asked.extend(key.former_keepers(&asked, &settled, |g| *g as u64));
+            gateways_to_ask.extend(key.former_keepers(&gateways_to_ask, &settled, |g| *g as u64));
         }
-        asked
+        gateways_to_ask
     }
 
     fn record(&mut self, g: usize, key: SessionKey, now: Millis) {
-        let knowledge = self.sessions.as_ref().unwrap().knowledge;
-        if knowledge == Knowledge::Presumed {
+        let lookup = self.sessions.as_ref().unwrap().lookup;
+        if lookup == SessionLookup::Assumed {
             return;
         }
         self.gateways[g].moved.record(key, now);
-        if knowledge == Knowledge::Keepers {
+        if lookup == SessionLookup::Keepers {
             for keeper in self.keepers(key, now) {
-                if self.rng.f64() > self.lost {
+                if self.rng.f64() > self.message_loss {
                     self.gateways[keeper].moved.record(key, now);
                 }
             }
@@ -412,13 +430,13 @@
     }
 
     fn ask(&mut self, key: SessionKey, now: Millis) -> bool {
-        match self.sessions.as_ref().unwrap().knowledge {
-            Knowledge::Presumed => true,
-            Knowledge::Own => false,
-            Knowledge::Keepers => {
-                let keepers = self.asked(key, now);
+        match self.sessions.as_ref().unwrap().lookup {
+            SessionLookup::Assumed => true,
+            SessionLookup::Local => false,
+            SessionLookup::Keepers => {
+                let keepers = self.gateways_to_ask(key, now);
                 keepers.into_iter().any(|k| {
-                    self.gateways[k].moved.contains(key, now) && self.rng.f64() > self.lost
+                    self.gateways[k].moved.contains(key, now) && self.rng.f64() > self.message_loss
                 })
             }
         }
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -124,7 +124,7 @@
         for _ in 0..4_000 {
             // Bursts and pauses.
             now += if rng.u32(..100) == 0 { rng.u64(..8_000) } else { rng.u64(..10) };
-            budget.request(Millis(now));
+            budget.record_request(Millis(now));
             requests.push(now);
             let what = if rng.bool() { ResendReason::Failure } else { ResendReason::Quality };
             if budget.try_take(what, Millis(now)) {
--- a/core/tests/unannounced.rs
+++ b/core/tests/unannounced.rs
@@ -7,28 +7,28 @@
 
 const GATEWAYS: [(usize, u64); 4] = [(3, 100), (27, 300), (103, 800), (330, 3_200)];
 /// Time after which a gateway has heard what the others have seen, at most.
-const NEWS: u64 = 1_000;
+const GOSSIP_INTERVAL: u64 = 1_000;
 
-struct Played {
+struct Outcome {
     phases: Vec<Phase>,
     /// Requests that the version got, of all.
-    got: u64,
+    to_target: u64,
     all: u64,
 }
 
 /// Plays a trial at gateways that begin it up to a second apart; `bad` is the part of the version's answers that fail.
-fn play(gateways: usize, per_s: u64, bad: f64, seed: u64) -> Played {
+fn simulate(gateways: usize, per_s: u64, bad_rate: f64, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let target = || "v2".parse().unwrap();
     let policy = CanaryPolicy::for_exposure(0.0975);
-    let begins: Vec<_> = (0..gateways).map(|_| rng.u64(..1_000)).collect();
-    let mut trials: Vec<_> = begins
+    let starts: Vec<_> = (0..gateways).map(|_| rng.u64(..1_000)).collect();
+    let mut trials: Vec<_> = starts
         .iter()
         .map(|at| Canary::unannounced(policy, target(), Millis(*at), rng.u64(..)))
         .collect();
-    let mut own = vec![RouteEvidence::default(); gateways];
-    let mut told = (RouteEvidence::default(), SendCounts::default());
-    let (mut got, mut all) = (0, 0);
+    let mut local = vec![RouteEvidence::default(); gateways];
+    let mut gossip = (RouteEvidence::default(), SendCounts::default());
+    let (mut to_target, mut all) = (0, 0);
     for ms in (1_000..25_000).step_by(50) {
         let now = Millis(ms);
         for _ in 0..per_s / 20 {
@@ -39,31 +39,31 @@
             };
             trials[g].record_send(None, arm, now);
             all += 1;
-            got += u64::from(arm == Arm::Target);
-            let is_bad = arm == Arm::Target && rng.f64() < bad;
+            to_target += u64::from(arm == Arm::Target);
+            let is_bad = arm == Arm::Target && rng.f64() < bad_rate;
             let one = AnswerSums {
                 good: u64::from(!is_bad),
                 failed: u64::from(is_bad),
                 ..AnswerSums::default()
             };
             let sum = match arm {
-                Arm::Current => &mut own[g].current,
-                Arm::Target => &mut own[g].target,
+                Arm::Current => &mut local[g].current,
+                Arm::Target => &mut local[g].target,
             };
             *sum = sum.plus(one.into());
         }
-        if ms % NEWS == 0 {
-            let sum = own.iter().fold(RouteEvidence::default(), |sum, e| sum.plus(*e));
+        if ms % GOSSIP_INTERVAL == 0 {
+            let sum = local.iter().fold(RouteEvidence::default(), |sum, e| sum.plus(*e));
             let sent = trials.iter().fold(SendCounts::default(), |sum, t| sum.plus(t.counts(now)));
-            told = (sum, sent);
+            gossip = (sum, sent);
         }
         for g in 0..gateways {
-            let knows = if rng.bool() { told.0 } else { own[g] };
-            let shared = FleetEvidence { routes: vec![knows], sent: told.1 };
+            let evidence = if rng.bool() { gossip.0 } else { local[g] };
+            let shared = FleetEvidence { routes: vec![evidence], sent: gossip.1 };
             trials[g].step(&shared, now);
         }
     }
-    Played { phases: trials.iter().map(Canary::phase).collect(), got, all }
+    Outcome { phases: trials.iter().map(Canary::phase).collect(), to_target, all }
 }
 
 /// Each gateway by itself gives a bad version that no order names its part of the traffic until it has seen enough.
@@ -71,10 +71,10 @@
 fn bad_version_without_an_order_is_found_by_all_gateways_together() {
     for (gateways, per_s) in GATEWAYS {
         for seed in 0..3 {
-            let Played { phases, got, all } = play(gateways, per_s, 0.5, seed);
-            let what = format!("{gateways} gateways, seed {seed}: {got} of {all}");
+            let Outcome { phases, to_target, all } = simulate(gateways, per_s, 0.5, seed);
+            let what = format!("{gateways} gateways, seed {seed}: {to_target} of {all}");
             assert!(phases.iter().all(|phase| *phase == Phase::RolledBack), "{what}: {phases:?}");
-            assert!(got * 1_000 <= all * 15 + 30_000, "{what}");
+            assert!(to_target * 1_000 <= all * 15 + 30_000, "{what}");
         }
     }
 }
@@ -84,11 +84,11 @@
 fn version_without_an_order_gets_the_share_of_a_trial() {
     for (gateways, per_s) in GATEWAYS {
         for seed in 0..3 {
-            let Played { phases, got, all } = play(gateways, per_s, 0.0, seed);
-            let what = format!("{gateways} gateways, seed {seed}: {got} of {all}");
+            let Outcome { phases, to_target, all } = simulate(gateways, per_s, 0.0, seed);
+            let what = format!("{gateways} gateways, seed {seed}: {to_target} of {all}");
             assert!(phases.iter().all(|phase| *phase == Phase::Done), "{what}: {phases:?}");
             // It is in service for the last 4 s of 24 s.
-            assert!(got * 100 <= all * 25, "{what}");
+            assert!(to_target * 100 <= all * 25, "{what}");
         }
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -287,7 +287,7 @@
     }
 
     pub(crate) fn count_request(&self, service: &ServiceName) {
-        self.with_budget(service, |budget| budget.request(self.now()));
+        self.with_budget(service, |budget| budget.record_request(self.now()));
     }
 
     pub(crate) fn try_repeat(&self, service: &ServiceName, what: ResendReason) -> bool {
