--- a/core/tests/canary.rs
+++ b/core/tests/canary.rs
@@ -1,4 +1,5 @@
-//! Roll-outs in virtual time: which versions are found, and when good ones are done.
+//! Simulated roll-outs in virtual time: bad versions are rolled back, and good ones are done before
+//! the deadline.
 
 mod rollout_fleet;
 
@@ -35,8 +36,8 @@
     assert_rolled_back(|_, _, _| 0.5, FaultKind::Failed, "failing");
 }
 
-/// Only one route's answers are bad. Among the answers of all routes they are few: judged together,
-/// the version went into full service.
+/// A version is bad on one route only. Its failures are few among the answers of all routes; judged
+/// by these alone, it would be put into service.
 #[test]
 fn version_that_is_bad_on_one_route_is_rolled_back() {
     assert_rolled_back(
@@ -46,16 +47,15 @@
     );
 }
 
-/// A version answers well for some seconds, and then does not. It must not have had most of the
-/// traffic by then.
+/// A version answers well for some seconds and then fails. It must not have most of the traffic by
+/// then.
 #[test]
 fn version_that_turns_bad_late_is_rolled_back() {
     assert_rolled_back(|_, ms, _| if ms > 8_000 { 0.5 } else { 0.0 }, FaultKind::Failed, "late");
     assert_rolled_back(|_, ms, _| if ms > 15_000 { 0.5 } else { 0.0 }, FaultKind::Failed, "later");
 }
 
-/// A version fails only once much of the traffic is there: the last step must be undone within a
-/// moment.
+/// A version fails only with most of the traffic: full traffic must be rolled back within moments.
 #[test]
 fn version_that_fails_under_load_is_rolled_back() {
     assert_rolled_back(
@@ -65,8 +65,8 @@
     );
 }
 
-/// A version is bad, and shows it only under a load that does not come in its window: nothing can
-/// find it. Even so it must not get more than is allowed until its window ends.
+/// A version fails only under a load that doesn't occur in its window, so that no trial can detect
+/// the fault. It must not exceed its exposure before the window ends.
 #[test]
 fn version_that_never_shows_it_stays_within_its_exposure() {
     for gateways in [1, 4, 28] {
@@ -79,9 +79,9 @@
     }
 }
 
-/// Load pattern: a plain service of twenty requests a second, a window of ten seconds, and a version of
-/// which half of the answers are eight times as slow. What its window shows is too little to tell; it
-/// must not come into service on that, but be rolled back later, while the old version is still there.
+/// A service of 20 requests a second, a window of 10 s, and a version with half of its answers
+/// eight times slower. The window has too few answers for a decision: the version must not be put
+/// into service on these, but be rolled back later, while the old version still runs.
 #[test]
 fn slow_version_of_a_small_service_does_not_come_into_service() {
     let done = |seed: &u64| {
@@ -92,9 +92,9 @@
     assert!(done.is_empty(), "{done:?}");
 }
 
-/// Gateways read an order up to 0.9 s after it was given, and know only that it was given in that time.
-/// Wherever in it that was, a version that never shows its fault stays within its exposure, and a good
-/// one, at whose predecessor requests still run, is done before its deadline.
+/// Gateways read an order up to 0.9 s after it was given, and its age is known only to lie in that
+/// range. Whatever the age, a version whose fault never shows keeps its exposure, and a good one is
+/// done before its deadline.
 #[test]
 fn order_of_unknown_age_ends_in_time_and_within_its_exposure() {
     let age_uncertainty = Millis(900);
@@ -114,14 +114,15 @@
     }
 }
 
-/// A version answers everything, several times as slowly.
+/// A version answers all requests, most of them eight times slower.
 #[test]
 fn slow_version_is_rolled_back() {
     assert_rolled_back(|_, _, _| 0.6, FaultKind::Slow, "slow");
 }
 
-/// Good versions are done within their time, also where the version in service fails as often; there,
-/// one in a hundred may be rolled back by chance: that is what the level of the test of failures allows.
+/// Good versions are done in time, also if the version in service fails just as often. In that
+/// case, one of a hundred may be rolled back by chance, which the significance level of the failure
+/// test allows.
 #[test]
 fn good_version_is_done_in_time() {
     for (current_bad_rate, allowed) in [(0.0, 0), (0.05, 1)] {
@@ -141,9 +142,9 @@
     }
 }
 
-/// The store shows an order only 0.7 s after it was given, so that gateways take it for younger than it
-/// is. Requests still run at the old version at the end of the window. A good version is done all the
-/// same before its deadline, of which a twentieth is kept for that.
+/// The store returns an order only 0.7 s after it was given, so that gateways take it to be younger
+/// than it is. Requests still run on the old version at the end of the window. A good version is
+/// nevertheless done before its deadline, because a twentieth of the window is reserved for that.
 #[test]
 fn good_version_is_done_though_its_order_was_read_late() {
     for seed in 0..20 {
@@ -154,8 +155,8 @@
     }
 }
 
-/// A session runs on the version in service when the order comes. In the first half it stays
-/// there; one that began on the target never goes back, but after a roll-back.
+/// Sessions stay on the version in service in the first half of the window, and a session that
+/// moved to the target leaves it only after a rollback.
 #[test]
 fn sessions_keep_their_version() {
     let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
@@ -173,8 +174,8 @@
     assert_eq!(canary.choose_arm(moved, 0, Millis(0)), ArmChoice::Arm(Arm::Current));
 }
 
-/// A session that one gateway has moved is sent back by another that takes the order for up to 0.2 s younger, or that has
-/// not gone over to the next phase yet.
+/// Guards against a session that one gateway moved to the target and another sends back, because it
+/// takes the order to be up to 0.2 s younger or is still in the previous phase.
 #[test]
 fn gateway_behind_another_asks_for_each_session_that_may_have_moved() {
     let good = AnswerCounts { good: 1_000, ..AnswerCounts::default() };
@@ -195,7 +196,7 @@
                 ahead.record_send(None, Arm::Current, now);
             });
             ahead.step(&shared, now);
-            // Gateways look at their roll-outs each 0.2 s.
+            // Gateways step their roll-outs every 0.2 s.
             if now.0 % 200 == 180 {
                 late.step(&shared, now);
             }
@@ -212,7 +213,8 @@
     }
 }
 
-/// A gateway that has just started sends a session that has moved to the old version, as it takes the order for just given.
+/// Guards against a gateway that has just started, takes the order to be just given, and sends a
+/// session that moved to the target back to the old version.
 #[test]
 fn sessions_are_not_decided_while_the_age_of_the_order_is_unknown() {
     let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
@@ -226,8 +228,8 @@
     assert_eq!(choice(&canary), ArmChoice::Arm(Arm::Current));
 }
 
-/// The order was given long before this gateway started: it learns so from another one, and does
-/// not begin the trial anew.
+/// A gateway starts long after the order was given. It merges the age that another gateway sends,
+/// and doesn't repeat the trial.
 #[test]
 fn age_of_an_order_is_learned() {
     let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
@@ -246,10 +248,10 @@
     assert_eq!(canary.step(&shared, late), Phase::Ramp);
 }
 
-/// Load pattern: a service of thirty requests a second, whose order is read 0.6 s after it was given. What
-/// it answers between the last step and the end of its window is less than a busy service's; a good version
-/// is done in time all the same, and one that fails one in six answers under load, or is slow under load,
-/// does not come into service on that little.
+/// A service of 30 requests a second, with an order that is read 0.6 s late, has few answers
+/// between full traffic and the deadline. A good version is nevertheless done in time, and a
+/// version that fails one in six requests or is slow under load is not put into service on these
+/// answers.
 #[test]
 fn service_of_thirty_a_second_ends_in_time() {
     let age = OrderAge { max: Millis(600), ..OrderAge::default() };
--- a/core/tests/exposure.rs
+++ b/core/tests/exposure.rs
@@ -1,19 +1,21 @@
-//! What a bad version gets that never shows its fault, whatever the rate of requests does.
+//! Exposure bound: requests that go to a version whose fault never shows, under any change of the
+//! request rate.
 
 mod rollout_fleet;
 
 use redwingfold_core::{CanaryPolicy, Millis, OrderAge, Phase};
 use rollout_fleet::{BadAnswerRate, FaultKind, Fleet, Outcome, WINDOW};
 
-/// Shares of a service's requests that operators allow, and gateways with requests a second.
+/// Allowed exposures, as shares of a service's requests.
 const EXPOSURES: [f64; 2] = [0.15, 0.0975];
+/// Gateways, and their requests per second in total.
 const FLEETS: [(usize, u64); 3] = [(3, 150), (28, 300), (103, 800)];
-/// Requests beyond the share that operators allow.
+/// Requests that operators allow in addition to the share.
 const SLACK: u64 = 30;
 
 const GOOD: BadAnswerRate = |_, _, _| 0.0;
 
-/// A rate that is multiplied by a factor at a time for good.
+/// Request rate that is multiplied by `factor` from a time on.
 fn rate_step(per_s: u64, at: u64, factor: f64) -> impl Fn(u64) -> u64 {
     move |ms| if ms < at { per_s } else { (per_s as f64 * factor) as u64 }
 }
@@ -37,10 +39,9 @@
     }
 }
 
-/// Callers of a customer get answers of a bad version beyond the share that the operator allows. The
-/// version shows no fault in its window; all requests go to it from some 90% of the window on, by the
-/// clock; and just then a burst brings 1.7 or three times as many. A logged roll-out: `phase=ramp` at
-/// 14.5 s, `phase=full` at 15.6 s of a window that ends at 17.3 s, 416 of 2,414 requests, 392 allowed.
+/// Guards against exceeding the exposure. A version shows no fault in its window, and a burst of
+/// 1.7 or three times the rate begins just when all requests go to it, in the last tenth of the
+/// window. With full traffic from a fixed time on, the version got more than its share.
 #[test]
 fn burst_in_the_last_part_of_a_window_stays_within_the_exposure() {
     for_each_fleet(|gateways, per_s, exposure, seed| {
@@ -56,7 +57,8 @@
     });
 }
 
-/// The same with a rate that was higher for most of the window and falls: what was counted on is not saved.
+/// The rate is higher for most of the window and then falls, so that the requests on which the
+/// budget counted don't arrive.
 #[test]
 fn falling_rate_stays_within_the_exposure() {
     for_each_fleet(|gateways, per_s, exposure, seed| {
@@ -73,8 +75,8 @@
     });
 }
 
-/// Beside a burst a third of the gateways start anew, and half of the messages are lost. A gateway that
-/// has just started has saved nothing up, and what its earlier start had is not spent twice.
+/// During a burst, a third of the gateways restart and half of the messages are lost. A restarted
+/// gateway begins with an empty budget, and what it spent before its restart is not spent twice.
 #[test]
 fn gateways_that_start_anew_stay_within_the_exposure() {
     for_each_fleet(|gateways, per_s, exposure, seed| {
@@ -93,8 +95,8 @@
     });
 }
 
-/// What the bound costs a good version is not its deadline: it is done in time at a steady rate, with a
-/// burst in the last part of its window, and with a rate that falls.
+/// The exposure bound must not delay a good version beyond its deadline: at a steady rate, with a
+/// burst in the last part of the window, and with a falling rate.
 #[test]
 fn good_version_is_done_in_time_within_its_exposure() {
     for_each_fleet(|gateways, per_s, exposure, seed| {
@@ -114,11 +116,10 @@
     });
 }
 
-/// A good version of a large fleet's service is done after its deadline, and its operator has to look why.
-/// The store shows an order 0 to 1.1 s after it was given, and gateways know only that: by the greatest age
-/// the window is over before full traffic has lasted long enough, so that many more answers are asked for;
-/// by the least one full traffic begins late. Logged by 103 gateways, with a deadline at 26.0 s:
-/// `age_least_ms=37 age_most_ms=1211`, `phase=full` from 25.0 s on, `phase=done` at 27.0 s.
+/// Guards against a good version of a large fleet that is done after its deadline. The store
+/// returns an order 0 to 1.1 s after it was given, and gateways know only that range. By the
+/// greatest age, the window is over before full traffic has lasted long enough, and many more
+/// answers are required after the deadline; by the least age, full traffic begins late.
 #[test]
 fn good_version_is_done_in_time_though_the_age_of_its_order_is_doubtful() {
     let age_uncertainty = Millis(1_100);
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -1,4 +1,4 @@
-//! Versions that fail under load, in virtual time: servers with slots, and a window with less load than comes after it.
+//! Simulated versions that fail under load: servers with slots, and a burst after the window.
 
 use redwingfold_core::{
     Affinity, AnswerCounts, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence,
@@ -8,34 +8,35 @@
 
 const WINDOW: u64 = 16_000;
 const STEP: u64 = 50;
-/// Time after the window in which load is higher.
+/// Simulated time in ms after the window, when the load is higher.
 const AFTER_WINDOW: u64 = 10_000;
 const SLOTS: u32 = 24;
-/// Age of what the gateways know of servers' loads.
+/// Age in ms of the load reports that gateways have of servers.
 const REPORT_AGE: u64 = 100;
 
-/// How a trial's requests are placed.
+/// How the requests of a load trial are placed on the target's servers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RequestPlacement {
     Concentrated,
     Spread,
 }
 
-/// Probability with which a server fails a request, by its number and the requests that it runs.
+/// Probability with which a server fails a request, by its index and the number of requests that it
+/// runs.
 type FailureRate = fn(usize, u32) -> f64;
 
 struct Server {
     place: Place,
-    /// When each of its requests ends.
+    /// End time of each of its requests.
     ends: Vec<u64>,
 }
 
-/// An answer that comes at a time.
+/// An answer that arrives at a later time.
 struct PendingAnswer {
     at: u64,
     arm: Arm,
     is_first_half: bool,
-    /// Its time, and the load of its server; `None` if it is a failure.
+    /// Latency and the load of the server; `None` if the answer is a failure.
     good: Option<(f64, f64)>,
 }
 
@@ -70,7 +71,7 @@
         };
         let mut servers =
             ["v1", "v2"].map(|arm| (0..servers).map(|n| server(arm, n)).collect::<Vec<_>>());
-        // The first of the target's servers is the first that leads.
+        // The first of the target's servers is the first one of the load trial.
         let first = |servers: &[Server]| {
             let places = servers.iter().map(|s| s.place.clone()).collect();
             let id = lead_servers(places, 1)[0].id.clone();
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Plays a roll-out with so many requests a second that each server of a version runs `running` of them.
+    /// Simulates a roll-out at a request rate at which each server of a version runs `running`
+    /// requests; after the window, the rate is multiplied by `burst`.
     fn simulate(mut self, running: f64, burst: f64, failure_rate: FailureRate) -> Outcome {
         let per_step = running * self.servers[0].len() as f64 * STEP as f64 / 2_000.0;
         let mut due_requests = 0.0;
@@ -155,7 +157,8 @@
             return;
         }
         let load = f64::from(running) / f64::from(SLOTS);
-        // A batch with more requests takes longer for each step; times differ by a factor of three either way.
+        // A batch with more requests takes longer per step; latencies vary by a factor of three
+        // either way.
         let time = 100.0 * (1.0 + load) * (rng.f64() * 2.2 - 1.1).exp();
         server.ends.push(ms + 1_000 + rng.u64(..2_000));
         let good = Some((time, load));
@@ -193,10 +196,11 @@
     }
 }
 
-/// Half of the requests fail at a server that is half full.
+/// Half of the requests fail on a server with half of its slots in use.
 const UNDER_LOAD: FailureRate = |_, running| if running >= SLOTS / 2 { 0.5 } else { 0.0 };
 
-/// Servers of a version, requests that each runs before the end of the window, and what operators allow.
+/// Servers of a version, requests that each runs before the end of the window, and the allowed
+/// exposure.
 const FLEETS: [(usize, f64, f64); 4] =
     [(180, 8.0, 0.0975), (180, 11.0, 0.0975), (100, 9.0, 0.15), (60, 10.0, 0.15)];
 
@@ -206,8 +210,9 @@
     }
 }
 
-/// A version that fails under load is put into service, as its servers run a request or two each in its window, and fails in
-/// the first burst with no other version left.
+/// Guards against a version that fails under load and is put into service, because its servers run
+/// only one or two requests each in the window; it would fail in the first burst, with no other
+/// version left.
 #[test]
 fn version_that_fails_under_load_is_found_before_its_window_ends() {
     for_each_fleet(|servers, running, exposure, seed| {
@@ -219,7 +224,8 @@
     });
 }
 
-/// A good version is rolled back, as the few servers that its trial loads are slower than the others' mean.
+/// Guards against the rollback of a good version because the few servers of its load trial are
+/// slower than the mean of the version in service.
 #[test]
 fn good_version_whose_trial_loads_servers_is_done_in_time() {
     for_each_fleet(|servers, running, exposure, seed| {
@@ -232,7 +238,8 @@
     });
 }
 
-/// A good version is rolled back, as one of the few servers of its trial fails by itself.
+/// Guards against the rollback of a good version because one of the few servers of its load trial
+/// fails.
 #[test]
 fn one_server_that_fails_does_not_take_its_version_back() {
     for_each_fleet(|servers, running, exposure, seed| {
@@ -243,7 +250,8 @@
     });
 }
 
-/// A version that always fails, or whose servers all fail some requests, gets many of them before its two halves show it.
+/// A version with failures on all servers must be rolled back soon, although both halves of its
+/// servers must show the fault.
 #[test]
 fn failing_version_is_found_in_both_halves() {
     for_each_fleet(|servers, running, exposure, seed| {
@@ -255,7 +263,8 @@
     });
 }
 
-/// What the trial shows depends on where its requests go: spread over all servers they show nothing.
+/// Confirms that the load trial is what detects the fault: requests spread over all servers don't
+/// show it.
 #[test]
 fn spread_trial_does_not_show_a_fault_under_load() {
     let is_found = |seed| {
--- a/core/tests/rollout_fleet/mod.rs
+++ b/core/tests/rollout_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Roll-outs in virtual time: several gateways, each with its own view, and versions of every kind.
+//! Simulation of roll-outs in virtual time, with several gateways that exchange their evidence.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -11,53 +11,54 @@
 /// Milliseconds between an order and its deadline.
 pub(crate) const WINDOW: u64 = 24_000;
 
-/// How a version answers: by route, time since the order, and share of the traffic.
+/// Probability of a bad answer, by route, time in ms since the order, and the target's share of the
+/// traffic.
 pub(crate) type BadAnswerRate = fn(usize, u64, f64) -> f64;
 
-/// In which way a version's bad answers are bad.
+/// What is wrong with a bad answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum FaultKind {
     Failed,
     Slow,
 }
 
-/// Gateways that roll one version out.
+/// Gateways that roll out one version.
 pub(crate) struct Fleet {
     pub(crate) gateways: Vec<Gateway>,
     rng: fastrand::Rng,
     policy: CanaryPolicy,
-    /// Time at which some start anew, and how many.
+    /// Time in ms at which some gateways restart, and their number.
     restart: Option<(u64, usize)>,
-    /// Time at which gateways are added, and how many there are before.
+    /// Time in ms at which gateways are added, and their number before that.
     growth: Option<(u64, usize)>,
-    /// Part of the messages that is lost.
+    /// Probability with which a message is lost.
     message_loss: f64,
-    /// Sessions of callers, if their requests have any.
+    /// Sessions of the requests, if they have any.
     sessions: Option<Sessions>,
 }
 
-/// One of them.
+/// One gateway of the fleet.
 pub(crate) struct Gateway {
     pub(crate) canary: Canary,
     evidence: [RouteEvidence; ROUTES],
     moved: MovedSessions,
 }
 
-/// Who knows which sessions have moved.
+/// Where a gateway looks up whether a session has moved.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SessionLookup {
-    /// The keepers of each.
+    /// At the gateways that keep the session's entry.
     Keepers,
-    /// Only gateways that have served them.
+    /// Only in its own table of sessions that it served.
     Local,
-    /// Nobody; all are taken to have moved that may have.
+    /// Nowhere: each session that may have moved counts as moved.
     Assumed,
 }
 
 /// Sessions whose requests reach gateways at random.
 struct Sessions {
     lookup: SessionLookup,
-    /// Part of the requests that follow another one of their session.
+    /// Share of the requests that continue an existing session.
     continued_share: f64,
     active: Vec<Session>,
 }
@@ -68,36 +69,38 @@
     last_request_at: u64,
 }
 
-/// Time within which the next request of a session follows.
+/// Longest time in ms between two requests of a session.
 const SESSION_GAP: u64 = 8_500;
 
-/// How long gateways remember sessions.
+/// How long gateways keep the entry of a moved session.
 const RETENTION: Millis = Millis(17_000);
 
-/// What one gateway tells the others.
+/// What a gateway sends to the others.
 type GossipState = ([RouteEvidence; ROUTES], SendCounts);
 
-/// What came of a roll-out.
+/// Outcome of a simulated roll-out.
 pub(crate) struct Outcome {
     pub(crate) phase: Phase,
     pub(crate) to_target: u64,
     pub(crate) all: u64,
-    /// Requests that went to the target later than five seconds after its 50th bad answer.
+    /// Requests that went to the target later than 5 s after its 50th bad answer.
     pub(crate) after_50th: u64,
     pub(crate) ended_at: Option<u64>,
-    /// Requests of sessions that ran on the target in the first half, after one on the version in service.
+    /// Requests of sessions that ran on the target in the first half of the window, after one on
+    /// the version in service.
     pub(crate) moved_early: u64,
-    /// Requests of sessions that ran on the version in service after one on the target.
+    /// Requests of sessions that ran on the version in service, after one on the target.
     pub(crate) moved_back: u64,
 }
 
 impl Fleet {
-    /// Makes gateways that read the order when it is given.
+    /// Creates gateways that read the order when it is given.
     pub(crate) fn new(gateways: usize, seed: u64) -> Self {
         Self::with_order_age(gateways, seed, Millis(0), OrderAge::default())
     }
 
-    /// Makes gateways that read the order some time after it was given, and take it for so old.
+    /// Creates gateways that read the order `after` it was given, with `age` as the bounds on its
+    /// age.
     pub(crate) fn with_order_age(gateways: usize, seed: u64, after: Millis, age: OrderAge) -> Self {
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
         let draw = |g: u64| fastrand::Rng::with_seed(seed << 16 | g).u64(..);
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Gives the roll-out another window.
+    /// Sets the window of the roll-out, in ms.
     pub(crate) fn with_window(mut self, window: u64) -> Self {
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(window) };
         for gateway in &mut self.gateways {
@@ -127,7 +130,8 @@
         self
     }
 
-    /// What gateway `g` knows; a message of another may be lost, so that what it knew before stands.
+    /// Returns the evidence of all gateways as gateway `g` received it. If the latest message of
+    /// another gateway is lost, its previous one counts.
     fn shared(
         &mut self,
         received: &mut [Vec<GossipState>],
@@ -157,13 +161,13 @@
         FleetEvidence { routes, sent }
     }
 
-    /// Gives the roll-out the policy for another exposure.
+    /// Sets the policy for an exposure.
     pub(crate) fn with_exposure(self, exposure: f64) -> Self {
         let policy = CanaryPolicy::for_exposure(exposure);
         self.with_policy(policy, OrderAge::default(), Millis(0))
     }
 
-    /// Gives the roll-out another policy; its order was read at a time, and taken for so old.
+    /// Sets the policy, for an order that was read at `now` with `age` as the bounds on its age.
     pub(crate) fn with_policy(mut self, policy: CanaryPolicy, age: OrderAge, now: Millis) -> Self {
         self.policy = policy;
         for g in 0..self.gateways.len() {
@@ -172,19 +176,19 @@
         self
     }
 
-    /// Lets some gateways start anew at a time.
+    /// Restarts the first `gateways` gateways at a time.
     pub(crate) fn with_restart(mut self, at: u64, gateways: usize) -> Self {
         self.restart = Some((at, gateways));
         self
     }
 
-    /// Lets all gateways but the first `before` be added at a time.
+    /// Adds all gateways but the first `before` at a time.
     pub(crate) fn with_growth(mut self, at: u64, before: usize) -> Self {
         self.growth = Some((at, before));
         self
     }
 
-    /// Returns how many gateways there are at a time.
+    /// Returns the number of gateways at a time.
     fn gateway_count(&self, ms: u64) -> usize {
         match self.growth {
             Some((at, before)) if ms < at => before,
@@ -192,19 +196,19 @@
         }
     }
 
-    /// Loses more of the messages.
+    /// Sets the probability with which a message is lost.
     pub(crate) fn with_message_loss(mut self, message_loss: f64) -> Self {
         self.message_loss = message_loss;
         self
     }
 
-    /// Gives each request a session; a part of them follow another one of theirs.
+    /// Gives each request a session; a share of the requests continue an existing one.
     pub(crate) fn with_sessions(mut self, lookup: SessionLookup, continued_share: f64) -> Self {
         self.sessions = Some(Sessions { lookup, continued_share, active: Vec::new() });
         self
     }
 
-    /// Lets each gateway know another bound on the age of its order, up to `most`.
+    /// Gives each gateway a different lower bound on the age of the order, up to `max` ms.
     pub(crate) fn with_order_age_spread(mut self, max: u64) -> Self {
         for g in 0..self.gateways.len() {
             let min = Millis(self.rng.u64(..=max));
@@ -219,13 +223,15 @@
         Canary::new(self.policy, order, age, now, self.rng.u64(..))
     }
 
-    /// Starts gateways anew: they know nothing but the order, and from the others how old it is.
+    /// Restarts or adds gateways: their state is empty but for the order, whose age they get from
+    /// the others.
     fn restart_gateways(&mut self, ms: u64) {
         let restarted = self.restart.filter(|(at, _)| *at == ms).map_or(0..0, |(_, n)| 0..n);
         let all = self.gateways.len();
         let added = self.growth.filter(|(at, _)| *at == ms).map_or(0..0, |(_, n)| n..all);
         for g in restarted.chain(added) {
-            // With sessions it decides for some requests before it hears the others.
+            // With sessions, a gateway decides for some requests before it receives the others'
+            // messages.
             let age = OrderAge { is_unknown: self.sessions.is_some(), ..OrderAge::default() };
             let mut canary = self.new_canary(age, Millis(ms));
             if !age.is_unknown {
@@ -237,8 +243,8 @@
         }
     }
 
-    /// Plays a roll-out with `per_s` requests a second; `usual` of the version in service's answers
-    /// are bad, and the target's as `version` says.
+    /// Simulates a roll-out with `per_s` requests a second, and the bad answer rates of the version
+    /// in service and the target.
     pub(crate) fn simulate(
         self,
         per_s: u64,
@@ -249,7 +255,7 @@
         self.simulate_rate(|_| per_s, current_bad_rate, target_bad_rate, kind)
     }
 
-    /// Plays a roll-out with as many requests a second as `per_s` says for a time.
+    /// Simulates a roll-out with a request rate that depends on the time in ms.
     pub(crate) fn simulate_rate(
         mut self,
         per_s: impl Fn(u64) -> u64,
@@ -288,13 +294,13 @@
             for g in 0..self.gateway_count(ms) {
                 let shared = self.shared(&mut received, g, Millis(ms));
                 let phase = self.gateways[g].canary.step(&shared, Millis(ms));
-                // The first to end it writes the status, and the others read it.
+                // The first gateway to end the roll-out writes the status, and the others read it.
                 if phase >= Phase::Done && outcome.ended_at.is_none() {
                     outcome.ended_at = Some(ms);
                     outcome.phase = phase;
                 }
             }
-            // The old servers stop on that word, so that everything goes to the target.
+            // The old servers stop after that, so that everything goes to the target.
             if outcome.phase == Phase::Done {
                 self.gateways.iter_mut().for_each(|g| g.canary.end(Phase::Done));
             }
@@ -302,7 +308,7 @@
         outcome
     }
 
-    /// Plays one request; returns which version it went to, and whether its answer was bad.
+    /// Simulates one request; returns the version that served it, and whether its answer was bad.
     fn request(
         &mut self,
         ms: u64,
@@ -330,7 +336,7 @@
         let rate =
             if arm == Arm::Target { target_bad_rate(route, ms, share) } else { current_bad_rate };
         let is_bad = self.rng.f64() < rate;
-        // Times differ by a factor of three either way.
+        // Latencies vary by a factor of three either way.
         let ratio = (self.rng.f64() * 2.2 - 1.1).exp();
         let evidence = &mut gateway.evidence[route];
         let counts = match arm {
@@ -351,7 +357,8 @@
         (arm, is_bad)
     }
 
-    /// Chooses the version for a request of a session, and counts it if the session changes its version as it must not.
+    /// Chooses the version for a request of a session, and counts changes of version that must not
+    /// occur.
     fn request_of_session(&mut self, g: usize, ms: u64, outcome: &mut Outcome) -> Arm {
         let now = Millis(ms);
         let (key, last) = self.take_session(ms);
@@ -377,7 +384,8 @@
         arm
     }
 
-    /// Takes one that goes on, or begins another; returns its key, and the version that it ran on last.
+    /// Takes a session that continues, or starts another; returns its key, and the version of its
+    /// last request.
     fn take_session(&mut self, ms: u64) -> (SessionKey, Option<Arm>) {
         let sessions = self.sessions.as_mut().unwrap();
         if sessions
@@ -402,7 +410,7 @@
         key.keepers(&gateways, |g| *g as u64)
     }
 
-    /// Returns the gateways that are asked for a session.
+    /// Returns the gateways that are asked for the entry of a session.
     fn gateways_to_ask(&self, key: SessionKey, now: Millis) -> Vec<usize> {
         let mut gateways_to_ask = self.keepers(key, now);
         if let Some((at, before)) = self.growth.filter(|(at, _)| now.0 >= *at) {
