--- a/core/tests/cold.rs
+++ b/core/tests/cold.rs
@@ -1,21 +1,21 @@
-//! What all gateways together send to backend servers that have just started.
+//! Total request rates of all gateways to backend servers that have just started.
 
 mod turn_fleet;
 
 use redwingfold_core::{ColdLimit, ColdPolicy, Millis};
 use turn_fleet::{Belief, Load, Way, worst};
 
-/// What a cold server bears.
+/// What a cold server can take.
 const LIMIT: ColdLimit = ColdLimit { duration: Millis(3_000), requests_per_s: 12.0 };
 
 const SEEDS: u64 = 3;
 
-/// How near all gateways come to it.
+/// Policy for how much of it all gateways together use.
 fn policy() -> ColdPolicy {
     ColdPolicy { peak_factor: 1.5, peak_slack: 5.0, ..ColdPolicy::default() }
 }
 
-/// A third of the servers come back cold, and are chosen before the loaded ones.
+/// A third of the servers come back cold, and gateways prefer these to the loaded ones.
 fn third_cold(gateways: usize) -> Load {
     let of = |servers: usize| (servers * gateways / 27).max(2);
     Load {
@@ -31,12 +31,14 @@
     }
 }
 
+/// Most requests that a cold server may get within any second.
 fn max_per_second() -> usize {
     policy().max_per_second(LIMIT) as usize
 }
 
-/// Servers come back together while gateways know all others, or a half, or nobody as they have just started: none gets
-/// more than it bears in any second. Each ended under the herd.
+/// Servers come back together, while gateways know all other gateways, half of them, or none
+/// because they have just started. No server may get more than it can take in any second; without a
+/// common limit, each failed under the thundering herd.
 #[test]
 fn herd_does_not_end_cold_servers() {
     for gateways in [3, 27, 103] {
@@ -54,7 +56,8 @@
     assert!(played.most <= max_per_second(), "330 gateways: {}", played.most);
 }
 
-/// A burst comes after gateways had no use for their turns. Turns that are saved up would all be used at once.
+/// A burst follows a time in which gateways didn't use their send times. If unused ones
+/// accumulated, all of them would be used at once.
 #[test]
 fn unused_turns_are_lost() {
     for gateways in [27, 103] {
@@ -65,7 +68,8 @@
     }
 }
 
-/// All servers are cold at once, and nobody else can take the load: still none gets more than it bears.
+/// All servers are cold at the same time, and no other server can take the load. No server may get
+/// more than it can take.
 #[test]
 fn cold_servers_alone_bear_the_press() {
     for gateways in [3, 27, 103] {
@@ -81,7 +85,8 @@
     }
 }
 
-/// A limit so low that cold servers idle would cost callers: under load each gets four fifths of the rate aimed at.
+/// A limit that leaves cold servers idle would cost callers time: under load, each gets at least
+/// four fifths of the intended rate.
 #[test]
 fn cold_servers_take_their_part() {
     for gateways in [3, 27, 103] {
@@ -97,7 +102,8 @@
     }
 }
 
-/// The checks above find what they should: without turns, and with turns that are saved up, servers get too much.
+/// Confirms that the checks above detect an overload: without a limit, and with unused send times
+/// that accumulate, servers get too much.
 #[test]
 fn herd_is_caught() {
     let free = worst(Way::Free, Belief::Right, third_cold(27), 1);
@@ -108,7 +114,7 @@
     assert!(saved.most > max_per_second(), "{}", saved.most);
 }
 
-/// Prints what each way sends at most and on average, by belief.
+/// Prints the highest and mean rates of each method, by what gateways know of each other.
 #[test]
 fn ways_are_compared() {
     for gateways in [3, 27] {
--- a/core/tests/evacuations.rs
+++ b/core/tests/evacuations.rs
@@ -1,18 +1,18 @@
-//! Orders to empty failure domains, through restores of the store.
+//! Evacuation orders under partitions, restarts and restores of the store.
 
 use redwingfold_core::{EvacuationChange, Evacuations, FailureDomain, Millis};
 
-/// Longest time between two reads of a gateway.
+/// Longest time in ms between two reads of a gateway.
 const READ_INTERVAL: u64 = 1_350;
 
-/// Time in which the operator writes again what a store from an older copy lacks.
+/// Longest time in ms until the operator writes orders again which a restored store lacks.
 const REWRITE_DELAY: u64 = 3_000;
 
-/// Time for which what is played goes on, and in which gateways settle afterwards.
+/// Time in ms during which faults occur, and time afterwards in which gateways converge.
 const FAULT_PHASE: u64 = 40_000;
 const SETTLE_TIME: u64 = 15_000;
 
-/// The operator's topic: orders by time, and the copy from which it may come back.
+/// The operator's topic: records of orders, and the number of restores so far.
 #[derive(Clone, Default)]
 struct Topic {
     records: Vec<(FailureDomain, bool)>,
@@ -35,7 +35,7 @@
     next: Option<(u32, usize)>,
     reads_at: u64,
     partitioned_until: u64,
-    /// Orders that it could read.
+    /// Orders that the gateway could read, with the time of each.
     orders_read: Vec<(FailureDomain, u64)>,
 }
 
@@ -72,23 +72,24 @@
     }
 }
 
-/// What gateways may believe wrongly.
+/// Faults that are injected.
 #[derive(Clone, Copy)]
 struct Faults {
-    /// Whether the store comes back from copies.
+    /// Whether the store is restored from older copies.
     restores: bool,
-    /// Whether a copy's whole list is taken as any other: the planted fault.
+    /// Injected bug: whether the complete list of a copy is treated like any other.
     treats_copy_as_current: bool,
 }
 
-/// Lets an operator order and end evacuations before gateways that read late, are cut off and start anew.
+/// Simulates an operator who orders and ends evacuations, and gateways that read late, are
+/// partitioned and restart.
 ///
-/// Returns how often a gateway sent to a domain that had been emptied for as long as a gateway needs to hear of it.
+/// Returns how often a gateway sent requests to a domain whose evacuation it had been able to read.
 fn simulate(n: usize, faults: Faults, seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> = (0..n).map(|_| Gateway::new(rng.u64(..READ_INTERVAL))).collect();
     let (mut topic, mut copy) = (Topic::default(), Topic::default());
-    // What the operator wants, since when, and what it has to write again.
+    // The orders that the operator wants in force, since when, and when it writes them again.
     let mut wanted: Vec<(FailureDomain, u64)> = Vec::new();
     let mut rewrite_at: Option<u64> = None;
     let mut violations = 0;
@@ -134,7 +135,7 @@
                 gateway.next = None;
             }
             gateway.read(&topic, rng.u32(..4) == 0, now);
-            // Between a restore and the operator's next write, only what was read before can be known.
+            // Between a restore and the operator's next write, a gateway has only what it read before.
             if rewrite_at.is_none() {
                 gateway.orders_read.clone_from(&wanted);
             }
@@ -152,8 +153,9 @@
     violations
 }
 
-/// Gateways read late, in pieces and whole, are cut off and start anew, and the store comes back from copies and is written
-/// again. None that has read sends to a domain that is emptied, and in the end all believe what the store has.
+/// Gateways read late, in parts or the complete list, are partitioned and restart, while the store
+/// is restored from copies and written again. No gateway that has read an order sends requests to
+/// the emptied domain, and in the end all gateways have the store's orders.
 #[test]
 fn orders_hold_through_cuts_restarts_and_restores() {
     for (n, seeds) in [(3, 30), (27, 10), (103, 3), (330, 1)] {
@@ -167,7 +169,8 @@
     }
 }
 
-/// The check above finds what it should: gateways that take a copy's list for the present lose orders.
+/// Confirms that the check above detects lost orders, with gateways that treat a copy's list as
+/// current.
 #[test]
 fn order_that_is_lost_with_a_copy_is_caught() {
     let violations =
@@ -179,7 +182,8 @@
     format!("hall-{n}").parse().unwrap()
 }
 
-/// An order that a copy lacks is in force until the operator had time to write it again, and for good if it was written.
+/// An order that a copy lacks stays in force until the operator had time to write it again, and
+/// indefinitely if it was written.
 #[test]
 fn order_that_a_copy_lacks_stays_for_a_while() {
     let mut lost = Evacuations::default();
@@ -194,8 +198,9 @@
     assert_eq!(lost.expire(Millis(60_000)), [EvacuationChange::Returned(domain(1))]);
 }
 
-/// A copy lacks an order, and other gateways pass the copy on before the operator has written again. Taken for the present,
-/// the list of the second one ended the order at once, and a domain that was worked on got requests.
+/// Guards against an order that ends too early. A copy lacks it, and other gateways send the copy's
+/// list before the operator writes again; when the second list was treated as current, the order
+/// ended at once, and a domain under maintenance got requests.
 #[test]
 fn copy_that_is_passed_on_ends_no_order() {
     let mut evacuations = Evacuations::default();
@@ -206,7 +211,8 @@
     assert_eq!(evacuations.replace(&[], Millis(12_000)), [EvacuationChange::Returned(domain(1))]);
 }
 
-/// A copy has an order that has ended here: it may be one that was given once more, and stands.
+/// A copy has an order that has already ended here. It counts as in force, as it may have been
+/// given again.
 #[test]
 fn order_of_a_copy_stands() {
     let mut evacuations = Evacuations::default();
@@ -216,8 +222,8 @@
     assert!(evacuations.is_emptied(&domain(1)));
 }
 
-/// Whatever orders come one by one, lost and found in whole reads, a gateway that read all of them in the end believes
-/// what the store has, and has said so by changes that fit each other.
+/// After any sequence of single orders, a read of the complete list leaves a gateway with the
+/// store's orders, and the reported changes are consistent.
 #[test]
 fn whole_read_settles_what_is_emptied() {
     bolero::check!().with_type::<(Vec<(u8, bool)>, Vec<u8>)>().for_each(|(steps, last)| {
--- a/core/tests/feeds.rs
+++ b/core/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! Gateways that read a feed together, under loss, kills and freezes.
+//! Shared reads of a feed by several gateways, under message loss and frozen processes.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 struct Gateway {
     view: FeedView,
     history: FeedHistory<()>,
-    /// As of when it truly knows the feed: what a checker sees, not what it believes.
+    /// Time as of which its view is really current, for the check.
     true_as_of: u64,
     frozen_until: u64,
 }
@@ -26,24 +26,25 @@
     gaps: u64,
 }
 
-/// Makes the view of a gateway of `n`.
+/// Creates the view of one of `n` gateways.
 fn view(n: usize) -> FeedView {
     let mut view = FeedView::new(Millis(PERIOD));
     view.set_fleet_size(n);
     view
 }
 
-/// Time from a read until a message of it is heard: a turn of a busy host, and the way.
+/// Milliseconds from a read until another gateway handles its message: the transit, and scheduling
+/// on a busy host.
 const MESSAGE_DELAY: u64 = 40;
 
-/// Plays a minute of `n` gateways; messages take a while and are lost with a probability, and every
-/// second one of them freezes for a while.
+/// Simulates `n` gateways for a minute. Messages are delayed, and lost with probability `loss`; if
+/// `freezes`, one gateway freezes for a while each second.
 fn simulate(n: usize, loss: f64, freezes: bool, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> = (0..n).map(|_| Gateway::new(n)).collect();
     let mut outcome = Outcome { reads: 0, max_staleness: 0, gaps: 0 };
     let mut in_flight: VecDeque<(u64, usize, FeedUpdate)> = VecDeque::new();
-    // The feed grows by one record each 80 ms.
+    // The feed grows by one record every 80 ms.
     let end_at = |ms: u64| ms / 80;
     for ms in (0..60_000).step_by(10) {
         if freezes && ms % 1_000 == 0 && ms > 0 {
@@ -77,7 +78,7 @@
             let from = gateway.view.next().unwrap_or(end_at(ms));
             gateway.view.record_read(Millis(ms), end_at(ms), rng.u64(..));
             gateway.true_as_of = ms;
-            // The first read of all is each gateway's own: nobody can tell it what it has never seen.
+            // The initial reads of the gateways don't count: no message could replace them.
             outcome.reads += u64::from(ms > 0);
             gateway.history.add(from, end_at(ms), Vec::new());
             let from = gateway.history.recent_changes().map_or(from, |(from, _)| from);
@@ -93,8 +94,7 @@
     outcome
 }
 
-/// Whatever is lost or frozen, no gateway that is awake knows the feed as of longer ago than twice
-/// its period.
+/// Under any message loss and freezes, no running gateway has a view older than twice its period.
 #[test]
 fn no_gateway_is_staler_than_two_periods() {
     for n in [1, 3, 4, 28] {
@@ -111,9 +111,9 @@
     }
 }
 
-/// Load pattern: a fleet grows, and a message takes longer than the time between two gateways' ends
-/// of patience. Reads of the store stay as many as those of two or three gateways, instead of growing with
-/// it; with all messages lost, each reads for itself.
+/// Guards against reads of the store that grow with the fleet, when a message takes longer than the
+/// time between the timeouts of two gateways. The reads stay as many as those of a few gateways;
+/// with all messages lost, each gateway reads by itself.
 #[test]
 fn reads_do_not_grow_with_the_fleet() {
     let alone = simulate(1, 0.0, false, 1).reads;
@@ -124,8 +124,8 @@
     assert!(simulate(28, 1.0, false, 1).reads >= alone * 20);
 }
 
-/// A message that tells of changes after ones that were missed must not be taken: what was missed
-/// would never be read.
+/// An update that begins after records which this gateway missed must not be applied, or the missed
+/// ones would never be read.
 #[test]
 fn gap_is_read_and_not_skipped() {
     let mut view = FeedView::new(Millis(PERIOD));
@@ -138,7 +138,7 @@
     assert_eq!(view.next(), Some(10));
 }
 
-/// A message that was long on its way confirms only what was known when it was said.
+/// A delayed message confirms only the state as of when it was sent.
 #[test]
 fn old_word_does_not_make_a_view_fresh() {
     let mut view = FeedView::new(Millis(PERIOD));
@@ -148,8 +148,8 @@
     assert!(view.is_due(Millis(PERIOD + 1)));
 }
 
-/// A store drops its history while an operator gives an order. A gateway reads the whole feed anew, and must
-/// know for how long that order may have stood there: since it last knew the feed.
+/// A store drops its history while an operator gives an order, and a gateway reads the whole feed
+/// again. The order can't be older than the gateway's last view, whose time must be kept.
 #[test]
 fn lost_feed_is_still_known_as_of_its_last_read() {
     let mut view = FeedView::new(Millis(450));
--- a/core/tests/freshness.rs
+++ b/core/tests/freshness.rs
@@ -1,36 +1,37 @@
-//! How old the configurations of a fleet become, in virtual time: links that are slow, a store that turns hosts
-//! away, and messages that are lost.
+//! Staleness of configurations in virtual time, with slow links, a store that refuses hosts, and
+//! message loss.
 
 use redwingfold_core::{FeedUpdate, FeedView, Leads, Millis, is_compacted_read_shorter};
 
-/// Of reads of the operator's topic.
+/// Period in ms of reads of the operator's topic.
 const PERIOD: u64 = 450;
-/// Between a message's sending and its being heard.
+/// Milliseconds until a message is delivered.
 const MESSAGE_DELAY: u64 = 40;
-/// What a gateway takes to answer another one, on a host with a tenth of a core.
+/// Milliseconds until a gateway has answered another one, on a host with a tenth of a CPU core.
 const ANSWER_DELAY: u64 = 60;
-/// Gateways that one answers at a time.
+/// Gateways that one gateway answers at the same time.
 const MAX_SERVED: usize = 8;
-/// Gateways that are told of what was fetched.
+/// Gateways that are notified of a configuration fetched from a peer.
 const FANOUT: usize = 8;
-/// Time that a gateway which is ahead has before the store is asked, too.
+/// Milliseconds that a peer with a newer configuration has to answer before the store is read as
+/// well.
 const PEER_HEAD_START: u64 = 300;
 const STEP: u64 = 10;
 
-/// What a fleet has to bear.
+/// Fleet, links and faults of a simulation.
 #[derive(Clone, Copy)]
 struct Load {
     gateways: usize,
-    /// One gateway in so many has a fast link; 0 for none.
+    /// One in this many gateways has a fast link; 0 for none.
     fast_one_in: usize,
     /// Milliseconds that a slow link takes for one configuration.
     slow_read_ms: u64,
-    /// Milliseconds between changes, while they go on.
+    /// Milliseconds between changes.
     change_interval: u64,
-    /// One gateway in so many is turned away by the store all the time; 0 for none.
+    /// The store refuses one in this many gateways all the time; 0 for none.
     refused_one_in: usize,
     loss: f64,
-    /// Whether gateways ask each other.
+    /// Whether gateways fetch from each other.
     peer_fetch: bool,
 }
 
@@ -49,15 +50,15 @@
     leads: Leads<usize>,
     is_fast: bool,
     is_refused: bool,
-    /// Version, and when the read began that will bring it, and when it ends.
+    /// A read in progress: the version that it returns, and when it began and ends.
     read: Option<(u64, u64, u64)>,
     not_before: u64,
-    /// Whom it asked, and when the answer is there.
+    /// A fetch in progress: the peer, and when its answer arrives.
     fetch: Option<(usize, u64)>,
     served: usize,
 }
 
-/// A message: who hears it when, from whom, and what it says.
+/// A message with its delivery time, recipient, sender and content.
 struct Message {
     at: u64,
     to: usize,
@@ -66,8 +67,8 @@
     as_of: u64,
 }
 
-/// Plays changes for twenty seconds and a calm time after them; returns for how long, at most, a gateway had not
-/// yet the version that was in the store, or a newer one.
+/// Simulates changes for 20 s and a quiet time afterwards; returns the longest time in ms for which
+/// a gateway lacked the store's version or a newer one.
 fn max_staleness(load: Load, seed: u64) -> u64 {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut fleet: Vec<_> = (0..load.gateways).map(|n| gateway(n, load)).collect();
@@ -128,7 +129,7 @@
     }
 }
 
-/// Whom a gateway tells of what it has just learnt.
+/// Returns the gateways that are notified of a new configuration of gateway `n`.
 fn recipients(n: usize, gateway: &Gateway, load: Load, rng: &mut fastrand::Rng) -> Vec<usize> {
     let mut recipients: Vec<_> = (0..load.gateways).filter(|other| *other != n).collect();
     if gateway.fetch.is_some() {
@@ -147,7 +148,7 @@
     rng: &mut fastrand::Rng,
 ) {
     let (now, draw) = (Millis(ms), rng.u64(..));
-    // What was asked of another gateway last time is told on by now.
+    // The configuration fetched in the last step has been forwarded.
     if fleet[n].fetch.is_some_and(|(_, at)| at < ms) {
         fleet[n].fetch = None;
     }
@@ -184,7 +185,7 @@
     {
         let own = gateway.view.next().unwrap_or(0);
         let takes = if gateway.is_fast { 40 } else { load.slow_read_ms };
-        // As a list of the newest a record is a third longer.
+        // In a compacted read, a record is a third longer.
         let takes =
             if is_compacted_read_shorter(feed_end - own, 1 << 20) { takes * 4 / 3 } else { takes };
         let takes = if feed_end > own { takes } else { STEP };
@@ -192,9 +193,9 @@
     }
 }
 
-/// Gateways with slow links among faster ones, and a third of them turned away by the store, have each change within
-/// the two seconds that an operator is promised, whatever the rate of changes. Without the others'
-/// help those that are turned away have nothing at all.
+/// Gateways on slow links, among faster ones, and a third of them refused by the store, have each
+/// change within the 2 s promised to the operator, at any rate of changes. Without fetches from
+/// peers, the refused ones have no configuration at all.
 #[test]
 fn changes_reach_gateways_that_the_store_does_not() {
     for seed in 0..20 {
@@ -211,8 +212,9 @@
     assert!(max_staleness(alone, 1) > 10_000);
 }
 
-/// All links are slow, and one configuration takes a second on each, a third more as a list of the newest. A change
-/// that comes just after a read began waits for that one and the next, and not for all that came between.
+/// All links are slow: a configuration takes a second, and a third more in a compacted read. A
+/// change just after the start of a read waits for that read and the next one, but not for one read
+/// per change in between.
 #[test]
 fn slow_links_read_once_for_all() {
     for seed in 0..20 {
@@ -227,7 +229,8 @@
     }
 }
 
-/// In a fleet of 330 no gateway can serve all others at once: each that has fetched serves some more.
+/// In a fleet of 330, no gateway can serve all others at the same time: each one that has fetched
+/// serves others.
 #[test]
 fn changes_spread_in_a_large_fleet() {
     for seed in 0..3 {
--- a/core/tests/unannounced.rs
+++ b/core/tests/unannounced.rs
@@ -1,4 +1,5 @@
-//! What a version that no order names may get from all gateways together.
+//! Trials of versions that no order names: the share of requests that all gateways together send
+//! there.
 
 use redwingfold_core::{
     Affinity, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence, Millis, Phase,
@@ -6,17 +7,18 @@
 };
 
 const GATEWAYS: [(usize, u64); 4] = [(3, 100), (27, 300), (103, 800), (330, 3_200)];
-/// Time after which a gateway has heard what the others have seen, at most.
+/// Longest time in ms until a gateway has received the others' evidence.
 const GOSSIP_INTERVAL: u64 = 1_000;
 
 struct Outcome {
     phases: Vec<Phase>,
-    /// Requests that the version got, of all.
+    /// Requests that went to the version.
     to_target: u64,
     all: u64,
 }
 
-/// Plays a trial at gateways that begin it up to a second apart; `bad` is the part of the version's answers that fail.
+/// Simulates a trial at gateways that start it up to a second apart; `bad_rate` is the failure rate
+/// of the version.
 fn simulate(gateways: usize, per_s: u64, bad_rate: f64, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let target = || "v2".parse().unwrap();
@@ -66,7 +68,8 @@
     Outcome { phases: trials.iter().map(Canary::phase).collect(), to_target, all }
 }
 
-/// Each gateway by itself gives a bad version that no order names its part of the traffic until it has seen enough.
+/// Guards against gateways that judge such a version only by their own answers: each would send it
+/// requests until it had enough answers by itself.
 #[test]
 fn bad_version_without_an_order_is_found_by_all_gateways_together() {
     for (gateways, per_s) in GATEWAYS {
@@ -79,7 +82,8 @@
     }
 }
 
-/// A version that no order names, and that shows no fault, gets more than the share of a trial before it is in service.
+/// Guards against such a version, without a fault, getting more than the share of a trial before it
+/// is in service.
 #[test]
 fn version_without_an_order_gets_the_share_of_a_trial() {
     for (gateways, per_s) in GATEWAYS {
@@ -87,7 +91,7 @@
             let Outcome { phases, to_target, all } = simulate(gateways, per_s, 0.0, seed);
             let what = format!("{gateways} gateways, seed {seed}: {to_target} of {all}");
             assert!(phases.iter().all(|phase| *phase == Phase::Done), "{what}: {phases:?}");
-            // It is in service for the last 4 s of 24 s.
+            // It is in service for the last 4 of 24 s.
             assert!(to_target * 100 <= all * 25, "{what}");
         }
     }
