--- a/core/src/serving/exposure.rs
+++ b/core/src/serving/exposure.rs
@@ -87,7 +87,7 @@
     /// let mut budget = ExposureBudget::new(PerMille(100), u64::MAX / 2);
     /// assert!(!budget.may_send(Millis(0), Millis(0)));
     /// (0..20).for_each(|n| budget.record_request(Millis(n * 100)));
-    /// budget.reached_target();
+    /// budget.record_target_request();
     /// let now = Millis(2_000);
     /// assert!(budget.may_send(Millis(0), now) && !budget.may_send(Millis(500), now));
     /// ```
--- a/core/src/serving/health.rs
+++ b/core/src/serving/health.rs
@@ -77,8 +77,8 @@
     /// ```
     /// use redwingfold_core::{Fault, HealthPolicy, Millis, ServerHealth};
     /// let (policy, mut health) = (HealthPolicy::default(), ServerHealth::default());
-    /// health.bad(Fault::Lost, &policy, Millis(0));
-    /// health.bad(Fault::Lost, &policy, Millis(1));
+    /// health.record_failure(Fault::Lost, &policy, Millis(0));
+    /// health.record_failure(Fault::Lost, &policy, Millis(1));
     /// assert!(health.record_failure(Fault::Lost, &policy, Millis(2)));
     /// assert!(health.is_ejected(Millis(900)) && !health.is_ejected(Millis(1_002)));
     /// ```
