--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -50,18 +50,19 @@
 pub use rollout::{SequentialTest, Tally, TestVerdict};
 pub use route::{Denied, Plan, choose_version, plan, session_share};
 pub use serving::{
-    Admission, Affinity, AllowedRegions, AnswerCounts, AnswerSums, Arm, ArmChoice, BackendId,
-    BackendServer, Broke, CallLimits, Canary, CanaryPolicy, Catalog, ColdLimit, ColdPolicy,
-    ConnectTimeout, Customer, DomainRegions, EndedRun, EvacuationChange, Evacuations, EventId,
-    EventSplitter, ExposureBudget, Fault, FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView,
-    Fingerprint, FleetEvidence, HealthPolicy, Idempotency, Larger, LatencySums, Leads,
-    LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members, MovedSessions, OrderAge,
-    Owed, PassedServers, Patience, PeerLoad, PeerLoads, Phase, Place, PlacementPolicy, PresentTime,
+    Admission, Affinity, AllowedRegions, AnswerCounts, AnswerSums, Arm, ArmChoice, Awaited,
+    BackendId, BackendServer, BaselineLatency, BrokenRun, CallLimits, Canary, CanaryPolicy,
+    Catalog, ColdLimit, ColdPolicy, ConfidenceGains, ConnectTimeout, CurrentSlowdown, Customer,
+    DomainRegions, EndedRun, EvacuationChange, Evacuations, EventId, EventSplitter, ExposureBudget,
+    Fault, FeedHistory, FeedPositions, FeedUpdate, FeedUpdateOutcome, FeedView, Fingerprint,
+    FleetEvidence, HealthPolicy, Idempotency, IdleTimeout, InterruptedRuns, LargerModel,
+    LatencySums, LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members,
+    MovedSessions, OrderAge, PeerLoad, PeerLoads, PeerServerList, Phase, Place, PlacementPolicy,
     Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Registry,
-    RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, Rises, RolloutOrder, Route,
-    RouteEvidence, RouteName, SendCounts, SendTurns, ServerEnds, ServerHealth, ServerLimits,
+    RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, RolloutOrder, RolloutStatuses,
+    Route, RouteEvidence, RouteName, SendCounts, SendTurns, ServerHealth, ServerLimits,
     ServerReport, ServerState, Service, ServiceName, SessionKey, SilencePolicy, SilenceWatch,
-    SizePolicy, StatusBook, StreamRules, StreamTimes, Unreached, UrgencyPolicy, UsualTime,
-    WholeEvents, Work, is_compacted_read_shorter, is_in_first_half, lead_servers, place,
+    SizePolicy, StreamRules, StreamTimes, UnreachableServers, UrgencyPolicy, WholeEvents, Work,
+    is_compacted_read_shorter, is_in_first_half, lead_servers, place,
 };
 pub use subset::{Member, PooledSide, is_log_reader, pin_holders, rank, sides_of_entry};
--- a/core/tests/freshness.rs
+++ b/core/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! Staleness of configurations in virtual time, with slow links, a store that refuses hosts, and
 //! message loss.
 
-use redwingfold_core::{FeedUpdate, FeedView, Leads, Millis, is_compacted_read_shorter};
+use redwingfold_core::{FeedPositions, FeedUpdate, FeedView, Millis, is_compacted_read_shorter};
 
 /// Period in ms of reads of the operator's topic.
 const PERIOD: u64 = 450;
@@ -47,7 +47,7 @@
 
 struct Gateway {
     view: FeedView,
-    leads: Leads<usize>,
+    leads: FeedPositions<usize>,
     is_fast: bool,
     is_refused: bool,
     /// A read in progress: the version that it returns, and when it began and ends.
@@ -85,7 +85,7 @@
             };
             let gateway = &mut fleet[message.to];
             gateway.view.apply_update(update, Millis(ms), rng.u64(..));
-            gateway.leads.heard(message.from, message.next, Millis(ms));
+            gateway.leads.record(message.from, message.next, Millis(ms));
         }
         for n in 0..fleet.len() {
             let known = fleet[n].view.next();
@@ -119,7 +119,7 @@
     let one_in = |of: usize| of > 0 && n.is_multiple_of(of);
     Gateway {
         view,
-        leads: Leads::new(),
+        leads: FeedPositions::new(),
         is_fast: one_in(load.fast_one_in),
         is_refused: load.refused_one_in > 0 && n % load.refused_one_in == 1,
         read: None,
@@ -166,7 +166,8 @@
             fleet[n].view.record_read(Millis(began), next, draw);
         }
     }
-    let lead = fleet[n].leads.pick(fleet[n].view.next(), draw, now).filter(|_| load.peer_fetch);
+    let lead =
+        fleet[n].leads.pick_ahead(fleet[n].view.next(), draw, now).filter(|_| load.peer_fetch);
     if let (Some(lead), None) = (lead, fleet[n].fetch) {
         match fleet[lead].served < MAX_SERVED {
             true => {
@@ -174,7 +175,7 @@
                 fleet[n].fetch = Some((lead, ms + ANSWER_DELAY));
                 fleet[n].not_before = ms + PEER_HEAD_START;
             }
-            false => fleet[n].leads.failed(lead, now),
+            false => fleet[n].leads.record_failure(lead, now),
         }
     }
     let gateway = &mut fleet[n];
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -1,9 +1,9 @@
 //! Simulated versions that fail under load: servers with slots, and a burst after the window.
 
 use redwingfold_core::{
-    Affinity, AnswerCounts, AnswerSums, Arm, ArmChoice, Canary, CanaryPolicy, FleetEvidence,
-    Millis, OrderAge, Phase, Place, PlacementPolicy, RolloutOrder, RouteEvidence, UsualTime, Work,
-    is_in_first_half, lead_servers, place,
+    Affinity, AnswerCounts, AnswerSums, Arm, ArmChoice, BaselineLatency, Canary, CanaryPolicy,
+    FleetEvidence, Millis, OrderAge, Phase, Place, PlacementPolicy, RolloutOrder, RouteEvidence,
+    Work, is_in_first_half, lead_servers, place,
 };
 
 const WINDOW: u64 = 16_000;
@@ -45,7 +45,7 @@
     rng: fastrand::Rng,
     canary: Canary,
     evidence: RouteEvidence,
-    baseline: UsualTime,
+    baseline: BaselineLatency,
     /// Servers of the version in service, and of the target.
     servers: [Vec<Server>; 2],
     pending: Vec<PendingAnswer>,
@@ -84,7 +84,7 @@
             rng: fastrand::Rng::with_seed(seed),
             canary: Canary::new(policy, order, OrderAge::default(), Millis(0), seed),
             evidence: RouteEvidence::default(),
-            baseline: UsualTime::default(),
+            baseline: BaselineLatency::default(),
             servers,
             pending: Vec::new(),
             outcome: Outcome::default(),
@@ -177,11 +177,11 @@
                     one.good = 1;
                     let ratio = match arm {
                         Arm::Current => self.baseline.ratio(time, load),
-                        Arm::Target => self.baseline.ratio_of_other(time, load),
+                        Arm::Target => self.baseline.ratio_of_other_version(time, load),
                     };
                     ratio.into_iter().for_each(|ratio| one.first_byte.add(ratio));
                     if arm == Arm::Current {
-                        self.baseline.learn(time, load);
+                        self.baseline.record(time, load);
                     }
                 }
             }
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -1,15 +1,16 @@
-//! Passing the operator's records on: what is written is read again, and nothing else is taken.
+//! Exchange of orders and backend servers between gateways: encoded data decodes to the same, and invalid data is
+//! refused.
 
 use bytes::Bytes;
 use redwingfold_core::{BackendServer, Millis, Registry, ServerState};
 
 use super::delta;
-use super::image::{Offer, Orders, Record, Unfit};
-use super::servers::List;
+use super::servers::ServerList;
+use super::snapshot::{OrderSnapshots, OrdersReply, Record, ReplyError};
 
 const MAX: usize = 16 * 1024 * 1024;
 
-/// Text of a configuration with a number of routes, of which those from `first` on are told apart by a seed.
+/// Returns the text of a configuration with `routes` routes. Those from `first` on depend on the seed.
 fn config(routes: usize, first: usize, seed: u64) -> Bytes {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut other = fastrand::Rng::with_seed(seed);
@@ -33,10 +34,10 @@
     Record { key: key.to_owned(), value: Some(value.clone()) }
 }
 
-fn orders(config: &Bytes, next: u64) -> Orders {
-    let mut orders = Orders::default();
+fn orders(config: &Bytes, next: u64) -> OrderSnapshots {
+    let mut orders = OrderSnapshots::default();
     let rollout = Bytes::from_static(b"{\"target\":\"v2\"}");
-    orders.read(
+    orders.record_read(
         &[record("config", config), record("rollout/pool", &rollout)],
         true,
         next,
@@ -45,87 +46,90 @@
     orders
 }
 
-fn offered(from: &mut Orders, to: &Orders, next: u64) -> Offer {
-    from.offer(to.digest(), Some(next), Millis(40)).expect("it knows more")
+fn reply_for(from: &mut OrderSnapshots, to: &OrderSnapshots, next: u64) -> OrdersReply {
+    from.reply_to(to.digest(), Some(next), Millis(40)).expect("the sender is ahead")
 }
 
-/// A change that touches one route of 4,250 is passed on in a thousandth of the configuration's length, and
-/// one that adds a third of the routes in a fiftieth. A gateway behind 10 Mbit/s has it in some
-/// 10 ms, where the store's 0.8 MB take 680 ms.
+/// Guards against a gateway on a slow link waiting for whole configurations. The delta for one new route among 4,250
+/// takes less than a thousandth of the configuration's length, and for a third more routes less than a fiftieth. At 10
+/// Mbit/s, the whole configuration of 0.8 MB takes 680 ms, a delta about 10 ms.
 #[test]
 fn change_in_a_large_configuration_takes_few_bytes() {
     let before = config(4_250, 4_250, 0);
     for (routes, part) in [(1, 1_000), (1_400, 50)] {
         let after = config(4_250 + routes, 4_250, 1);
-        let delta = delta::write(&after, &before).unwrap();
+        let delta = delta::encode(&after, &before).unwrap();
         assert!(delta.len() * part < after.len(), "{} of {} bytes", delta.len(), after.len());
-        assert_eq!(delta::read(&delta, &before, after.len()).unwrap(), after);
+        assert_eq!(delta::decode(&delta, &before, after.len()).unwrap(), after);
     }
 }
 
-/// Between two reads of a gateway some versions came. Another one that is as far behind as that gets the difference;
-/// one that is further behind, or has just started, gets all of it; one that knows as much gets nothing.
+/// A gateway that is up to four snapshots behind gets a delta. One that is further behind or has just started gets the
+/// whole snapshot, and one that is not behind gets nothing.
 #[test]
 fn whoever_is_behind_gets_the_newest() {
     let configs: Vec<_> = (0..8).map(|n| config(500 + n, 500, n as u64)).collect();
-    let mut knows = orders(&configs[0], 1);
+    let mut ahead = orders(&configs[0], 1);
     let mut behind: Vec<_> = configs.iter().take(7).map(|config| orders(config, 1)).collect();
     for (n, config) in configs.iter().enumerate().skip(1) {
-        knows.read(&[record("config", config)], false, 1 + n as u64, Millis(10 * n as u64));
+        ahead.record_read(&[record("config", config)], false, 1 + n as u64, Millis(10 * n as u64));
     }
     for (n, gateway) in behind.iter_mut().enumerate() {
-        let offer = offered(&mut knows, gateway, 1);
-        assert_eq!(offer.base.is_some(), n >= 3, "four earlier ones are kept, and this is {n}");
-        assert_eq!((offer.next, offer.age), (8, 0));
-        let records = gateway.take(&offer, Millis(70), MAX).unwrap();
+        let reply = reply_for(&mut ahead, gateway, 1);
+        assert_eq!(reply.base.is_some(), n >= 3, "four earlier ones are kept, and this is {n}");
+        assert_eq!((reply.next, reply.age), (8, 0));
+        let records = gateway.apply_reply(&reply, Millis(70), MAX).unwrap();
         assert_eq!(records[0], record("config", &configs[7]));
-        assert_eq!((records.len(), gateway.digest()), (2, knows.digest()));
+        assert_eq!((records.len(), gateway.digest()), (2, ahead.digest()));
     }
-    let offer = knows.offer(None, None, Millis(90)).unwrap();
-    assert_eq!((offer.base, offer.age), (None, 20));
-    assert!(knows.offer(behind[0].digest(), Some(8), Millis(90)).is_none());
+    let reply = ahead.reply_to(None, None, Millis(90)).unwrap();
+    assert_eq!((reply.base, reply.age), (None, 20));
+    assert!(ahead.reply_to(behind[0].digest(), Some(8), Millis(90)).is_none());
 }
 
-/// A key is dropped, another one changes, and all of them are read anew: whoever fetched them has what was
-/// read, in every order of reads and fetches.
+/// Keys are deleted and changed, and sometimes all are read anew. In every order of reads and fetches, the fetching
+/// gateway has the same records as the reading one.
 #[test]
 fn fetched_records_are_those_that_were_read() {
     let mut rng = fastrand::Rng::with_seed(21);
-    let (mut reader, mut fetcher) = (Orders::default(), Orders::default());
+    let (mut reader, mut fetcher) = (OrderSnapshots::default(), OrderSnapshots::default());
     for next in 1..400 {
         let key = format!("key-{}", rng.u8(..6));
         let value = rng.bool().then(|| config(rng.usize(..40), 0, next));
-        reader.read(&[Record { key, value }], rng.u8(..20) == 0, next, Millis(next));
+        reader.record_read(&[Record { key, value }], rng.u8(..20) == 0, next, Millis(next));
         if rng.u8(..3) == 0 {
-            let offer = reader.offer(fetcher.digest(), Some(next - 1), Millis(next)).unwrap();
-            fetcher.take(&offer, Millis(next), MAX).unwrap();
+            let reply = reader.reply_to(fetcher.digest(), Some(next - 1), Millis(next)).unwrap();
+            fetcher.apply_reply(&reply, Millis(next), MAX).unwrap();
             assert_eq!(fetcher.digest(), reader.digest());
         }
     }
 }
 
-/// An answer that was cut, spoilt, or made from what this gateway does not have is not taken, and changes
-/// nothing; nor is one that would take more memory than there is for it.
+/// A reply that is truncated, corrupt, based on an unknown snapshot or above the size limit is refused and changes
+/// nothing.
 #[test]
 fn offer_that_does_not_fit_is_not_taken() {
     let (before, after) = (config(300, 300, 0), config(310, 300, 1));
-    let mut knows = orders(&before, 1);
-    knows.read(&[record("config", &after)], false, 2, Millis(0));
+    let mut ahead = orders(&before, 1);
+    ahead.record_read(&[record("config", &after)], false, 2, Millis(0));
     let mut behind = orders(&before, 1);
     let digest = behind.digest();
-    let offer = |knows: &mut Orders| knows.offer(digest, Some(1), Millis(0)).unwrap();
-    let cut = Offer { delta: offer(&mut knows).delta.slice(..9), ..offer(&mut knows) };
-    assert!(matches!(behind.take(&cut, Millis(0), MAX), Err(Unfit::Content)));
-    let other = Offer { digest: 7, ..offer(&mut knows) };
-    assert!(matches!(behind.take(&other, Millis(0), MAX), Err(Unfit::Content)));
-    let strange = Offer { base: Some(7), ..offer(&mut knows) };
-    assert!(matches!(behind.take(&strange, Millis(0), MAX), Err(Unfit::Base)));
-    assert!(matches!(behind.take(&offer(&mut knows), Millis(0), 99), Err(Unfit::Length)));
-    let short = Offer { len: 99, ..offer(&mut knows) };
-    assert!(matches!(behind.take(&short, Millis(0), MAX), Err(Unfit::Content)));
+    let reply = |ahead: &mut OrderSnapshots| ahead.reply_to(digest, Some(1), Millis(0)).unwrap();
+    let cut = OrdersReply { delta: reply(&mut ahead).delta.slice(..9), ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&cut, Millis(0), MAX), Err(ReplyError::ContentMismatch)));
+    let other = OrdersReply { digest: 7, ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&other, Millis(0), MAX), Err(ReplyError::ContentMismatch)));
+    let strange = OrdersReply { base: Some(7), ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&strange, Millis(0), MAX), Err(ReplyError::UnknownBase)));
+    assert!(matches!(
+        behind.apply_reply(&reply(&mut ahead), Millis(0), 99),
+        Err(ReplyError::TooLong)
+    ));
+    let short = OrdersReply { len: 99, ..reply(&mut ahead) };
+    assert!(matches!(behind.apply_reply(&short, Millis(0), MAX), Err(ReplyError::ContentMismatch)));
     assert_eq!(behind.digest(), digest);
-    behind.take(&offer(&mut knows), Millis(0), MAX).unwrap();
-    assert_eq!(behind.digest(), knows.digest());
+    behind.apply_reply(&reply(&mut ahead), Millis(0), MAX).unwrap();
+    assert_eq!(behind.digest(), ahead.digest());
 }
 
 fn server(id: &str) -> BackendServer {
@@ -143,28 +147,28 @@
     }
 }
 
-/// Requests reach a server 4.2 s after it has left. Its record was removed soon after an outage, so that the gateway
-/// that read it keeps the server for two seconds; another one that missed the removal gets the list of that gateway
-/// meanwhile, in which the server stands like all others, and never hears that it went. Logged:
-/// `servers_heard next=774` at 26.2 s by a gateway that sent to it at 29.5 s, `server_removed` at six of 103.
+/// Guards against requests to a server more than 4 s after it has left. Its record is removed soon after an outage, so
+/// the gateway that read the removal keeps the server for two more seconds. A gateway that missed the removal fetches
+/// that gateway's list meanwhile, and must not keep the server longer than that.
 #[test]
 fn server_that_is_about_to_go_goes_where_the_list_was_passed_on() {
     let mut read = Registry::default();
-    read.store_was_away(Millis(0));
+    read.record_outage(Millis(0));
     ["left", "stays"].iter().for_each(|id| {
         read.put(server(id), Millis(0));
     });
     read.remove(&"left".into(), Millis(100));
-    let list = List::new(7, &read, |_| false, Millis(200)).write().unwrap().of(7).unwrap();
-    let passed = List::read(&list, MAX).unwrap().servers().unwrap();
-    let mut heard = Registry::default();
-    heard.replace_by_passed(passed, Millis(200), Millis(300));
-    assert_eq!(heard.servers(Millis(1_900)).count(), 2);
-    let later: Vec<_> = heard.servers(Millis(2_100)).map(|s| s.id.as_str()).collect();
+    let list =
+        ServerList::new(7, &read, |_| false, Millis(200)).encode().unwrap().bytes_at(7).unwrap();
+    let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
+    let mut receiver = Registry::default();
+    receiver.replace_by_peer_list(passed, Millis(200), Millis(300));
+    assert_eq!(receiver.servers(Millis(1_900)).count(), 2);
+    let later: Vec<_> = receiver.servers(Millis(2_100)).map(|s| s.id.as_str()).collect();
     assert_eq!(later, ["stays"]);
 }
 
-/// Guards against a gateway that starts during a store outage and learns of a leaving server as ready from another one.
+/// Guards against a gateway that starts during a store outage and gets a leaving server as ready from another gateway.
 #[test]
 fn leaving_server_is_passed_on_as_draining() {
     let mut read = Registry::default();
@@ -172,13 +176,14 @@
         read.put(server(id), Millis(0));
     });
     let is_leaving = |server: &BackendServer| server.id.as_str() == "leaves";
-    let list = List::new(7, &read, is_leaving, Millis(0)).write().unwrap().of(7).unwrap();
-    let passed = List::read(&list, MAX).unwrap().servers().unwrap();
-    let mut heard = Registry::default();
-    heard.replace_by_passed(passed, Millis(0), Millis(0));
+    let list =
+        ServerList::new(7, &read, is_leaving, Millis(0)).encode().unwrap().bytes_at(7).unwrap();
+    let passed = ServerList::decode(&list, MAX).unwrap().into_passed().unwrap();
+    let mut receiver = Registry::default();
+    receiver.replace_by_peer_list(passed, Millis(0), Millis(0));
     // A stale record from the store arrives later.
-    heard.put(server("leaves"), Millis(100));
-    let state = |id: &str| heard.get(&id.into()).map(|server| server.state);
+    receiver.put(server("leaves"), Millis(100));
+    let state = |id: &str| receiver.get(&id.into()).map(|server| server.state);
     assert_eq!(state("leaves"), Some(ServerState::Draining));
     assert_eq!(state("stays"), Some(ServerState::Ready));
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway: what it believes, and what is under way.
+//! The state of a gateway process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -8,82 +8,84 @@
 
 use event_listener::Event;
 use redwingfold_core::{
-    Catalog, ConnectTimeout, DomainRegions, Evacuations, Leads, LeavingServers, Millis, Pressure,
-    Quarantine, QuarantinePolicy, ReadRates, Registry, RegistryPolicy, ResendBudget, ResendReason,
-    RetryAfterTimes, Rises, SendTurns, ServerEnds, ServerLimits, ServiceName, StreamTimes,
+    Catalog, ConfidenceGains, ConnectTimeout, DomainRegions, Evacuations, FeedPositions,
+    InterruptedRuns, LeavingServers, Millis, Pressure, Quarantine, QuarantinePolicy, ReadRates,
+    Registry, RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, SendTurns, ServerLimits,
+    ServiceName, StreamTimes,
 };
 use redwingfold_telemetry::Telemetry;
 use smol::LocalExecutor;
 
 use crate::clock::{Clock, within};
-use crate::exchange::{Orders, WrittenServers};
-use crate::facts::HeaderCodec;
+use crate::exchange::{EncodedServers, OrderSnapshots};
 use crate::feeds::{Feed, Feeds, ServerChange};
 use crate::load::LoadTable;
+use crate::metadata::HeaderCodec;
 use crate::quarantine::TrialClaim;
 use crate::rollouts::Rollouts;
 use crate::session_keepers::SessionKeepers;
 use crate::settings::GatewaySettings;
 use crate::turns::TurnWaiters;
 
-/// Time after its start for which a gateway's requests wait for what is known of those under which servers ended.
-const MARKS_PATIENCE: Millis = Millis(1_000);
+/// Longest time after its start for which a gateway's requests wait for the marks of requests during which servers
+/// ended.
+const MARKS_WAIT_LIMIT: Millis = Millis(1_000);
 
-/// Whether a gateway takes requests.
+/// Whether a gateway accepts requests.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Standing {
-    /// It takes them.
+pub enum Lifecycle {
+    /// It accepts them.
     #[default]
     Serving,
-    /// It will stop: it is not ready, and closes each connection after its answer.
-    Leaving,
-    /// It ends what is under way, and takes only what surely ends before it does.
-    Ending,
+    /// It will stop: it reports not ready, and closes each connection after the response.
+    Draining,
+    /// It finishes requests in flight, and accepts only those that are certain to finish before the stop deadline.
+    Stopping,
 }
 
-/// Which copy of the store a whole list comes from.
+/// The copy of the store from which a whole list was read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreCopy {
-    /// One that is older than what is known here: the store has come back from it.
+    /// An older copy, from which the store was restored; this gateway may have newer records.
     Older,
-    /// One that has all that it had acknowledged.
-    Present,
+    /// A copy with all writes that the store acknowledged.
+    Current,
 }
 
-/// How a configuration came to a gateway.
+/// Size of a configuration, and the time it took to load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigSource {
-    /// Its length on the wire.
+    /// Length on the wire, in bytes.
     pub bytes: usize,
-    /// Time that reading it took.
+    /// Time taken by reading.
     pub read: Millis,
-    /// Time that decoding it took.
+    /// Time taken by decoding.
     pub decode: Millis,
 }
 
-/// What one process believes, decides and has under way. It belongs to one thread.
+/// The state of one gateway process. It belongs to one thread.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) header_codec: HeaderCodec,
     pub(crate) telemetry: Telemetry,
     pub(crate) clock: Clock,
-    started: Millis,
+    started_at: Millis,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) loads: LoadTable,
     pub(crate) connections: Cell<usize>,
     pub(crate) held_bytes: Cell<usize>,
-    pub(crate) under_way: Cell<usize>,
+    pub(crate) in_flight: Cell<usize>,
     catalog: RefCell<Option<Rc<Catalog>>>,
     pub(crate) registry: RefCell<Registry>,
     pub(crate) is_registry_known: Cell<bool>,
     pub(crate) rollouts: RefCell<Rollouts>,
     pub(crate) session_keepers: SessionKeepers,
     feeds: RefCell<Feeds>,
-    pub(crate) orders: RefCell<Orders>,
-    /// Runs that ended, and servers that did.
-    pub(crate) ends: Rc<RefCell<ServerEnds>>,
-    /// A server was looked at whose runs broke off.
-    pub(crate) looked: Event,
+    pub(crate) orders: RefCell<OrderSnapshots>,
+    /// Runs and servers that ended.
+    pub(crate) ends: Rc<RefCell<InterruptedRuns>>,
+    /// Notified when a server whose runs broke off was checked.
+    pub(crate) server_checked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) claims: RefCell<VecDeque<TrialClaim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
@@ -91,43 +93,44 @@
     pub(crate) send_turns: RefCell<SendTurns>,
     pub(crate) turn_waiters: TurnWaiters,
     pub(crate) server_limits: RefCell<ServerLimits>,
-    pub(crate) leaving: RefCell<LeavingServers>,
+    pub(crate) leaving_servers: RefCell<LeavingServers>,
     pub(crate) retry_after: RefCell<RetryAfterTimes>,
-    /// Marks of requests are to be written, or a trial is asked for.
-    pub(crate) marks_moved: Event,
-    /// When the store came back from an older copy.
+    /// Notified when marks of requests must be written, or a trial is requested.
+    pub(crate) marks_changed: Event,
+    /// When the store was last restored from an older copy.
     pub(crate) restored_at: Cell<Option<Millis>>,
-    /// Why the operator's topic could not be read the last time.
-    pub(crate) orders_trouble: RefCell<Option<String>>,
-    /// Other gateways that told how far they know the operator's topic.
-    pub(crate) orders_leads: RefCell<Leads<SocketAddr>>,
-    /// The same for backend servers.
-    pub(crate) servers_leads: RefCell<Leads<SocketAddr>>,
-    /// The list of servers as it was last written for another gateway.
-    pub(crate) servers_written: RefCell<Option<WrittenServers>>,
-    /// Another gateway knows more of one of them.
-    pub(crate) ahead: Event,
+    /// Why the last read of the operator's topic failed.
+    pub(crate) orders_read_error: RefCell<Option<String>>,
+    /// Positions of other gateways in the operator's topic.
+    pub(crate) orders_leads: RefCell<FeedPositions<SocketAddr>>,
+    /// Positions of other gateways in the feed of backend servers.
+    pub(crate) servers_leads: RefCell<FeedPositions<SocketAddr>>,
+    /// The server list as last encoded for another gateway.
+    pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
+    /// Notified when another gateway is ahead in one of these feeds.
+    pub(crate) peer_ahead: Event,
     budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
     pub(crate) connect_times: Cell<ConnectTimeout>,
     pub(crate) rates: RefCell<ReadRates>,
-    pub(crate) rises: RefCell<Rises>,
+    pub(crate) rises: RefCell<ConfidenceGains>,
     pub(crate) stream_times: RefCell<StreamTimes>,
     pressure: Cell<Pressure>,
-    standing: Cell<Standing>,
-    ends_at: Cell<Millis>,
-    pub(crate) moved: Event,
-    /// Something that the peers should hear at once.
-    pub(crate) news: Event,
+    lifecycle: Cell<Lifecycle>,
+    stop_deadline: Cell<Millis>,
+    /// Notified when the configuration, the servers or the lifecycle changed.
+    pub(crate) state_changed: Event,
+    /// Notified when there is something to send to the peers at once.
+    pub(crate) gossip_due: Event,
 }
 
 impl fmt::Debug for Gateway {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Gateway").field("standing", &self.standing).finish_non_exhaustive()
+        f.debug_struct("Gateway").field("standing", &self.lifecycle).finish_non_exhaustive()
     }
 }
 
 impl Gateway {
-    /// Makes a gateway that knows no configuration yet.
+    /// Makes a gateway without a configuration.
     pub fn new(
         settings: GatewaySettings,
         header_codec: HeaderCodec,
@@ -137,21 +140,21 @@
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
         let connect_times = ConnectTimeout::new(settings.connect_timeout);
-        // Servers end before many gateways at once; marks that all of them wrote at the same moment would hold each other up.
-        let hold = settings.quarantine.hold;
-        let hold = hold.after(Millis(fastrand::u64(0..=hold.0 / 2)));
-        let quarantine = Quarantine::new(QuarantinePolicy { hold, ..settings.quarantine });
+        // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
+        let write_delay = settings.quarantine.write_delay;
+        let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
+        let quarantine = Quarantine::new(QuarantinePolicy { write_delay, ..settings.quarantine });
         Self {
             settings,
             header_codec,
             telemetry,
             clock: Clock,
-            started: Clock.now(),
+            started_at: Clock.now(),
             executor,
             loads: LoadTable::default(),
             connections: Cell::new(0),
             held_bytes: Cell::new(0),
-            under_way: Cell::new(0),
+            in_flight: Cell::new(0),
             catalog: RefCell::new(None),
             registry: RefCell::new(Registry::new(RegistryPolicy::default())),
             is_registry_known: Cell::new(false),
@@ -160,7 +163,7 @@
             feeds: RefCell::new(feeds),
             orders: RefCell::default(),
             ends: Rc::default(),
-            looked: Event::new(),
+            server_checked: Event::new(),
             quarantine: RefCell::new(quarantine),
             claims: RefCell::default(),
             evacuations: RefCell::default(),
@@ -168,39 +171,39 @@
             send_turns: RefCell::default(),
             turn_waiters: TurnWaiters::default(),
             server_limits: RefCell::default(),
-            leaving: RefCell::default(),
+            leaving_servers: RefCell::default(),
             retry_after: RefCell::default(),
-            marks_moved: Event::new(),
+            marks_changed: Event::new(),
             restored_at: Cell::default(),
-            orders_trouble: RefCell::default(),
+            orders_read_error: RefCell::default(),
             orders_leads: RefCell::default(),
             servers_leads: RefCell::default(),
-            servers_written: RefCell::default(),
-            ahead: Event::new(),
+            encoded_servers: RefCell::default(),
+            peer_ahead: Event::new(),
             budgets: RefCell::default(),
             connect_times: Cell::new(connect_times),
             rates: RefCell::default(),
             rises: RefCell::default(),
             stream_times: RefCell::default(),
             pressure: Cell::default(),
-            standing: Cell::default(),
-            ends_at: Cell::new(Millis(u64::MAX)),
-            moved: Event::new(),
-            news: Event::new(),
+            lifecycle: Cell::default(),
+            stop_deadline: Cell::new(Millis(u64::MAX)),
+            state_changed: Event::new(),
+            gossip_due: Event::new(),
         }
     }
 
-    /// Returns the present.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Returns where it logs and counts.
+    /// Returns the sink of logs and metrics.
     pub fn telemetry(&self) -> &Telemetry {
         &self.telemetry
     }
 
-    /// Takes the regions of failure domains.
+    /// Sets the regions of failure domains.
     pub fn set_regions(&self, regions: DomainRegions) {
         *self.regions.borrow_mut() = regions;
     }
@@ -210,11 +213,10 @@
         self.catalog.borrow().clone()
     }
 
-    /// Puts a configuration in force, unless it is older than the present one.
+    /// Puts a configuration in force, unless the one in force is as new or newer.
     ///
-    /// A store that lost its newest records, or reads that overtake each other, would otherwise
-    /// bring dropped keys and routes back.
-    /// `source` says for the log how it came.
+    /// Otherwise a store that lost its newest records, or reads that overtake each other, would bring deleted keys and
+    /// routes back. `source` is logged.
     pub fn configure(&self, catalog: Catalog, source: &ConfigSource) {
         let version = catalog.version;
         let present = self.catalog().map_or(0, |c| c.version);
@@ -223,7 +225,7 @@
         }
         let routes = catalog.route_count();
         *self.catalog.borrow_mut() = Some(Rc::new(catalog));
-        self.moved.notify(usize::MAX);
+        self.state_changed.notify(usize::MAX);
         self.telemetry.info(
             "config_in_force",
             &[
@@ -238,15 +240,15 @@
         self.telemetry.gauge("config.version", version);
     }
 
-    /// Takes the store's era, as its first answer names it.
-    pub fn note_store_era(&self, era: u64) {
-        self.with_rollouts(|r| r.note_era(era));
+    /// Sets the store's era, from its first response.
+    pub fn set_store_era(&self, era: u64) {
+        self.with_rollouts(|r| r.set_store_era(era));
     }
 
-    /// Takes that the store has come back from an older copy, as its eras say.
+    /// Handles a restore of the store from an older copy, which shows in its era.
     ///
-    /// What is in force stays so until the store, written again, says otherwise; what others wrote there is written again
-    /// by them, and what gateways wrote by the tasks that wrote it.
+    /// The state in force is kept until the rewritten store differs from it. Lost records are rewritten by their
+    /// authors: those of gateways by the tasks that wrote them.
     pub fn store_restored(&self, before: u64, era: u64) {
         let now = self.now();
         self.telemetry.count("store.restored", 1);
@@ -254,24 +256,24 @@
         self.telemetry.warn("store_restored", &[("era_before", &before), ("era", &era)]);
         self.restored_at.set(Some(now));
         self.record_store_outage();
-        self.with_rollouts(|r| r.doubt_statuses(era, now));
+        self.with_rollouts(|r| r.store_restored(era, now));
     }
 
-    /// Works with the roll-outs.
+    /// Calls a function with the rollouts.
     pub fn with_rollouts<T>(&self, f: impl FnOnce(&mut Rollouts) -> T) -> T {
         f(&mut self.rollouts.borrow_mut())
     }
 
-    /// Works with the feeds that gateways read together.
+    /// Calls a function with the feeds whose reads the gateways share.
     pub fn with_feeds<T>(&self, f: impl FnOnce(&mut Feeds) -> T) -> T {
         f(&mut self.feeds.borrow_mut())
     }
 
-    /// Takes an own read of servers that began at `began` and ended at offset `next`, with what it
-    /// changed.
-    pub fn read_servers(&self, began: Millis, next: u64, changes: Vec<ServerChange>) {
-        self.with_feeds(|feeds| feeds.read_servers(began, next, changes));
-        self.news.notify(usize::MAX);
+    /// Records this gateway's own read of servers, which started at `began` and ended at offset `next`, and its
+    /// changes.
+    pub fn record_servers_read(&self, began: Millis, next: u64, changes: Vec<ServerChange>) {
+        self.with_feeds(|feeds| feeds.record_servers_read(began, next, changes));
+        self.gossip_due.notify(usize::MAX);
     }
 
     pub(crate) fn with_registry<T>(&self, f: impl FnOnce(&mut Registry) -> T) -> T {
@@ -294,8 +296,8 @@
         self.with_budget(service, |budget| budget.try_take(what, self.now()))
     }
 
-    /// Notes how long a connection to a server took, or that it did not come in time.
-    pub(crate) fn connected(&self, took: Option<Millis>) {
+    /// Records how long connecting to a server took; `None` if it timed out.
+    pub(crate) fn record_connect_time(&self, took: Option<Millis>) {
         let mut times = self.connect_times.get();
         match took {
             Some(took) => times.record_connected(took),
@@ -304,104 +306,104 @@
         self.connect_times.set(times);
     }
 
-    /// Counts how long a first try waited for its first byte.
-    pub(crate) fn first_try(&self, took: Millis, aim: Millis) {
+    /// Records the time to the first byte of a request's first attempt, and the target for it.
+    pub(crate) fn record_first_attempt(&self, took: Millis, aim: Millis) {
         let mut pressure = self.pressure.get();
-        pressure.tried(took, aim);
+        pressure.record(took, aim);
         self.pressure.set(pressure);
     }
 
-    /// Returns the pressure on the engines, as first tries feel it.
+    /// Returns the pressure on the engines, measured by first attempts.
     pub(crate) fn pressure(&self) -> f64 {
         self.pressure.get().value()
     }
 
-    /// Says whether callers should be sent here; `Err` says why not.
+    /// Returns whether callers should be routed to this gateway.
     ///
     /// # Errors
     ///
-    /// While it leaves, or knows no configuration or no list of servers.
+    /// The reason, if it is stopping or has no configuration or no list of servers yet.
     pub fn is_ready(&self) -> Result<(), &'static str> {
-        match self.standing() {
-            Standing::Leaving | Standing::Ending => Err("stopping"),
-            Standing::Serving if self.catalog.borrow().is_none() => Err("no configuration"),
-            Standing::Serving if !self.is_registry_known.get() => Err("no backend servers known"),
-            Standing::Serving => Ok(()),
+        match self.lifecycle() {
+            Lifecycle::Draining | Lifecycle::Stopping => Err("stopping"),
+            Lifecycle::Serving if self.catalog.borrow().is_none() => Err("no configuration"),
+            Lifecycle::Serving if !self.is_registry_known.get() => Err("no backend servers known"),
+            Lifecycle::Serving => Ok(()),
         }
     }
 
-    /// Returns whether it takes requests.
-    pub fn standing(&self) -> Standing {
-        self.standing.get()
+    /// Returns whether the gateway accepts requests.
+    pub fn lifecycle(&self) -> Lifecycle {
+        self.lifecycle.get()
     }
 
-    /// Begins to leave: it is not ready any more, and ends at a time at the latest.
-    pub fn leave(&self, ends_at: Millis) {
-        self.ends_at.set(ends_at);
-        self.set_standing(Standing::Leaving);
+    /// Starts draining: the gateway is no longer ready, and stops at `ends_at` at the latest.
+    pub fn begin_drain(&self, ends_at: Millis) {
+        self.stop_deadline.set(ends_at);
+        self.set_lifecycle(Lifecycle::Draining);
     }
 
-    /// Takes nothing new from now on.
+    /// Stops accepting requests.
     pub fn close(&self) {
-        self.ends_at.set(self.now());
-        self.set_standing(Standing::Ending);
+        self.stop_deadline.set(self.now());
+        self.set_lifecycle(Lifecycle::Stopping);
     }
 
-    /// Returns when it ends at the latest.
-    pub(crate) fn ends_at(&self) -> Millis {
-        self.ends_at.get()
+    /// Returns the time at which the gateway stops at the latest.
+    pub(crate) fn stop_deadline(&self) -> Millis {
+        self.stop_deadline.get()
     }
 
-    /// Moves on towards its end.
-    pub fn set_standing(&self, standing: Standing) {
-        self.standing.set(standing);
-        self.moved.notify(usize::MAX);
+    /// Sets the lifecycle state.
+    pub fn set_lifecycle(&self, lifecycle: Lifecycle) {
+        self.lifecycle.set(lifecycle);
+        self.state_changed.notify(usize::MAX);
     }
 
     /// Waits until a configuration and the list of servers are known.
-    pub(crate) async fn known(&self) {
+    pub(crate) async fn wait_until_configured(&self) {
         loop {
-            let moved = self.moved.listen();
+            let changed = self.state_changed.listen();
             if self.catalog.borrow().is_some() && self.is_registry_known.get() {
                 return;
             }
-            moved.await;
+            changed.await;
         }
     }
 
-    /// Waits until it knows under which requests servers have ended; not for long after its start, as the store may be
-    /// away while other gateways tell the rest.
+    /// Waits until the marks of requests during which servers ended are known. The wait is short and happens only after
+    /// the start, as the store may be unavailable while other gateways send the marks.
     ///
-    /// Load pattern: all gateways are lost while a request comes again and again under which servers end. The first
-    /// to be ready sent it to servers before it had read what was known of it.
-    pub(crate) async fn marks_known(&self) {
-        let until = self.started.after(MARKS_PATIENCE);
+    /// Load pattern: all gateways restart while a request that ends servers is repeated. Without the wait, the first
+    /// ready gateway sent it to servers before it had read its marks.
+    pub(crate) async fn wait_for_marks(&self) {
+        let until = self.started_at.after(MARKS_WAIT_LIMIT);
         while self.now() < until {
-            let moved = self.moved.listen();
+            let changed = self.state_changed.listen();
             if self.with_feeds(|feeds| feeds.next(Feed::Marks)).is_some() {
                 return;
             }
-            within(until.since(self.now()), moved).await;
+            within(until.since(self.now()), changed).await;
         }
     }
 
-    /// Waits until it only ends what is under way.
-    pub(crate) async fn ending(&self) {
-        while self.standing() != Standing::Ending {
-            let moved = self.moved.listen();
-            if self.standing() == Standing::Ending {
+    /// Waits until the gateway is stopping.
+    pub(crate) async fn wait_until_stopping(&self) {
+        while self.lifecycle() != Lifecycle::Stopping {
+            let changed = self.state_changed.listen();
+            if self.lifecycle() == Lifecycle::Stopping {
                 break;
             }
-            moved.await;
+            changed.await;
         }
     }
 
-    /// Returns the number of requests under way.
-    pub fn under_way(&self) -> usize {
-        self.under_way.get()
+    /// Returns the number of requests in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
-    /// Returns the number of open connections of callers.
+    /// Returns the number of open connections from callers.
     pub fn open_connections(&self) -> usize {
         self.connections.get()
     }
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -1,44 +1,44 @@
-//! Orders and statuses of roll-outs through restores of the store, in virtual time.
+//! Simulations of rollouts while the store is restored from older copies, in virtual time.
 
 use redwingfold_core::{
     CanaryPolicy, Millis, OrderAge, Phase, RolloutOrder, RouteName, ServiceName, VersionName,
 };
 
 use crate::gateway::StoreCopy;
-use crate::rollouts::{Rollouts, Seen, Sight};
+use crate::rollouts::{AnswerSample, AnswerSignal, Rollouts};
 
 /// Length of a step, in milliseconds.
-const STEP: u64 = 50;
+const STEP_MS: u64 = 50;
 
-/// Time in which things go wrong.
-const SPAN: u64 = 36_000;
+/// Time during which faults are injected, in milliseconds.
+const FAULTS_UNTIL: u64 = 36_000;
 
-/// Time in which gateways settle afterwards: those that all start anew begin the roll-out anew, and wait up to twenty
+/// Time to settle afterwards, in milliseconds. If all gateways restart, they restart the rollout, and wait up to twenty
 /// seconds after its window for answers under full traffic.
-const SETTLE: u64 = 36_000;
+const SETTLE_TIME: u64 = 36_000;
 
-/// Window of each roll-out.
+/// Window of each rollout, in milliseconds.
 const WINDOW: u64 = 10_000;
 
-/// When the operator orders the second version.
+/// Time of the operator's second order, in milliseconds.
 const SECOND_ORDER_AT: u64 = 20_000;
 
-/// Longest time until the operator writes an order again that the store lacks.
-const WRITTEN_AGAIN: u64 = 3_000;
+/// Longest time until the operator rewrites an order that the store has lost, in milliseconds.
+const MAX_REWRITE_DELAY: u64 = 3_000;
 
-/// Longest time between two reads of the orders by one gateway, and until it has noticed a restore.
-const READ_EVERY: u64 = 900;
+/// Longest time between two reads of the orders by one gateway, and until it notices a restore, in milliseconds.
+const MAX_READ_INTERVAL: u64 = 900;
 
-/// Part of the messages between gateways, and of the store's answers, that is lost.
-const LOST: f64 = 0.1;
+/// Share of the messages between gateways, and of the store's responses, that is lost.
+const LOSS_RATE: f64 = 0.1;
 
-/// What the store has.
+/// Content of the store.
 #[derive(Clone, Default)]
 struct Store {
     order: Option<VersionName>,
-    /// The version, and how its roll-out ended if it has.
+    /// The version, and how its rollout ended if it has.
     status: Option<(VersionName, Option<Phase>)>,
-    /// Number of the records of statuses.
+    /// Number of status records.
     records: usize,
     era: u32,
 }
@@ -46,18 +46,18 @@
 struct Gateway {
     rollouts: Rollouts,
     era: Option<u32>,
-    /// Up to which record it has read statuses.
+    /// Position up to which it has read statuses: era and number of records.
     next: Option<(u32, usize)>,
-    reads_at: u64,
-    read_at: Option<u64>,
+    next_read_at: u64,
+    last_read_at: Option<u64>,
     /// Era of its last read of the orders.
     read_era: Option<u32>,
-    cut_until: u64,
+    cut_off_until: u64,
     started_at: u64,
-    /// The version that it rolls out, and whether it has seen the end of that.
-    known: Option<(VersionName, bool)>,
-    /// Versions whose orders it knows to have been replaced.
-    replaced: Vec<VersionName>,
+    /// The version that it rolls out, and whether that rollout has ended.
+    last_state: Option<(VersionName, bool)>,
+    /// Versions whose orders were superseded by another one.
+    superseded: Vec<VersionName>,
 }
 
 impl Gateway {
@@ -66,13 +66,13 @@
             rollouts: Rollouts::new(CanaryPolicy::for_exposure(0.15), Millis(17_000)),
             era: None,
             next: None,
-            reads_at: at + rng.u64(..READ_EVERY),
-            read_at: None,
+            next_read_at: at + rng.u64(..MAX_READ_INTERVAL),
+            last_read_at: None,
             read_era: None,
-            cut_until: 0,
+            cut_off_until: 0,
             started_at: at,
-            known: None,
-            replaced: Vec::new(),
+            last_state: None,
+            superseded: Vec::new(),
         }
     }
 
@@ -84,12 +84,12 @@
         self.rollouts.canary(&service()).map(|canary| canary.order().target.clone())
     }
 
-    /// Notices with an answer of the store that it has come back from an older copy.
-    fn notice(&mut self, store: &Store, now: Millis) {
+    /// Detects by the era in a response that the store was restored from an older copy.
+    fn detect_restore(&mut self, store: &Store, now: Millis) {
         match self.era.replace(store.era) {
-            None => self.rollouts.note_era(store.era.into()),
+            None => self.rollouts.set_store_era(store.era.into()),
             Some(era) if era < store.era => {
-                self.rollouts.doubt_statuses(store.era.into(), now);
+                self.rollouts.store_restored(store.era.into(), now);
             }
             Some(_) => {}
         }
@@ -97,27 +97,28 @@
 
     fn read_order(&mut self, store: &Store, ms: u64) {
         let is_older = self.read_era.replace(store.era).is_some_and(|era| era < store.era);
-        let copy = if is_older { StoreCopy::Older } else { StoreCopy::Present };
+        let copy = if is_older { StoreCopy::Older } else { StoreCopy::Current };
         let least = Millis(0);
-        let most = Millis(self.read_at.map_or(0, |at| ms - at));
-        let age = OrderAge { min: least, max: most, is_unknown: self.read_at.is_none() };
-        self.read_at = Some(ms);
+        let most = Millis(self.last_read_at.map_or(0, |at| ms - at));
+        let age = OrderAge { min: least, max: most, is_unknown: self.last_read_at.is_none() };
+        self.last_read_at = Some(ms);
         if let Some(target) = store.order.clone() {
             let order = RolloutOrder { target, window: Millis(WINDOW) };
             let before = self.target();
-            let is_taken = self.rollouts.order(&service(), order, age, copy, Millis(ms));
-            if is_taken && copy == StoreCopy::Present {
-                self.replaced.extend(before);
+            let is_taken = self.rollouts.add_order(&service(), order, age, copy, Millis(ms));
+            if is_taken && copy == StoreCopy::Current {
+                self.superseded.extend(before);
             }
         }
     }
 
-    /// Reads a status that it has not read and writes what is due, on the condition that nobody wrote since; returns whether it wrote.
+    /// Reads the status if it is new, and writes the due one; the simulated write is atomic with the read. Returns
+    /// whether it wrote.
     fn write_status(&mut self, store: &mut Store, is_lost: bool, now: Millis) -> bool {
         let next = (store.era, store.records);
         let is_new = self.next.replace(next) != Some(next);
         if let (true, Some((target, ended))) = (is_new, &store.status) {
-            self.rollouts.recorded(&service(), target, *ended, now);
+            self.rollouts.record_status(&service(), target, *ended, now);
         }
         let Some((Millis(0), due)) = self.rollouts.due_status(now) else { return false };
         let ended = (due.phase >= Phase::Done).then_some(due.phase);
@@ -125,21 +126,21 @@
         store.records += 1;
         if !is_lost {
             self.next = Some((store.era, store.records));
-            self.rollouts.wrote(&service(), &due.target, ended, now);
+            self.rollouts.record_written_status(&service(), &due.target, ended, now);
         }
         true
     }
 
-    /// Checks what a gateway that runs through all of it must not do.
+    /// Checks that a gateway that is not restarted neither repeats a superseded rollout nor resumes one that has ended.
     fn check(&mut self, what: &str) {
         let (Some(target), Some(phase)) = (self.target(), self.phase()) else { return };
         let has_ended = phase >= Phase::Done;
-        if let Some((known, had_ended)) = &self.known {
-            let is_replaced = *known > target && self.replaced.contains(&target);
-            assert!(!is_replaced, "{what}: {target} is rolled out again after {known}");
-            assert!(*known != target || !had_ended || has_ended, "{what}: {target} goes on");
+        if let Some((last_target, had_ended)) = &self.last_state {
+            let is_superseded = *last_target > target && self.superseded.contains(&target);
+            assert!(!is_superseded, "{what}: {target} is rolled out again after {last_target}");
+            assert!(*last_target != target || !had_ended || has_ended, "{what}: {target} goes on");
         }
-        self.known = Some((target, has_ended));
+        self.last_state = Some((target, has_ended));
     }
 }
 
@@ -153,20 +154,20 @@
 
 struct Fleet {
     store: Store,
-    /// What the store had, every step.
+    /// Content of the store at every step.
     copies: Vec<Store>,
     down_until: u64,
-    /// When the operator writes its newest order again.
-    written_again_at: Option<u64>,
+    /// When the operator rewrites the newest order.
+    rewrite_at: Option<u64>,
     gateways: Vec<Gateway>,
     rng: fastrand::Rng,
-    /// Records of statuses by era and version.
+    /// Status records written: era, version and how its rollout ended.
     written: Vec<(u32, VersionName, Option<Phase>)>,
 }
 
 impl Fleet {
     fn new(gateways: usize, seed: u64) -> Self {
-        // Roll-outs draw from the generator of the thread.
+        // Rollouts draw from the thread's generator.
         fastrand::seed(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let gateways = (0..gateways).map(|_| Gateway::new(0, &mut rng)).collect();
@@ -174,47 +175,47 @@
             store: Store::default(),
             copies: Vec::new(),
             down_until: 0,
-            written_again_at: None,
+            rewrite_at: None,
             gateways,
             rng,
             written: Vec::new(),
         }
     }
 
-    /// Plays a good or a bad version, and then one that is good.
+    /// Simulates the rollout of a good or a bad version, and then of a good one.
     fn play(mut self, is_bad: bool, what: &str) -> Self {
-        for ms in (0..SPAN + SETTLE).step_by(STEP as usize) {
-            self.operate(ms);
-            if ms < SPAN {
-                self.go_wrong(ms);
+        for ms in (0..FAULTS_UNTIL + SETTLE_TIME).step_by(STEP_MS as usize) {
+            self.write_orders(ms);
+            if ms < FAULTS_UNTIL {
+                self.inject_faults(ms);
             }
             self.copies.push(self.store.clone());
             for g in 0..self.gateways.len() {
-                self.answer(g, is_bad, ms);
-                self.act(g, ms);
+                self.record_answers(g, is_bad, ms);
+                self.step_gateway(g, ms);
                 self.gateways[g].check(&format!("{what}, {ms} ms, gateway {g}"));
             }
         }
         self
     }
 
-    fn operate(&mut self, ms: u64) {
+    fn write_orders(&mut self, ms: u64) {
         let newest = version(if ms < SECOND_ORDER_AT { 2 } else { 3 });
-        let is_due = self.written_again_at.is_none_or(|at| ms >= at);
+        let is_due = self.rewrite_at.is_none_or(|at| ms >= at);
         if ms >= 1_000 && is_due && ms >= self.down_until {
             self.store.order = Some(newest);
         }
     }
 
-    fn go_wrong(&mut self, ms: u64) {
-        let per_second = |rng: &mut fastrand::Rng, n: f64| rng.f64() < n * STEP as f64 / 1_000.0;
+    fn inject_faults(&mut self, ms: u64) {
+        let per_second = |rng: &mut fastrand::Rng, n: f64| rng.f64() < n * STEP_MS as f64 / 1_000.0;
         if ms >= self.down_until && per_second(&mut self.rng, 0.15) {
             let age = self.rng.u64(1_000..6_000);
-            let copy = (ms.saturating_sub(age) / STEP) as usize;
+            let copy = (ms.saturating_sub(age) / STEP_MS) as usize;
             let era = self.store.era + 1;
             self.store = Store { era, ..self.copies.get(copy).cloned().unwrap_or_default() };
             self.down_until = ms + self.rng.u64(200..2_000);
-            self.written_again_at = Some(self.down_until + self.rng.u64(..WRITTEN_AGAIN));
+            self.rewrite_at = Some(self.down_until + self.rng.u64(..MAX_REWRITE_DELAY));
         }
         let g = self.rng.usize(..self.gateways.len());
         if per_second(&mut self.rng, 0.2) {
@@ -222,72 +223,73 @@
         }
         let g = self.rng.usize(..self.gateways.len());
         if per_second(&mut self.rng, 0.2) {
-            self.gateways[g].cut_until = ms + self.rng.u64(500..5_000);
+            self.gateways[g].cut_off_until = ms + self.rng.u64(500..5_000);
         }
     }
 
-    /// Lets a gateway see answers of both versions.
-    fn answer(&mut self, g: usize, is_bad: bool, ms: u64) {
+    /// Records answers of both versions at a gateway.
+    fn record_answers(&mut self, g: usize, is_bad: bool, ms: u64) {
         let (service, route) = (service(), RouteName::from("draft"));
         let gateway = &mut self.gateways[g];
         let Some(target) = gateway.target() else { return };
         let is_bad = is_bad && target == version(2);
         for version in [version(1), target] {
-            let good = Sight::FirstByte { took: Millis(100), expected: Millis(60) };
-            let sight = if is_bad && version != self::version(1) { Sight::Failed } else { good };
-            let seen = Seen {
+            let good = AnswerSignal::FirstByte { took: Millis(100), expected: Millis(60) };
+            let signal =
+                if is_bad && version != self::version(1) { AnswerSignal::Failed } else { good };
+            let sample = AnswerSample {
                 service: &service,
                 version: &version,
                 route: &route,
                 size: 0,
                 load: 0.0,
                 is_first_half: false,
-                sight,
+                signal,
             };
-            gateway.rollouts.saw_answer(&seen, Millis(ms));
-            gateway.rollouts.sent(&service, &version, None, Millis(ms));
+            gateway.rollouts.record_answer(&sample, Millis(ms));
+            gateway.rollouts.record_send(&service, &version, None, Millis(ms));
         }
     }
 
-    fn act(&mut self, g: usize, ms: u64) {
+    fn step_gateway(&mut self, g: usize, ms: u64) {
         let (now, rng) = (Millis(ms), &mut self.rng);
         let fleet = self.gateways.len();
         let gateway = &mut self.gateways[g];
-        gateway.rollouts.share_with(fleet);
-        let has_store = ms >= self.down_until.max(gateway.cut_until);
-        if has_store && ms >= gateway.reads_at {
-            gateway.reads_at = ms + rng.u64(READ_EVERY / 2..READ_EVERY);
-            gateway.notice(&self.store, now);
+        gateway.rollouts.set_fleet_size(fleet);
+        let has_store = ms >= self.down_until.max(gateway.cut_off_until);
+        if has_store && ms >= gateway.next_read_at {
+            gateway.next_read_at = ms + rng.u64(MAX_READ_INTERVAL / 2..MAX_READ_INTERVAL);
+            gateway.detect_restore(&self.store, now);
             gateway.read_order(&self.store, ms);
         }
         gateway.rollouts.step(now);
         let is_due = gateway.rollouts.due_status(now).is_some_and(|(due, _)| due == Millis(0));
         if is_due && has_store {
-            gateway.notice(&self.store, now);
-            if gateway.write_status(&mut self.store, rng.f64() < LOST, now) {
+            gateway.detect_restore(&self.store, now);
+            if gateway.write_status(&mut self.store, rng.f64() < LOSS_RATE, now) {
                 let (target, ended) = self.store.status.clone().expect("a status");
                 self.written.push((self.store.era, target, ended));
             }
         }
-        let is_urgent = self.gateways[g].rollouts.take_urgent();
-        if is_urgent || (ms + g as u64 * STEP).is_multiple_of(500) {
-            self.tell(g, is_urgent, now);
+        let is_urgent = self.gateways[g].rollouts.take_urgent_report();
+        if is_urgent || (ms + g as u64 * STEP_MS).is_multiple_of(500) {
+            self.send_reports(g, is_urgent, now);
         }
     }
 
-    fn tell(&mut self, g: usize, is_urgent: bool, now: Millis) {
-        let news = self.gateways[g].rollouts.news(now);
+    fn send_reports(&mut self, g: usize, is_urgent: bool, now: Millis) {
+        let report = self.gateways[g].rollouts.reports(now);
         for other in (0..self.gateways.len()).filter(|other| *other != g) {
-            let is_heard = self.rng.f64() >= LOST && (is_urgent || self.rng.bool());
-            if is_heard {
-                for news in news.clone() {
-                    self.gateways[other].rollouts.hear(&g.to_string(), news, now);
+            let is_received = self.rng.f64() >= LOSS_RATE && (is_urgent || self.rng.bool());
+            if is_received {
+                for report in report.clone() {
+                    self.gateways[other].rollouts.merge_report(&g.to_string(), report, now);
                 }
             }
         }
     }
 
-    /// Checks what stands in the end, and what was written for it.
+    /// Checks the final state, and the statuses written on the way.
     fn check(&self, is_bad: bool, what: &str) {
         let end = Some((version(3), Some(Phase::Done)));
         assert_eq!(self.store.status, end, "{what}: what the operator reads");
@@ -299,13 +301,13 @@
         let wrong = if is_bad { Phase::Done } else { Phase::RolledBack };
         let of_first = self.written.iter().filter(|(_, target, _)| *target == version(2));
         assert!(of_first.clone().all(|(.., ended)| *ended != Some(wrong)), "{what}");
-        let stands = |pair: &[(u32, VersionName, Option<Phase>)]| pair[0] == pair[1];
-        assert!(!self.written.windows(2).any(stands), "{what}: {:?}", self.written);
+        let is_repeated = |pair: &[(u32, VersionName, Option<Phase>)]| pair[0] == pair[1];
+        assert!(!self.written.windows(2).any(is_repeated), "{what}: {:?}", self.written);
     }
 }
 
-/// A roll-out's end that the store has lost is not written again, or written by each gateway; an order that was replaced is
-/// carried out once more; a gateway that starts anew goes on with a version that was rolled back.
+/// Guards against these faults after a restore: the lost end of a rollout is not written again, or is written by every
+/// gateway; a superseded order is executed once more; a restarted gateway resumes a rollout that was rolled back.
 #[test]
 fn rollouts_hold_through_restores() {
     for (gateways, seeds) in [(3, 60), (24, 12), (103, 2)] {
@@ -317,7 +319,8 @@
     }
 }
 
-/// A gateway that carries out the older order from a copy writes its status over that of the newer one, where it stays.
+/// Guards against a gateway that executes a superseded order from an older copy and overwrites the newer order's status
+/// for good.
 #[test]
 fn status_of_a_replaced_order_does_not_stay() {
     let what = "24 gateways, seed 305";
@@ -326,33 +329,35 @@
 
 fn order(rollouts: &mut Rollouts, target: VersionName, copy: StoreCopy) -> bool {
     let order = RolloutOrder { target, window: Millis(WINDOW) };
-    rollouts.order(&service(), order, OrderAge::default(), copy, Millis(0))
+    rollouts.add_order(&service(), order, OrderAge::default(), copy, Millis(0))
 }
 
-/// An order that is given again after an older copy had the one before is refused, as if it had been replaced.
+/// Guards against refusing an order as superseded when the operator rewrites it after a restore brought the order
+/// before it back.
 #[test]
 fn order_is_taken_again_after_an_older_copy() {
     let mut rollouts = Gateway::new(0, &mut fastrand::Rng::with_seed(0)).rollouts;
-    assert!(order(&mut rollouts, version(3), StoreCopy::Present));
+    assert!(order(&mut rollouts, version(3), StoreCopy::Current));
     assert!(order(&mut rollouts, version(2), StoreCopy::Older));
-    assert!(order(&mut rollouts, version(3), StoreCopy::Present));
+    assert!(order(&mut rollouts, version(3), StoreCopy::Current));
     assert!(!order(&mut rollouts, version(2), StoreCopy::Older));
 }
 
-/// A gateway that has not noticed a restore says that the end of a roll-out stands, and nobody writes it again.
+/// Guards against a lost end of a rollout that nobody writes again, because a gateway that has not noticed the restore
+/// reports it as stored.
 #[test]
 fn word_of_an_earlier_era_lets_an_end_be_written_again() {
     let mut rng = fastrand::Rng::with_seed(0);
     let [mut one, mut late] = [0; 2].map(|at| Gateway::new(at, &mut rng).rollouts);
     for rollouts in [&mut one, &mut late] {
-        order(rollouts, version(2), StoreCopy::Present);
-        rollouts.recorded(&service(), &version(2), Some(Phase::RolledBack), Millis(0));
+        order(rollouts, version(2), StoreCopy::Current);
+        rollouts.record_status(&service(), &version(2), Some(Phase::RolledBack), Millis(0));
         assert!(rollouts.due_status(Millis(0)).is_none());
     }
-    one.doubt_statuses(1, Millis(0));
+    one.store_restored(1, Millis(0));
     let long_after = Millis(9_000);
-    for news in late.news(long_after) {
-        one.hear("late", news, long_after);
+    for report in late.reports(long_after) {
+        one.merge_report("late", report, long_after);
     }
     let due = one.due_status(long_after).map(|(_, due)| due.phase);
     assert_eq!(due, Some(Phase::RolledBack));
