--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -231,7 +231,7 @@
         server: &BackendServer,
         expected: Millis,
     ) -> Option<Result<Response<Incoming>, CallError>> {
-        let owed =
+        let awaited =
             if self.route.stream.is_some() { Awaited::Head(expected) } else { Awaited::Plain };
         let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL_INTERVAL);
         let mut answered = pin!(answered);
@@ -243,7 +243,7 @@
             if let Some(res) = within(SILENCE_POLL_INTERVAL.min(time_left), &mut answered).await {
                 return Some(res);
             }
-            if self.is_server_silent(&mut watch, server, owed) && self.try_retry() {
+            if self.is_server_silent(&mut watch, server, awaited) && self.try_retry() {
                 return None;
             }
         }
@@ -254,12 +254,12 @@
         &self,
         watch: &mut SilenceWatch,
         server: &BackendServer,
-        owed: Awaited,
+        awaited: Awaited,
     ) -> bool {
         watch.poll(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
         watch.is_over(
             &self.gw.settings.silence,
-            owed,
+            awaited,
             self.route.latency_target,
             self.gw.pressure(),
         )
