--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,5 +1,6 @@
 //! Decisions of a gateway: routing, backend servers, placement, retries, model cascades and rollouts.
 
+mod allowed_regions;
 mod answers;
 mod baseline_latency;
 mod budget;
@@ -7,7 +8,7 @@
 mod canary_policy;
 mod catalog;
 mod cold;
-mod connect_time;
+mod connect_timeout;
 mod evacuations;
 mod events;
 mod exposure;
@@ -15,7 +16,6 @@
 mod feed_positions;
 mod fingerprint;
 mod health;
-mod homes;
 mod idle_timeout;
 mod interrupted_runs;
 mod leaving;
@@ -35,25 +35,25 @@
 mod unreachable;
 mod urgency;
 
-pub use answers::{AnswerSums, Counts, RouteEvidence, Shared, Times};
+pub use allowed_regions::{AllowedRegions, DomainRegions};
+pub use answers::{AnswerCounts, AnswerSums, FleetEvidence, LatencySums, RouteEvidence};
 pub use baseline_latency::{BaselineLatency, CurrentSlowdown};
-pub use budget::{RepeatBudget, RepeatUse};
+pub use budget::{ResendBudget, ResendReason};
 pub use canary::{Affinity, Arm, ArmChoice, Canary, OrderAge, Phase, RolloutOrder};
 pub use canary_policy::CanaryPolicy;
 pub use catalog::{
-    BackendId, CallLimits, Catalog, Customer, Priority, Repeat, Route, RouteName, Service,
+    BackendId, CallLimits, Catalog, Customer, Idempotency, Priority, Route, RouteName, Service,
     ServiceName, StreamRules,
 };
 pub use cold::{ColdLimit, ColdPolicy};
-pub use connect_time::ConnectTimes;
+pub use connect_timeout::ConnectTimeout;
 pub use evacuations::{EvacuationChange, Evacuations};
 pub use events::{EventId, EventSplitter, WholeEvents};
-pub use exposure::{ExposureBudget, Sent};
-pub use feed::{FeedHeard, FeedPast, FeedTold, FeedView, is_newest_shorter};
+pub use exposure::{ExposureBudget, SendCounts};
+pub use feed::{FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView, is_compacted_read_shorter};
 pub use feed_positions::FeedPositions;
 pub use fingerprint::Fingerprint;
 pub use health::{Fault, HealthPolicy, ServerHealth};
-pub use homes::{Homes, Regions};
 pub use idle_timeout::IdleTimeout;
 pub use interrupted_runs::{BrokenRun, EndedRun, InterruptedRuns};
 pub use leaving::LeavingServers;
--- a/core/src/serving/quarantine/mod.rs
+++ b/core/src/serving/quarantine/mod.rs
@@ -10,7 +10,7 @@
 pub use mark::{Mark, MarkChange};
 
 use super::catalog::BackendId;
-use super::feed::wait;
+use super::feed::random_wait;
 use super::fingerprint::Fingerprint;
 use super::interrupted_runs::EndedRun;
 use crate::ids::Millis;
@@ -291,7 +291,7 @@
         now: Millis,
         draw: u64,
     ) -> Vec<Fingerprint> {
-        let due = now.after(wait(RESTORE_SPREAD, fleet, draw));
+        let due = now.after(random_wait(RESTORE_SPREAD, fleet, draw));
         for (request, mark) in self.missing_from(marks) {
             let until = self.suspects.get(&request).map_or(now, |suspect| suspect.expires_at);
             let age = self.policy.retention.since(until.since(now));
--- a/core/src/serving/status.rs
+++ b/core/src/serving/status.rs
@@ -4,7 +4,7 @@
 
 use super::canary::Phase;
 use super::catalog::ServiceName;
-use super::feed::wait;
+use super::feed::random_wait;
 use crate::ids::{Millis, VersionName};
 
 /// Maximum delay before the status of a running rollout is written; nothing depends on it.
@@ -121,7 +121,7 @@
             Phase::Done | Phase::RolledBack => (&mut entry.end_due, MAX_END_DELAY),
             Phase::Trial | Phase::Ramp | Phase::Full => (&mut entry.running_due, MAX_RUNNING_DELAY),
         };
-        let due = due.get_or_insert_with(|| now.after(wait(longest, fleet, draw)));
+        let due = due.get_or_insert_with(|| now.after(random_wait(longest, fleet, draw)));
         Some(due.since(now))
     }
 }
--- a/core/src/serving/unreachable.rs
+++ b/core/src/serving/unreachable.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-use super::feed::wait;
+use super::feed::random_wait;
 use crate::ids::Millis;
 
 /// Number of gateways that must have failed to connect before a server is excluded; a single one may itself be cut off.
@@ -98,7 +98,7 @@
             return false;
         }
         suspect.ignore_reports_until = now.after(EXCLUSION);
-        suspect.excluded_until = now.after(EXCLUSION).after(wait(EXCLUSION, fleet, draw));
+        suspect.excluded_until = now.after(EXCLUSION).after(random_wait(EXCLUSION, fleet, draw));
         suspect.was_excluded = true;
         suspect.reports.clear();
         true
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -7,7 +7,9 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use redwingfold_core::{Awaited, BackendServer, EndedRun, EventId, Millis, Repeat, SilenceWatch};
+use redwingfold_core::{
+    Awaited, BackendServer, EndedRun, EventId, Idempotency, Millis, SilenceWatch,
+};
 
 use crate::clock::within;
 use crate::load::InFlightGuard;
@@ -91,7 +93,7 @@
     ) -> AttemptOutcome {
         let gw = self.gw.clone();
         gw.record_send_turn(server);
-        let limit = gw.connect_times.get().limit().min(self.time_left());
+        let limit = gw.connect_times.get().timeout().min(self.time_left());
         let connecting_at = gw.now();
         gw.loads.record_connect_attempt(server, connecting_at);
         let connected = HttpConnection::connect(&gw.executor, server.addr, limit).await;
@@ -255,14 +257,19 @@
         awaited: Awaited,
     ) -> bool {
         watch.poll(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
-        watch.is_over(&self.gw.settings.silence, awaited, self.route.aim, self.gw.pressure())
+        watch.is_over(
+            &self.gw.settings.silence,
+            awaited,
+            self.route.latency_target,
+            self.gw.pressure(),
+        )
     }
 
     /// Returns whether the request may run more than once.
     pub(crate) fn is_retryable(&self) -> bool {
-        match (self.route.repeat, self.route.stream) {
+        match (self.route.idempotency, self.route.stream) {
             (_, Some(stream)) => stream.resumable,
-            (repeat, None) => repeat == Repeat::Idempotent,
+            (idempotency, None) => idempotency == Idempotency::Idempotent,
         }
     }
 }
--- a/gateway/src/exchange/progress.rs
+++ b/gateway/src/exchange/progress.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use redwingfold_core::{FeedPositions, FeedTold, Millis};
+use redwingfold_core::{FeedPositions, FeedUpdate, Millis};
 
 use super::snapshot::{OrderSnapshots, Record};
 use crate::feeds::{Audience, Feed};
@@ -29,7 +29,7 @@
     }
 
     /// Applies another gateway's report on its position in the operator's topic.
-    pub(crate) fn apply_orders_update(&self, from: SocketAddr, update: FeedTold) {
+    pub(crate) fn apply_orders_update(&self, from: SocketAddr, update: FeedUpdate) {
         self.with_feeds(|feeds| feeds.apply_orders_update(update, self.now()));
         self.record_peer_position(Feed::Orders, from, update.next);
     }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use redwingfold_core::{ByteBudget, FeedTold, Members, Millis};
+use redwingfold_core::{ByteBudget, FeedUpdate, Members, Millis};
 use smol::net::UdpSocket;
 
 use crate::clock::{sleep, within};
@@ -278,7 +278,7 @@
             changes.into_iter().map(TryInto::try_into).collect();
         match changes {
             Ok(changes) => {
-                let next = FeedTold::from(position).next;
+                let next = FeedUpdate::from(position).next;
                 let new_changes = gw
                     .with_feeds(|feeds| feeds.apply_servers_update(position.into(), changes, now));
                 gw.apply_server_changes(new_changes);
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -167,7 +167,7 @@
             waiting: f64::from(waiting),
             unread: load.prefill_wait.after(tables.peers.backlog(hash, now)),
             slots: server.slots,
-            is_out: load.health.is_out(now) || tables.unreached.is_excluded(hash, now),
+            is_out: load.health.is_ejected(now) || tables.unreached.is_excluded(hash, now),
         }
     }
 
@@ -307,7 +307,7 @@
 
     /// Records a successful response.
     pub(crate) fn record_success(&self, server: &BackendServer) {
-        self.update(&server.into(), |load| load.health.good());
+        self.update(&server.into(), |load| load.health.record_success());
     }
 
     /// Records a failure. Returns whether the server is excluded from now on.
@@ -319,7 +319,7 @@
         now: Millis,
     ) -> bool {
         let mut tables = self.0.borrow_mut();
-        tables.entry(server).is_some_and(|load| load.health.bad(fault, policy, now))
+        tables.entry(server).is_some_and(|load| load.health.record_failure(fault, policy, now))
     }
 
     /// Removes the entries of a server that is gone or has restarted.
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -1,6 +1,6 @@
 //! Decision whether to forward a model's answer or to retry with a larger model.
 
-use redwingfold_core::{LargerModel, Millis, RepeatUse};
+use redwingfold_core::{LargerModel, Millis, ResendReason};
 
 use crate::request::InFlightRequest;
 
@@ -16,7 +16,7 @@
         }
         let may = self.sends < self.route.max_attempts && !self.is_quarantined();
         match self.choose_larger(size, confidence).filter(|_| may) {
-            Some(larger) if self.gw.try_repeat(&self.service, RepeatUse::Quality) => {
+            Some(larger) if self.gw.try_repeat(&self.service, ResendReason::Quality) => {
                 self.log_larger_model(size, confidence, larger);
                 self.size = Some(larger);
                 false
@@ -45,7 +45,7 @@
             .map(|larger| LargerModel {
                 size: larger,
                 gain: self.gw.rises.borrow().expected(&self.service, size, larger),
-                in_time: spent.after(self.prefill_time(larger)) < self.route.aim,
+                in_time: spent.after(self.prefill_time(larger)) < self.route.latency_target,
             })
             .collect();
         self.gw.settings.sizes.larger(confidence, self.gw.pressure(), &larger)
--- a/gateway/src/rollout_choice.rs
+++ b/gateway/src/rollout_choice.rs
@@ -50,7 +50,7 @@
         match self.canary(service) {
             Some(canary) => {
                 let draw = inputs.session.map_or(inputs.draw, |session| session.0);
-                canary.arm(self.affinity(inputs, now), draw, now)
+                canary.choose_arm(self.affinity(inputs, now), draw, now)
             }
             None => ArmChoice::Arm(Arm::Current),
         }
--- a/gateway/src/rollout_report.rs
+++ b/gateway/src/rollout_report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use redwingfold_core::{Millis, Phase, RouteEvidence, Sent, ServiceName, VersionName};
+use redwingfold_core::{Millis, Phase, RouteEvidence, SendCounts, ServiceName, VersionName};
 
 /// One gateway's report on a rollout.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,7 +21,7 @@
     /// Evidence from the sender's answers, by a hash of the route's name.
     pub routes: HashMap<u32, RouteEvidence>,
     /// Requests that the sender has sent since the order.
-    pub sent: Sent,
+    pub sent: SendCounts,
     /// Whether the sender has rolled the target back.
     pub is_rolled_back: bool,
     /// The status in the store, as last read by the sender or reported to it.
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -1,7 +1,8 @@
 //! Evidence on the versions of a service: counting answers, and exchanging the counts with other gateways.
 
 use redwingfold_core::{
-    AnswerSums, Arm, Counts, Millis, Phase, RouteName, Sent, ServiceName, Shared, VersionName,
+    AnswerCounts, AnswerSums, Arm, FleetEvidence, Millis, Phase, RouteName, SendCounts,
+    ServiceName, VersionName,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -83,14 +84,14 @@
             (AnswerSignal::Failed, _) => one.failed = 1,
             (AnswerSignal::FirstByte { .. }, ratio) => {
                 one.good = 1;
-                ratio.into_iter().for_each(|ratio| one.begin.add(ratio));
+                ratio.into_iter().for_each(|ratio| one.first_byte.add(ratio));
             }
             (AnswerSignal::EventGap(_), ratio) => {
-                ratio.into_iter().for_each(|ratio| one.pace.add(ratio))
+                ratio.into_iter().for_each(|ratio| one.event_gap.add(ratio))
             }
         }
         let half = if sample.is_first_half { one } else { AnswerSums::default() };
-        *counts = counts.plus(Counts { half, ..one.into() });
+        *counts = counts.plus(AnswerCounts { half, ..one.into() });
     }
 
     /// Returns when the last report of another gateway on an active rollout was received.
@@ -149,7 +150,7 @@
         if canary.order().target != report.target || canary.is_announced() != report.is_announced {
             return false;
         }
-        canary.is_older(report.elapsed, report.is_age_known, now);
+        canary.merge_age(report.elapsed, report.is_age_known, now);
         let is_newly_rolled_back = report.is_rolled_back && canary.phase() < Phase::Done;
         let (service, target, stored_status) =
             (report.service.clone(), report.target.clone(), report.stored_status);
@@ -184,9 +185,9 @@
 }
 
 impl ServiceVersions {
-    pub(super) fn fleet_evidence(&self, now: Millis) -> Shared {
+    pub(super) fn fleet_evidence(&self, now: Millis) -> FleetEvidence {
         let mut routes = self.route_evidence.clone();
-        let mut sent = self.latest().map_or_else(Sent::default, |c| c.counts(now));
+        let mut sent = self.latest().map_or_else(SendCounts::default, |c| c.counts(now));
         for (report, at) in self.peer_reports.values() {
             for (route, evidence) in &report.routes {
                 let sum = routes.entry(*route).or_default();
@@ -194,8 +195,8 @@
             }
             let is_fresh = now.since(*at) < MAX_REPORT_AGE;
             let per_s = if is_fresh { report.sent.per_s } else { 0.0 };
-            sent = sent.plus(Sent { per_s, ..report.sent });
+            sent = sent.plus(SendCounts { per_s, ..report.sent });
         }
-        Shared { routes: routes.into_values().collect(), sent }
+        FleetEvidence { routes: routes.into_values().collect(), sent }
     }
 }
