--- a/http/src/body.rs
+++ b/http/src/body.rs
@@ -9,7 +9,7 @@
 use smol::channel::{Receiver, Sender, bounded};
 
 /// Chunks that wait between the feeder and the connection; a slow reader holds the feeder back.
-const CHUNKS_IN_FLIGHT: usize = 16;
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
 /// The feeding end of a body. Dropping it ends the body; [`BodySender::abort`] breaks it off.
 #[derive(Debug)]
@@ -41,32 +41,32 @@
 
 /// Makes a body and its feeding end.
 pub fn channel_body() -> (BodySender, Body) {
-    let (tx, rx) = bounded(CHUNKS_IN_FLIGHT);
-    let reader = ChannelReader { rx: Box::pin(rx), chunk: Vec::new(), at: 0 };
+    let (tx, rx) = bounded(MAX_BUFFERED_CHUNKS);
+    let reader = ChannelReader { rx: Box::pin(rx), chunk: Vec::new(), offset: 0 };
     (BodySender(tx), Body::from_reader(reader, None))
 }
 
 struct ChannelReader {
     rx: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
     chunk: Vec<u8>,
-    at: usize,
+    offset: usize,
 }
 
 impl AsyncBufRead for ChannelReader {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.at == this.chunk.len() {
+        while this.offset == this.chunk.len() {
             match ready!(this.rx.as_mut().poll_next(cx)) {
-                Some(Ok(chunk)) => (this.chunk, this.at) = (chunk, 0),
+                Some(Ok(chunk)) => (this.chunk, this.offset) = (chunk, 0),
                 Some(Err(e)) => return Poll::Ready(Err(e)),
                 None => return Poll::Ready(Ok(&[])),
             }
         }
-        Poll::Ready(Ok(&this.chunk[this.at..]))
+        Poll::Ready(Ok(&this.chunk[this.offset..]))
     }
 
     fn consume(self: Pin<&mut Self>, n: usize) {
-        self.get_mut().at += n;
+        self.get_mut().offset += n;
     }
 }
 
--- a/http/src/client.rs
+++ b/http/src/client.rs
@@ -13,14 +13,14 @@
 use smol::net::TcpStream;
 
 /// Idle connections kept for one server.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_PER_SERVER: usize = 64;
 
 /// Bytes of a body that are read at a time.
-const READ_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// HTTP status.
     pub status: u16,
     /// Body.
@@ -31,17 +31,17 @@
 
 /// How long a call may take.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Bound {
+pub enum CallTimeout {
     /// So long without a byte, and as long as the bytes need.
-    Silence(Duration),
+    Idle(Duration),
     /// So long in all.
-    Whole(Duration),
+    Total(Duration),
 }
 
-impl Bound {
-    fn span(self) -> Duration {
+impl CallTimeout {
+    fn duration(self) -> Duration {
         match self {
-            Self::Silence(span) | Self::Whole(span) => span,
+            Self::Idle(duration) | Self::Total(duration) => duration,
         }
     }
 }
@@ -69,7 +69,7 @@
 
 impl std::error::Error for CallError {}
 
-impl Answer {
+impl BufferedResponse {
     /// Says whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
@@ -94,11 +94,11 @@
     let unreachable = |why: String| CallError::Unreachable(format!("{addr}: {why}"));
     let connected =
         async { TcpStream::connect(addr).await.map_err(|e| unreachable(e.to_string())) };
-    let late = async {
+    let timed_out = async {
         Timer::after(timeout).await;
         Err(unreachable("connect timeout".to_owned()))
     };
-    let stream = connected.or(late).await?;
+    let stream = connected.or(timed_out).await?;
     stream.set_nodelay(true).ok();
     Ok(stream)
 }
@@ -137,9 +137,9 @@
         addr: SocketAddr,
         target: &str,
         body: Option<Vec<u8>>,
-        bound: Bound,
+        timeout: CallTimeout,
         max_body: usize,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let url = Url::parse(&format!("http://{addr}{target}"))
             .map_err(|e| CallError::Unreachable(format!("{target}: {e}")))?;
         let mut req = Request::new(method, url);
@@ -147,7 +147,7 @@
             req.set_body(body);
             req.insert_header(headers::CONTENT_TYPE, "application/json");
         }
-        self.send(addr, req, bound, max_body).await
+        self.send(addr, req, timeout, max_body).await
     }
 
     /// Sends a request and reads the whole answer.
@@ -162,22 +162,22 @@
         &self,
         addr: SocketAddr,
         req: Request,
-        bound: Bound,
+        timeout: CallTimeout,
         max_body: usize,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let stream = match self.take_idle(addr) {
             Some(stream) => stream,
-            None => connect(addr, bound.span()).await?,
+            None => connect(addr, timeout.duration()).await?,
         };
-        let exchanged = exchange(stream.clone(), req, max_body, bound);
-        let (answer, reusable) = match bound {
-            Bound::Silence(_) => exchanged.await?,
-            Bound::Whole(span) => exchanged.or(late(span)).await?,
+        let pending_exchange = exchange(stream.clone(), req, max_body, timeout);
+        let (response, is_reusable) = match timeout {
+            CallTimeout::Idle(_) => pending_exchange.await?,
+            CallTimeout::Total(duration) => pending_exchange.or(timed_out(duration)).await?,
         };
-        if reusable {
+        if is_reusable {
             self.put_idle(addr, stream);
         }
-        Ok(answer)
+        Ok(response)
     }
 
     /// Takes an idle connection on which nothing has arrived: one that the server closed in the
@@ -187,8 +187,8 @@
         let streams = idle.get_mut(&addr)?;
         while let Some(stream) = streams.pop() {
             let mut buf = [0; 1];
-            let quiet = smol::future::block_on(smol::future::poll_once(stream.peek(&mut buf)));
-            if quiet.is_none() {
+            let peeked = smol::future::block_on(smol::future::poll_once(stream.peek(&mut buf)));
+            if peeked.is_none() {
                 return Some(stream);
             }
         }
@@ -198,14 +198,14 @@
     fn put_idle(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let streams = idle.entry(addr).or_default();
-        if streams.len() < MAX_IDLE {
+        if streams.len() < MAX_IDLE_PER_SERVER {
             streams.push(stream);
         }
     }
 }
 
-async fn late<T>(span: Duration) -> Result<T, CallError> {
-    Timer::after(span).await;
+async fn timed_out<T>(duration: Duration) -> Result<T, CallError> {
+    Timer::after(duration).await;
     Err(CallError::Unknown("timeout".to_owned()))
 }
 
@@ -213,30 +213,35 @@
     stream: TcpStream,
     req: Request,
     max_body: usize,
-    bound: Bound,
-) -> Result<(Answer, bool), CallError> {
+    timeout: CallTimeout,
+) -> Result<(BufferedResponse, bool), CallError> {
     let unknown = |e: String| CallError::Unknown(e);
-    let begun = async { async_h1::connect(stream, req).await.map_err(|e| unknown(e.to_string())) };
-    let mut res = begun.or(late(bound.span())).await?;
-    let length = res.header(headers::CONTENT_LENGTH).and_then(|v| v.as_str().parse::<usize>().ok());
-    let closes = res.header(headers::CONNECTION).is_some_and(|v| v.as_str() == "close");
+    let head_received =
+        async { async_h1::connect(stream, req).await.map_err(|e| unknown(e.to_string())) };
+    let mut res = head_received.or(timed_out(timeout.duration())).await?;
+    let content_length =
+        res.header(headers::CONTENT_LENGTH).and_then(|v| v.as_str().parse::<usize>().ok());
+    let is_closing = res.header(headers::CONNECTION).is_some_and(|v| v.as_str() == "close");
     let retry_after = res.header(headers::RETRY_AFTER).and_then(|v| v.as_str().parse().ok());
     let limit = max_body as u64 + 1;
     let mut reader = res.take_body().into_reader().take(limit);
     let mut body = Vec::new();
-    let mut buf = vec![0; READ_BYTES];
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     loop {
-        let more = async { reader.read(&mut buf).await.map_err(|e| unknown(e.to_string())) };
-        match more.or(late(bound.span())).await? {
+        let chunk_received =
+            async { reader.read(&mut buf).await.map_err(|e| unknown(e.to_string())) };
+        match chunk_received.or(timed_out(timeout.duration())).await? {
             0 => break,
             len => body.extend_from_slice(&buf[..len]),
         }
     }
-    match length {
+    match content_length {
         _ if body.len() > max_body => return Err(CallError::TooLarge),
-        Some(length) if length != body.len() => return Err(unknown("answer was cut".to_owned())),
+        Some(content_length) if content_length != body.len() => {
+            return Err(unknown("answer was cut".to_owned()));
+        }
         _ => {}
     }
-    let answer = Answer { status: u16::from(res.status()), body, retry_after };
-    Ok((answer, length.is_some() && !closes))
+    let response = BufferedResponse { status: u16::from(res.status()), body, retry_after };
+    Ok((response, content_length.is_some() && !is_closing))
 }
--- a/http/src/conn.rs
+++ b/http/src/conn.rs
@@ -15,27 +15,27 @@
 ///
 /// async-h1 refuses heads over 8 KiB, but looks only at the end of a line: a head of one endless
 /// line would grow in memory until the timeout.
-const MAX_BEFORE_HEAD: usize = 24 * 1024;
+const MAX_HEAD_READ_BYTES: usize = 24 * 1024;
 
 /// Head size at which async-h1 gives up.
-pub(crate) const MAX_HEAD: usize = 8 * 1024;
+pub(crate) const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 #[derive(Debug, Default)]
-pub(crate) struct State {
+pub(crate) struct ConnState {
     /// Bytes read since the last request ended.
-    pub(crate) bytes: AtomicUsize,
+    pub(crate) bytes_read: AtomicUsize,
     /// Whether the head of the present request has been read.
-    pub(crate) in_request: AtomicBool,
+    pub(crate) is_head_read: AtomicBool,
     /// Whether the rest of the request's body is to be taken for read.
     pub(crate) skip_body: AtomicBool,
     /// Whether the peer has closed its end.
-    pub(crate) at_end: AtomicBool,
+    pub(crate) is_peer_closed: AtomicBool,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Conn {
     pub(crate) stream: TcpStream,
-    pub(crate) state: Arc<State>,
+    pub(crate) state: Arc<ConnState>,
 }
 
 impl AsyncRead for Conn {
@@ -48,11 +48,11 @@
             return Poll::Ready(Ok(0));
         }
         let n = ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        let before = self.state.bytes.fetch_add(n, Ordering::Relaxed);
+        let before = self.state.bytes_read.fetch_add(n, Ordering::Relaxed);
         match n {
-            0 => self.state.at_end.store(true, Ordering::Relaxed),
-            _ if self.state.in_request.load(Ordering::Relaxed) => {}
-            n if before + n > MAX_BEFORE_HEAD => {
+            0 => self.state.is_peer_closed.store(true, Ordering::Relaxed),
+            _ if self.state.is_head_read.load(Ordering::Relaxed) => {}
+            n if before + n > MAX_HEAD_READ_BYTES => {
                 return Poll::Ready(Err(io::Error::new(
                     io::ErrorKind::InvalidData,
                     "endless head",
@@ -95,7 +95,7 @@
     ///
     /// A write notices a caller that went away, but while nothing is written, as before a first
     /// token, engine time would be spent for nobody.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         let mut buf = [0; 1];
         match self.conn.stream.peek(&mut buf).await {
             Ok(n) if n > 0 => std::future::pending().await,
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -6,8 +6,8 @@
 mod server;
 
 pub use body::{BodySender, channel_body};
-pub use client::{Answer, Bound, CallError, Client, open_stream};
+pub use client::{BufferedResponse, CallError, CallTimeout, Client, open_stream};
 pub use conn::Peer;
-pub use server::{Drain, Limits, Refusal, refusal, serve};
+pub use server::{Drain, Limits, Refusal, refusal_response, serve};
 
 pub use http_types::{Body, Method, Request, Response, StatusCode, Url};
--- a/http/src/server.rs
+++ b/http/src/server.rs
@@ -12,7 +12,7 @@
 use smol::Timer;
 use smol::net::{TcpListener, TcpStream};
 
-use crate::conn::{Conn, MAX_HEAD, Peer, State};
+use crate::conn::{Conn, ConnState, MAX_HEAD_BYTES, Peer};
 
 /// Bounds of what callers may take up.
 #[derive(Clone, Copy, Debug)]
@@ -42,50 +42,50 @@
 
 #[derive(Debug, Default)]
 struct DrainState {
-    draining: AtomicBool,
-    open: AtomicUsize,
-    under_way: AtomicUsize,
+    is_draining: AtomicBool,
+    open_connections: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 impl Drain {
     /// Begins the drain: from now on each answer closes its connection.
     pub fn begin(&self) {
-        self.0.draining.store(true, Ordering::SeqCst);
+        self.0.is_draining.store(true, Ordering::SeqCst);
     }
 
     /// Says whether the drain has begun.
     pub fn is_draining(&self) -> bool {
-        self.0.draining.load(Ordering::SeqCst)
+        self.0.is_draining.load(Ordering::SeqCst)
     }
 
     /// Returns the number of requests under way.
-    pub fn under_way(&self) -> usize {
-        self.0.under_way.load(Ordering::SeqCst)
+    pub fn in_flight(&self) -> usize {
+        self.0.in_flight.load(Ordering::SeqCst)
     }
 
     /// Returns the number of open connections.
-    pub fn open(&self) -> usize {
-        self.0.open.load(Ordering::SeqCst)
+    pub fn open_connections(&self) -> usize {
+        self.0.open_connections.load(Ordering::SeqCst)
     }
 }
 
-struct Count<'a>(&'a AtomicUsize);
+struct CountGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Count<'a> {
+impl<'a> CountGuard<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count)
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 /// Makes the plain answer to a refusal; a server passes its own to [`serve`].
-pub fn refusal(kind: Refusal) -> Response {
+pub fn refusal_response(kind: Refusal) -> Response {
     let status = match kind {
         Refusal::BadRequest => StatusCode::BadRequest,
         Refusal::HeadTooLarge => StatusCode::RequestHeaderFieldsTooLarge,
@@ -117,8 +117,8 @@
         stream.set_nodelay(true).ok();
         let (drain, handler, refuse) = (drain.clone(), handler.clone(), refuse.clone());
         smol::spawn(async move {
-            let _open = Count::new(&drain.0.open);
-            if drain.open() > limits.connections {
+            let _open_guard = CountGuard::new(&drain.0.open_connections);
+            if drain.open_connections() > limits.connections {
                 write_refusal(stream, refuse(Refusal::TooManyOpen)).await;
                 return;
             }
@@ -140,14 +140,14 @@
     Fut: Future<Output = Response> + Send + 'static,
     R: Fn(Refusal) -> Response,
 {
-    let conn = Conn { stream, state: Arc::new(State::default()) };
+    let conn = Conn { stream, state: Arc::new(ConnState::default()) };
     loop {
         let state = conn.state.clone();
-        state.bytes.store(0, Ordering::Relaxed);
-        state.in_request.store(false, Ordering::Relaxed);
+        state.bytes_read.store(0, Ordering::Relaxed);
+        state.is_head_read.store(false, Ordering::Relaxed);
         let peer = Peer { conn: conn.clone(), addr };
         let endpoint = |req: Request| {
-            state.in_request.store(true, Ordering::Relaxed);
+            state.is_head_read.store(true, Ordering::Relaxed);
             // Boxed: a future is copied into each that awaits it, and a handler's is large. Tens of
             // kilobytes became half a megabyte a connection, and overflowed the thread's stack.
             let answer = Box::pin(handler(req, peer.clone()));
@@ -161,39 +161,43 @@
             }
         };
         let mut server = Server::new(conn.clone(), endpoint);
-        let served = under_way(server.accept_one(), &state, drain);
-        let late = async {
+        let serving = count_in_flight(server.accept_one(), &state, drain);
+        let timed_out = async {
             head_timeout(&state, limits.head_timeout).await;
             None
         };
-        let outcome = async { Some(served.await) }.or(late).await;
-        let in_request = state.in_request.load(Ordering::Relaxed);
-        let bytes = state.bytes.load(Ordering::Relaxed);
-        let refused = match outcome {
+        let outcome = async { Some(serving.await) }.or(timed_out).await;
+        let is_head_read = state.is_head_read.load(Ordering::Relaxed);
+        let bytes_read = state.bytes_read.load(Ordering::Relaxed);
+        let refusal = match outcome {
             Some(Ok(ConnectionStatus::KeepAlive)) => continue,
-            _ if in_request && state.skip_body.load(Ordering::Relaxed) => {
-                close_gently(conn.stream.clone()).await;
+            _ if is_head_read && state.skip_body.load(Ordering::Relaxed) => {
+                close_gracefully(conn.stream.clone()).await;
                 break;
             }
-            _ if in_request || bytes == 0 => break,
+            _ if is_head_read || bytes_read == 0 => break,
             Some(Ok(ConnectionStatus::Close)) => break,
-            Some(Err(_)) if bytes >= MAX_HEAD => Refusal::HeadTooLarge,
+            Some(Err(_)) if bytes_read >= MAX_HEAD_BYTES => Refusal::HeadTooLarge,
             Some(Err(_)) => Refusal::BadRequest,
             None => Refusal::SlowSender,
         };
-        write_refusal(conn.stream.clone(), refuse(refused)).await;
+        write_refusal(conn.stream.clone(), refuse(refusal)).await;
         break;
     }
 }
 
 /// Counts a request as under way from its first byte until its answer is written.
-async fn under_way<T>(served: impl Future<Output = T>, state: &State, drain: &Drain) -> T {
-    let mut served = std::pin::pin!(served);
-    let mut count = None;
+async fn count_in_flight<T>(
+    serving: impl Future<Output = T>,
+    state: &ConnState,
+    drain: &Drain,
+) -> T {
+    let mut serving = std::pin::pin!(serving);
+    let mut guard = None;
     std::future::poll_fn(|cx| {
-        let polled = served.as_mut().poll(cx);
-        if count.is_none() && state.bytes.load(Ordering::Relaxed) > 0 {
-            count = Some(Count::new(&drain.0.under_way));
+        let polled = serving.as_mut().poll(cx);
+        if guard.is_none() && state.bytes_read.load(Ordering::Relaxed) > 0 {
+            guard = Some(CountGuard::new(&drain.0.in_flight));
         }
         polled
     })
@@ -201,9 +205,9 @@
 }
 
 /// Ends when the head has taken too long; never while a request is being answered.
-async fn head_timeout(state: &State, timeout: Duration) {
+async fn head_timeout(state: &ConnState, timeout: Duration) {
     Timer::after(timeout).await;
-    if state.in_request.load(Ordering::Relaxed) {
+    if state.is_head_read.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
 }
@@ -212,18 +216,18 @@
     res.insert_header(headers::CONNECTION, "close");
     let mut encoder = async_h1::server::Encoder::new(res, http_types::Method::Get);
     if futures_lite::io::copy(&mut encoder, &mut stream).await.is_ok() {
-        close_gently(stream).await;
+        close_gracefully(stream).await;
     }
 }
 
 /// Time for a caller to send what it had begun, before its connection is closed.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Ends the own side of a connection, and reads on for a while before closing it.
 ///
 /// Closing with unread bytes resets the connection: a caller that was still sending a body that had been
 /// refused met a reset in place of its answer.
-async fn close_gently(mut stream: TcpStream) {
+async fn close_gracefully(mut stream: TcpStream) {
     stream.close().await.ok();
     let mut rest = [0; 16 * 1024];
     let drained = async {
@@ -233,7 +237,7 @@
     };
     drained
         .or(async {
-            Timer::after(LINGER).await;
+            Timer::after(LINGER_TIMEOUT).await;
         })
         .await;
 }
--- a/http/tests/slow_answers.rs
+++ b/http/tests/slow_answers.rs
@@ -4,15 +4,15 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 
-use redwingfold_http::{Bound, CallError, Client, Method};
+use redwingfold_http::{CallError, CallTimeout, Client, Method};
 
 const MAX: usize = 1024 * 1024;
-const SILENCE: Duration = Duration::from_millis(400);
-const PIECE: [u8; 1024] = [b'x'; 1024];
+const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
+const CHUNK: [u8; 1024] = [b'x'; 1024];
 
 /// Starts a server that answers one call with some pieces, with a pause before each, and then is silent until the
 /// other end closes.
-fn server(pieces: usize, of: usize, pause: Duration) -> SocketAddr {
+fn server(chunk_count: usize, total_chunks: usize, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -23,10 +23,11 @@
             stream.read_exact(&mut byte).unwrap();
             head.extend(byte);
         }
-        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", of * PIECE.len()).unwrap();
-        for _ in 0..pieces {
+        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", total_chunks * CHUNK.len())
+            .unwrap();
+        for _ in 0..chunk_count {
             std::thread::sleep(pause);
-            if stream.write_all(&PIECE).is_err() {
+            if stream.write_all(&CHUNK).is_err() {
                 return;
             }
         }
@@ -35,9 +36,9 @@
     addr
 }
 
-fn read(addr: SocketAddr, bound: Bound) -> Result<usize, CallError> {
+fn read(addr: SocketAddr, timeout: CallTimeout) -> Result<usize, CallError> {
     let client = Client::default();
-    let call = client.call(Method::Get, addr, "/records", None, bound, MAX);
+    let call = client.call(Method::Get, addr, "/records", None, timeout, MAX);
     smol::block_on(call).map(|answer| answer.body.len())
 }
 
@@ -46,7 +47,7 @@
 #[test]
 fn page_that_takes_longer_than_the_timeout_is_read() {
     let addr = server(30, 30, Duration::from_millis(40));
-    assert_eq!(read(addr, Bound::Silence(SILENCE)), Ok(30 * PIECE.len()));
+    assert_eq!(read(addr, CallTimeout::Idle(IDLE_TIMEOUT)), Ok(30 * CHUNK.len()));
 }
 
 /// The log stops in the middle of a page: the call ends. So does one that is bounded as a whole, such as a call
@@ -54,6 +55,9 @@
 #[test]
 fn silent_server_is_given_up() {
     let unknown = |read: Result<usize, CallError>| matches!(read, Err(CallError::Unknown(_)));
-    assert!(unknown(read(server(3, 30, Duration::ZERO), Bound::Silence(SILENCE))));
-    assert!(unknown(read(server(300, 300, Duration::from_millis(40)), Bound::Whole(SILENCE))));
+    assert!(unknown(read(server(3, 30, Duration::ZERO), CallTimeout::Idle(IDLE_TIMEOUT))));
+    assert!(unknown(read(
+        server(300, 300, Duration::from_millis(40)),
+        CallTimeout::Total(IDLE_TIMEOUT)
+    )));
 }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use eyre::{Context, OptionExt};
-use redwingfold_http::{Bound, Client, Method};
+use redwingfold_http::{CallTimeout, Client, Method};
 use redwingfold_standins::fleet::Process;
 use serde_json::{Value, json};
 
@@ -252,7 +252,7 @@
     body: Option<Vec<u8>>,
 ) -> eyre::Result<Value> {
     let client = Client::default();
-    let call = client.call(method, addr, target, body, Bound::Whole(CALL_TIMEOUT), MAX_BODY);
+    let call = client.call(method, addr, target, body, CallTimeout::Total(CALL_TIMEOUT), MAX_BODY);
     let answer = smol::block_on(call)?;
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     eyre::ensure!(answer.is_success(), "{target}: status {}: {text}", answer.status);
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -166,7 +166,7 @@
     answered: impl Future<Output = Result<T, Failed>>,
 ) -> Result<T, Failed> {
     let gone = async {
-        peer.gone().await;
+        peer.disconnected().await;
         entry.daemon.telemetry.count("request.caller_gone", 1);
         Err(Failed::new(ErrorKind::DeadlineInRun, "the caller has gone"))
     };
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -158,16 +158,16 @@
 async fn shut_down(entry: &Arc<Entry>) {
     entry.drain.begin();
     let limits = &entry.settings.limits;
-    entry.daemon.telemetry.info("draining", &[("under_way", &entry.drain.under_way())]);
+    entry.daemon.telemetry.info("draining", &[("under_way", &entry.drain.in_flight())]);
     // The balancer needs a while to see that readiness has gone; until then callers still come.
     Timer::after(span(limits.drain_accept_ms)).await;
     let drained = async {
-        while entry.drain.under_way() > 0 || entry.under_way() > 0 {
+        while entry.drain.in_flight() > 0 || entry.under_way() > 0 {
             Timer::after(span(STOP_POLL)).await;
         }
     };
     if within(limits.drain_ms, drained).await.is_none() {
-        let left = entry.drain.under_way();
+        let left = entry.drain.in_flight();
         entry.daemon.telemetry.warn("drain_cut", &[("under_way", &left)]);
     }
     if !entry.bills.flush(FLUSH_LIMIT).await {
--- a/src/load/driver.rs
+++ b/src/load/driver.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::AsyncReadExt;
-use redwingfold_http::{Bound, Client, Method, Request, Url, open_stream};
+use redwingfold_http::{CallTimeout, Client, Method, Request, Url, open_stream};
 use serde_json::{Value, json};
 use smol::Timer;
 
@@ -134,7 +134,7 @@
     }
     req.set_body(shape.body(n));
     if !shape.stream {
-        let answer = client.send(addr, req, Bound::Whole(TIMEOUT), MAX_BODY).await.ok()?;
+        let answer = client.send(addr, req, CallTimeout::Total(TIMEOUT), MAX_BODY).await.ok()?;
         sample.first = begun.elapsed();
         sample.status = answer.status;
         let value: Value = answer.json().ok()?;
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use redwingfold_core::{Millis, Offset, RequestId, VersionName};
-use redwingfold_http::{Bound, CallError, Client, Method, Request, Url};
+use redwingfold_http::{CallError, CallTimeout, Client, Method, Request, Url};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -30,7 +30,7 @@
         addr,
         "/v1/load",
         None,
-        Bound::Whole(span(LOAD_TIMEOUT)),
+        CallTimeout::Total(span(LOAD_TIMEOUT)),
         MAX_LOAD_BYTES,
     );
     match call.await {
@@ -71,7 +71,7 @@
         addr,
         target,
         Some(body),
-        Bound::Whole(span(timeout)),
+        CallTimeout::Total(span(timeout)),
         MAX_LOAD_BYTES,
     );
     match call.await {
--- a/src/platform/hosts.rs
+++ b/src/platform/hosts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use redwingfold_core::{FailureDomain, HostId, Labels, Member, Millis, PooledSide};
-use redwingfold_http::{Bound, Client, Method};
+use redwingfold_http::{CallTimeout, Client, Method};
 use serde::Deserialize;
 
 use crate::clock::span;
@@ -63,7 +63,8 @@
 
 /// Reads the host list.
 pub(crate) async fn read_hosts(http: &Client, addr: SocketAddr) -> Result<Vec<HostRecord>, String> {
-    let call = http.call(Method::Get, addr, "/hosts", None, Bound::Whole(span(TIMEOUT)), MAX_BYTES);
+    let call =
+        http.call(Method::Get, addr, "/hosts", None, CallTimeout::Total(span(TIMEOUT)), MAX_BYTES);
     match call.await {
         Ok(answer) if answer.is_success() => {
             answer.json::<HostsAnswer>().map(|a| a.hosts).map_err(|e| e.to_string())
--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use redwingfold_core::{Millis, Offset};
-use redwingfold_http::{Bound, CallError, Client, Method};
+use redwingfold_http::{CallError, CallTimeout, Client, Method};
 use serde::Deserialize;
 
 use crate::clock::span;
@@ -104,7 +104,7 @@
     /// append without a clear answer took effect.
     pub(crate) async fn append(&self, stream: &str, record: Vec<u8>) -> Result<Offset, LogError> {
         let target = format!("/streams/{stream}/append");
-        let bound = Bound::Whole(span(self.timeout));
+        let bound = CallTimeout::Total(span(self.timeout));
         let answer = self.call(Method::Post, &target, Some(record), bound).await?;
         answer
             .json::<AppendAnswer>()
@@ -123,7 +123,7 @@
         let target = format!("/streams/{stream}/records?from={from}&max={max}&wait_ms={wait}");
         // Bounded as a whole, a page that takes longer over a slow link would be asked for from its start again and
         // again, and this process would stay where it is.
-        let bound = Bound::Silence(span(self.timeout.after(wait)));
+        let bound = CallTimeout::Idle(span(self.timeout.after(wait)));
         let answer = self.call(Method::Get, &target, None, bound).await?;
         let page = answer.json::<PageAnswer>();
         page.map(LogPage::from).map_err(|e| LogError::Unknown(e.to_string()))
@@ -134,8 +134,8 @@
         method: Method,
         target: &str,
         body: Option<Vec<u8>>,
-        bound: Bound,
-    ) -> Result<redwingfold_http::Answer, LogError> {
+        bound: CallTimeout,
+    ) -> Result<redwingfold_http::BufferedResponse, LogError> {
         let call = self.http.call(method, self.addr, target, body, bound, MAX_PAGE_BYTES);
         let refused = |why: String, retry_after| Err(LogError::Refused { why, retry_after });
         match call.await {
--- a/src/platform/rating.rs
+++ b/src/platform/rating.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use redwingfold_core::{Millis, PerMille, VersionName};
-use redwingfold_http::{Bound, Client, Method};
+use redwingfold_http::{CallTimeout, Client, Method};
 use serde::{Deserialize, Serialize};
 
 use crate::clock::span;
@@ -35,9 +35,9 @@
         addr,
         "/v1/rate",
         Some(body),
-        Bound::Whole(span(timeout)),
+        CallTimeout::Total(span(timeout)),
         MAX_BYTES,
     );
-    let answer = call.await.ok().filter(redwingfold_http::Answer::is_success)?;
+    let answer = call.await.ok().filter(redwingfold_http::BufferedResponse::is_success)?;
     answer.json::<RateAnswer>().ok().map(|a| a.score)
 }
--- a/src/platform/weights.rs
+++ b/src/platform/weights.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use redwingfold_core::{Millis, VersionName};
-use redwingfold_http::{Bound, Client, Method};
+use redwingfold_http::{CallTimeout, Client, Method};
 
 use crate::clock::span;
 
@@ -21,7 +21,9 @@
 /// Asks to load a version's weights now.
 pub(crate) async fn ask_to_load(http: &Client, addr: SocketAddr, version: &VersionName) -> Asked {
     let target = format!("/v1/loads/{version}");
-    match http.call(Method::Post, addr, &target, None, Bound::Whole(span(TIMEOUT)), MAX_BYTES).await
+    match http
+        .call(Method::Post, addr, &target, None, CallTimeout::Total(span(TIMEOUT)), MAX_BYTES)
+        .await
     {
         Ok(answer) if answer.is_success() => Asked::Granted,
         Ok(answer) => {
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -385,7 +385,7 @@
     }
     history.add("run", &version, &request, "");
     if faults.silent {
-        peer.gone().await;
+        peer.disconnected().await;
         history.add("cancel", &version, &request, "silent");
         return serve::status(500, "silent");
     }
@@ -405,7 +405,7 @@
     }
     let whole = whole(&run, state, &history);
     let gone = async {
-        peer.gone().await;
+        peer.disconnected().await;
         history.add("cancel", &run.version, &run.request, "");
         serve::status(500, "caller is gone")
     };
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -4,7 +4,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-use redwingfold_http::{Body, Drain, Limits, Peer, Request, Response, StatusCode, refusal, serve};
+use redwingfold_http::{
+    Body, Drain, Limits, Peer, Request, Response, StatusCode, refusal_response, serve,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -24,7 +26,7 @@
     let addr = listener.local_addr()?;
     let listener = smol::net::TcpListener::try_from(listener)?;
     let limits = Limits { connections: 20_000, head_timeout: Duration::from_secs(600) };
-    let task = smol::spawn(serve(listener, limits, Drain::default(), refusal, handler));
+    let task = smol::spawn(serve(listener, limits, Drain::default(), refusal_response, handler));
     Ok((addr, task))
 }
 
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use redwingfold_http::{Bound, Client, Method};
+use redwingfold_http::{CallTimeout, Client, Method};
 use redwingfold_standins::fleet::{Ask, Caller, wait_until};
 use redwingfold_standins::{Engine, EngineSettings, answer_text};
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
         engine.addr,
         target,
         None,
-        Bound::Whole(Duration::from_secs(5)),
+        CallTimeout::Total(Duration::from_secs(5)),
         1 << 20,
     );
     smol::block_on(call).expect("an answer").json().expect("JSON")
