--- a/gateway/src/exchange/progress.rs
+++ b/gateway/src/exchange/progress.rs
@@ -36,7 +36,7 @@
 
     /// Records another gateway's position in a feed.
     pub(crate) fn record_peer_position(&self, feed: Feed, peer: SocketAddr, next: u64) {
-        self.with_leads(feed, |leads| leads.record(peer, next, self.now()));
+        self.with_positions(feed, |positions| positions.record(peer, next, self.now()));
         if self.pick_peer_ahead(feed).is_some() {
             self.peer_ahead.notify(usize::MAX);
         }
@@ -50,17 +50,23 @@
     /// Picks a gateway that is ahead of this one in a feed.
     pub(super) fn pick_peer_ahead(&self, feed: Feed) -> Option<SocketAddr> {
         let own = self.with_feeds(|feeds| feeds.reached(feed));
-        self.with_leads(feed, |leads| leads.pick_ahead(own, fastrand::u64(..), self.now()))
+        self.with_positions(feed, |positions| {
+            positions.pick_ahead(own, fastrand::u64(..), self.now())
+        })
     }
 
     pub(super) fn record_peer_failure(&self, feed: Feed, peer: SocketAddr) {
-        self.with_leads(feed, |leads| leads.record_failure(peer, self.now()));
+        self.with_positions(feed, |positions| positions.record_failure(peer, self.now()));
     }
 
-    fn with_leads<T>(&self, feed: Feed, f: impl FnOnce(&mut FeedPositions<SocketAddr>) -> T) -> T {
+    fn with_positions<T>(
+        &self,
+        feed: Feed,
+        f: impl FnOnce(&mut FeedPositions<SocketAddr>) -> T,
+    ) -> T {
         match feed {
-            Feed::Orders => f(&mut self.orders_leads.borrow_mut()),
-            Feed::Servers => f(&mut self.servers_leads.borrow_mut()),
+            Feed::Orders => f(&mut self.orders_positions.borrow_mut()),
+            Feed::Servers => f(&mut self.servers_positions.borrow_mut()),
             // Marks are few and short, so a gateway that missed some reads them from the store.
             Feed::Marks => f(&mut FeedPositions::new()),
         }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -102,9 +102,9 @@
     /// Why the last read of the operator's topic failed.
     pub(crate) orders_read_error: RefCell<Option<String>>,
     /// Positions of other gateways in the operator's topic.
-    pub(crate) orders_leads: RefCell<FeedPositions<SocketAddr>>,
+    pub(crate) orders_positions: RefCell<FeedPositions<SocketAddr>>,
     /// Positions of other gateways in the feed of backend servers.
-    pub(crate) servers_leads: RefCell<FeedPositions<SocketAddr>>,
+    pub(crate) servers_positions: RefCell<FeedPositions<SocketAddr>>,
     /// The server list as last encoded for another gateway.
     pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
     /// Notified when another gateway is ahead in one of these feeds.
@@ -176,8 +176,8 @@
             marks_changed: Event::new(),
             restored_at: Cell::default(),
             orders_read_error: RefCell::default(),
-            orders_leads: RefCell::default(),
-            servers_leads: RefCell::default(),
+            orders_positions: RefCell::default(),
+            servers_positions: RefCell::default(),
             encoded_servers: RefCell::default(),
             peer_ahead: Event::new(),
             budgets: RefCell::default(),
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -298,7 +298,7 @@
             service: &self.service,
             version: &response.server.version,
             route: &self.route.name,
-            size: response.size.unwrap_or(0),
+            size_index: response.size.unwrap_or(0),
             load: response.load_per_slot(),
             is_first_half: is_in_first_half(&response.server.id),
             signal,
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -241,7 +241,7 @@
                 service: &service,
                 version: &version,
                 route: &route,
-                size: 0,
+                size_index: 0,
                 load: 0.0,
                 is_first_half: false,
                 signal,
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -32,7 +32,7 @@
     pub(crate) version: &'a VersionName,
     pub(crate) route: &'a RouteName,
     /// Index of the answering model among the route's sizes; 0 if the caller chose the model.
-    pub(crate) size: usize,
+    pub(crate) size_index: usize,
     /// Requests running and waiting on the server, divided by its slots.
     pub(crate) load: f64,
     /// Whether the server belongs to the first half of the version's servers.
@@ -54,10 +54,11 @@
             AnswerSignal::FirstByte { took, expected } => {
                 Some(took.0.max(1) as f64 / expected.after(FIRST_BYTE_OVERHEAD).0 as f64)
             }
-            AnswerSignal::EventGap(pause) => Some(pause.0.max(1) as f64),
+            AnswerSignal::EventGap(gap) => Some(gap.0.max(1) as f64),
         };
-        let is_pace = matches!(sample.signal, AnswerSignal::EventGap(_));
-        let usual = versions.usual_times.entry((route, sample.size, is_pace)).or_default();
+        let is_event_gap = matches!(sample.signal, AnswerSignal::EventGap(_));
+        let usual =
+            versions.usual_times.entry((route, sample.size_index, is_event_gap)).or_default();
         let ratio = time.and_then(|time| match arm {
             Some(Arm::Current) => usual.ratio(time, sample.load),
             Some(Arm::Target) | None => usual.ratio_of_other_version(time, sample.load),
@@ -65,7 +66,7 @@
         if let (Some(Arm::Current), Some(time)) = (arm, time) {
             usual.record(time, sample.load);
         }
-        let recent = &mut versions.recent_factors[usize::from(is_pace)];
+        let recent = &mut versions.recent_factors[usize::from(is_event_gap)];
         let ratio = match arm {
             Some(Arm::Current) => ratio.inspect(|ratio| recent.record(*ratio, now)),
             Some(Arm::Target) | None => ratio.map(|ratio| ratio / recent.factor()),
@@ -78,19 +79,19 @@
             Some(Arm::Current) => &mut evidence.current,
             Some(Arm::Target) | None => &mut evidence.target,
         };
-        let mut one = AnswerSums::default();
+        let mut delta = AnswerSums::default();
         match (sample.signal, ratio) {
-            (AnswerSignal::Failed, _) => one.failed = 1,
+            (AnswerSignal::Failed, _) => delta.failed = 1,
             (AnswerSignal::FirstByte { .. }, ratio) => {
-                one.good = 1;
-                ratio.into_iter().for_each(|ratio| one.begin.add(ratio));
+                delta.good = 1;
+                ratio.into_iter().for_each(|ratio| delta.begin.add(ratio));
             }
             (AnswerSignal::EventGap(_), ratio) => {
-                ratio.into_iter().for_each(|ratio| one.pace.add(ratio))
+                ratio.into_iter().for_each(|ratio| delta.pace.add(ratio))
             }
         }
-        let half = if sample.is_first_half { one } else { AnswerSums::default() };
-        *counts = counts.plus(Counts { half, ..one.into() });
+        let half = if sample.is_first_half { delta } else { AnswerSums::default() };
+        *counts = counts.plus(Counts { half, ..delta.into() });
     }
 
     /// Returns when the last report of another gateway on an active rollout was received.
