--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -222,7 +222,8 @@
     parts.iter().map(message).collect()
 }
 
-/// Encodes a message. If it is too long for a datagram, optional parts are left out; `None` if it is still too long.
+/// Encodes a message. If it is too long for a datagram, its least important parts are left out; `None` if it is still
+/// too long.
 fn encode_datagram(mut message: PeerMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(&message).ok()?;
     if bytes.len() <= MAX_DATAGRAM {
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -65,7 +65,7 @@
     /// queried.
     pub(crate) moved_sessions: MovedSessions,
     services: HashMap<ServiceName, ServiceVersions>,
-    /// What is known of the statuses in the store.
+    /// Statuses in the store, as read, written or reported by other gateways.
     statuses: RolloutStatuses,
     /// Services whose versions in service this gateway should write to the store.
     unwritten_services: Vec<ServiceName>,
@@ -238,7 +238,7 @@
     }
 
     /// Returns whether sending a request to a version moves its session there. Moves need no record once all gateways
-    /// know that the target is in service.
+    /// have the target in service.
     pub(crate) fn moves_session(
         &self,
         service: &ServiceName,
