--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -113,12 +113,13 @@
 
     /// Sends the addresses of all peers to newcomers and, if new ones were added, to a few others.
     async fn send_addresses_to_newcomers(&mut self) {
-        let (is_news, mut recipients) = self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
-        if !is_news && recipients.is_empty() {
+        let (has_new_peers, mut recipients) =
+            self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
+        if !has_new_peers && recipients.is_empty() {
             return;
         }
         let live = self.shuffled_live_peers();
-        if is_news {
+        if has_new_peers {
             recipients.extend(Members::gossip_targets(&live));
         }
         self.send_addresses(&live, &recipients, BYTES_RESERVED_FROM_ADDRESSES).await;
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -155,7 +155,7 @@
         let (service, target, stored_status) =
             (report.service.clone(), report.target.clone(), report.stored_status);
         // A gateway without a connection to the store may not have noticed yet that the store was restored.
-        let is_doubted = report.store_era < self.store_era || self.statuses.is_unreliable(now);
+        let may_be_outdated = report.store_era < self.store_era || self.statuses.is_unreliable(now);
         match versions.peer_reports.get_mut(from) {
             Some((merged, at)) => {
                 merged.merge(report);
@@ -170,8 +170,8 @@
         }
         match stored_status {
             // Other gateways may report what the store said before it was restored from an older copy.
-            StoredStatus::Ended(phase) if is_doubted => self.end_rollout(&service, phase, now),
-            _ if is_doubted => {}
+            StoredStatus::Ended(phase) if may_be_outdated => self.end_rollout(&service, phase, now),
+            _ if may_be_outdated => {}
             StoredStatus::Ended(phase) => self.record_status(&service, &target, Some(phase), now),
             StoredStatus::Running
                 if self.statuses.is_unrecorded(&service, &target, Phase::Trial) =>
