--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -50,18 +50,19 @@
 pub use rollout::{SequentialTest, Tally, TestVerdict};
 pub use route::{Denied, Plan, choose_version, plan, session_share};
 pub use serving::{
-    Admission, Affinity, AnswerSums, Arm, ArmChoice, Awaited, BackendId, BackendServer,
-    BaselineLatency, BrokenRun, CallLimits, Canary, CanaryPolicy, Catalog, ColdLimit, ColdPolicy,
-    ConfidenceGains, ConnectTimes, Counts, CurrentSlowdown, Customer, EndedRun, EvacuationChange,
-    Evacuations, EventId, EventSplitter, ExposureBudget, Fault, FeedHeard, FeedPast, FeedPositions,
-    FeedTold, FeedView, Fingerprint, HealthPolicy, Homes, IdleTimeout, InterruptedRuns,
-    LargerModel, LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members,
+    Admission, Affinity, AllowedRegions, AnswerCounts, AnswerSums, Arm, ArmChoice, Awaited,
+    BackendId, BackendServer, BaselineLatency, BrokenRun, CallLimits, Canary, CanaryPolicy,
+    Catalog, ColdLimit, ColdPolicy, ConfidenceGains, ConnectTimeout, CurrentSlowdown, Customer,
+    DomainRegions, EndedRun, EvacuationChange, Evacuations, EventId, EventSplitter, ExposureBudget,
+    Fault, FeedHistory, FeedPositions, FeedUpdate, FeedUpdateOutcome, FeedView, Fingerprint,
+    FleetEvidence, HealthPolicy, Idempotency, IdleTimeout, InterruptedRuns, LargerModel,
+    LatencySums, LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members,
     MovedSessions, OrderAge, PeerLoad, PeerLoads, PeerServerList, Phase, Place, PlacementPolicy,
-    Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Regions, Registry,
-    RegistryPolicy, Repeat, RepeatBudget, RepeatUse, RetryAfterTimes, RolloutOrder,
-    RolloutStatuses, Route, RouteEvidence, RouteName, SendTurns, Sent, ServerHealth, ServerLimits,
-    ServerReport, ServerState, Service, ServiceName, SessionKey, Shared, SilencePolicy,
-    SilenceWatch, SizePolicy, StreamRules, StreamTimes, Times, UnreachableServers, UrgencyPolicy,
-    WholeEvents, Work, is_in_first_half, is_newest_shorter, lead_servers, place,
+    Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Registry,
+    RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, RolloutOrder, RolloutStatuses,
+    Route, RouteEvidence, RouteName, SendCounts, SendTurns, ServerHealth, ServerLimits,
+    ServerReport, ServerState, Service, ServiceName, SessionKey, SilencePolicy, SilenceWatch,
+    SizePolicy, StreamRules, StreamTimes, UnreachableServers, UrgencyPolicy, WholeEvents, Work,
+    is_compacted_read_shorter, is_in_first_half, lead_servers, place,
 };
 pub use subset::{Member, PooledSide, is_log_reader, pin_holders, rank, sides_of_entry};
--- a/core/src/serving/budget.rs
+++ b/core/src/serving/budget.rs
@@ -1,74 +1,75 @@
-//! How many requests may be sent a second time, in a window that slides.
+//! Budget for requests that are sent a second time, over a sliding window.
 
 use std::collections::VecDeque;
 
 use crate::ids::Millis;
 
-/// What a second send is for.
+/// Why a request is sent a second time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RepeatUse {
-    /// The first one failed.
+pub enum ResendReason {
+    /// The first attempt failed.
     Failure,
-    /// A larger model should do better.
+    /// A larger model is likely to answer better.
     Quality,
 }
 
-/// Bounds second sends by the requests of a sliding window.
+/// Limits second attempts to a ratio of the requests in a sliding window.
 ///
-/// Each gateway keeps to its own share of its own requests, so the fleet's sum is bounded by the
-/// fleet's requests without any talk. Without a bound, a service that fails gets twice its load at
-/// the moment at which it can bear least.
+/// Each gateway applies the ratio to its own requests, so the whole fleet keeps it without
+/// messages. Without a limit, a failing service would get twice its load when it can take the
+/// least.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
+pub struct ResendBudget {
     window: Millis,
     ratio: f64,
     quality_ratio: f64,
     slack: f64,
-    /// Requests and repeats, counted by slices of the window.
+    /// Counts of requests and second attempts, in slices of the window.
     slices: VecDeque<Slice>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
-    begun: Millis,
+    start: Millis,
     requests: u32,
     repeats: u32,
 }
 
-/// Slices in a window; one more is kept, so that what is counted is never less than the window.
+/// Slices in a window. One more is kept, so that at least the whole window is counted.
 const SLICES: u64 = 20;
 
-impl RepeatBudget {
-    /// Makes a budget of `ratio` repeats for each request of the last `window`, and `slack` more.
+impl ResendBudget {
+    /// Creates a budget of `ratio` second attempts for each request of the last `window`, plus
+    /// `slack` in total.
     ///
-    /// Repeats for [`RepeatUse::Quality`] stop at `quality_ratio`, which leaves the rest for
-    /// failures.
+    /// Second attempts for [`ResendReason::Quality`] are limited to `quality_ratio`, which leaves
+    /// the rest of the budget for failures.
     ///
     /// ```
-    /// use redwingfold_core::{Millis, RepeatBudget, RepeatUse};
-    /// let mut budget = RepeatBudget::new(Millis(10_000), 0.5, 0.25, 0.0);
-    /// (0..4).for_each(|_| budget.request(Millis(0)));
-    /// assert!(budget.try_take(RepeatUse::Quality, Millis(1)));
-    /// assert!(!budget.try_take(RepeatUse::Quality, Millis(1)));
-    /// assert!(budget.try_take(RepeatUse::Failure, Millis(1)));
-    /// assert!(!budget.try_take(RepeatUse::Failure, Millis(1)));
+    /// use redwingfold_core::{Millis, ResendBudget, ResendReason};
+    /// let mut budget = ResendBudget::new(Millis(10_000), 0.5, 0.25, 0.0);
+    /// (0..4).for_each(|_| budget.record_request(Millis(0)));
+    /// assert!(budget.try_take(ResendReason::Quality, Millis(1)));
+    /// assert!(!budget.try_take(ResendReason::Quality, Millis(1)));
+    /// assert!(budget.try_take(ResendReason::Failure, Millis(1)));
+    /// assert!(!budget.try_take(ResendReason::Failure, Millis(1)));
     /// ```
     pub fn new(window: Millis, ratio: f64, quality_ratio: f64, slack: f64) -> Self {
         Self { window, ratio, quality_ratio, slack, slices: VecDeque::new() }
     }
 
-    /// Counts a request.
-    pub fn request(&mut self, now: Millis) {
+    /// Counts a first attempt.
+    pub fn record_request(&mut self, now: Millis) {
         self.slice(now).requests += 1;
     }
 
-    /// Counts a second send if there is room for it.
-    pub fn try_take(&mut self, what: RepeatUse, now: Millis) -> bool {
+    /// Counts a second attempt and returns `true` if the budget allows it.
+    pub fn try_take(&mut self, what: ResendReason, now: Millis) -> bool {
         self.slice(now);
         let (requests, repeats) = self.counts();
         let ratio = match what {
-            RepeatUse::Failure => self.ratio,
-            RepeatUse::Quality => self.quality_ratio,
+            ResendReason::Failure => self.ratio,
+            ResendReason::Quality => self.quality_ratio,
         };
         if f64::from(repeats) + 1.0 > ratio * f64::from(requests) + self.slack {
             return false;
@@ -77,7 +78,7 @@
         true
     }
 
-    /// Returns requests and repeats of the window.
+    /// Returns the requests and second attempts in the window.
     pub fn counts(&self) -> (u32, u32) {
         self.slices.iter().fold((0, 0), |(requests, repeats), slice| {
             (requests + slice.requests, repeats + slice.repeats)
@@ -86,11 +87,11 @@
 
     fn slice(&mut self, now: Millis) -> &mut Slice {
         let len = Millis((self.window.0 / SLICES).max(1));
-        while self.slices.front().is_some_and(|s| now.since(s.begun) > self.window) {
+        while self.slices.front().is_some_and(|s| now.since(s.start) > self.window) {
             self.slices.pop_front();
         }
-        if self.slices.back().is_none_or(|s| now.since(s.begun) >= len) {
-            self.slices.push_back(Slice { begun: now, ..Slice::default() });
+        if self.slices.back().is_none_or(|s| now.since(s.start) >= len) {
+            self.slices.push_back(Slice { start: now, ..Slice::default() });
         }
         let last = self.slices.len() - 1;
         &mut self.slices[last]
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -7,7 +7,9 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use redwingfold_core::{Awaited, BackendServer, EndedRun, EventId, Millis, Repeat, SilenceWatch};
+use redwingfold_core::{
+    Awaited, BackendServer, EndedRun, EventId, Idempotency, Millis, SilenceWatch,
+};
 
 use crate::clock::within;
 use crate::load::InFlightGuard;
@@ -91,7 +93,7 @@
     ) -> AttemptOutcome {
         let gw = self.gw.clone();
         gw.record_send_turn(server);
-        let limit = gw.connect_times.get().limit().min(self.time_left());
+        let limit = gw.connect_times.get().timeout().min(self.time_left());
         let connecting_at = gw.now();
         gw.loads.record_connect_attempt(server, connecting_at);
         let connected = HttpConnection::connect(&gw.executor, server.addr, limit).await;
@@ -229,7 +231,7 @@
         server: &BackendServer,
         expected: Millis,
     ) -> Option<Result<Response<Incoming>, CallError>> {
-        let owed =
+        let awaited =
             if self.route.stream.is_some() { Awaited::Head(expected) } else { Awaited::Plain };
         let mut watch = SilenceWatch::new(self.gw.now(), SILENCE_POLL_INTERVAL);
         let mut answered = pin!(answered);
@@ -241,7 +243,7 @@
             if let Some(res) = within(SILENCE_POLL_INTERVAL.min(time_left), &mut answered).await {
                 return Some(res);
             }
-            if self.is_server_silent(&mut watch, server, owed) && self.try_retry() {
+            if self.is_server_silent(&mut watch, server, awaited) && self.try_retry() {
                 return None;
             }
         }
@@ -252,17 +254,22 @@
         &self,
         watch: &mut SilenceWatch,
         server: &BackendServer,
-        owed: Awaited,
+        awaited: Awaited,
     ) -> bool {
         watch.poll(self.gw.now(), self.gw.loads.last_activity_at(&server.id));
-        watch.is_over(&self.gw.settings.silence, owed, self.route.aim, self.gw.pressure())
+        watch.is_over(
+            &self.gw.settings.silence,
+            awaited,
+            self.route.latency_target,
+            self.gw.pressure(),
+        )
     }
 
     /// Returns whether the request may run more than once.
     pub(crate) fn is_retryable(&self) -> bool {
-        match (self.route.repeat, self.route.stream) {
+        match (self.route.idempotency, self.route.stream) {
             (_, Some(stream)) => stream.resumable,
-            (repeat, None) => repeat == Repeat::Idempotent,
+            (idempotency, None) => idempotency == Idempotency::Idempotent,
         }
     }
 }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -75,7 +75,7 @@
             self.request.record_broken_response(&response, &why).await;
             // Dropped before the next attempt, so that two servers never work on the same stream.
             drop(response);
-            self.events.drop_piece();
+            self.events.discard_partial();
             if !std::mem::take(&mut self.is_retry_budgeted) && !self.request.try_retry() {
                 return StreamEnd::Cut(why);
             }
@@ -121,7 +121,7 @@
                 }
                 RelayStep::Silent => continue,
                 RelayStep::Body(BodyRead::Broken(why)) => return Err(why),
-                RelayStep::Body(BodyRead::End) if self.events.is_inside_event() => {
+                RelayStep::Body(BodyRead::End) if self.events.has_partial() => {
                     return Err("ended inside an event".to_owned());
                 }
                 RelayStep::Body(BodyRead::End) => {
@@ -178,7 +178,7 @@
         };
         let silent = async {
             let mut watch = SilenceWatch::new(self.request.gw.now(), SILENCE_POLL_INTERVAL);
-            let gap = self.request.route.stream.map_or(Millis(0), |stream| stream.gap);
+            let gap = self.request.route.stream.map_or(Millis(0), |stream| stream.max_gap);
             loop {
                 sleep(SILENCE_POLL_INTERVAL).await;
                 let is_silent =
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -3,8 +3,9 @@
 use std::collections::{HashMap, HashSet};
 
 use redwingfold_core::{
-    Arm, BaselineLatency, Canary, CanaryPolicy, CurrentSlowdown, Millis, MovedSessions, OrderAge,
-    Phase, RolloutOrder, RolloutStatuses, RouteEvidence, ServiceName, Shared, VersionName,
+    Arm, BaselineLatency, Canary, CanaryPolicy, CurrentSlowdown, FleetEvidence, Millis,
+    MovedSessions, OrderAge, Phase, RolloutOrder, RolloutStatuses, RouteEvidence, ServiceName,
+    VersionName,
 };
 
 use crate::gateway::StoreCopy;
@@ -97,7 +98,7 @@
     pub(crate) target: VersionName,
     pub(crate) phase: Phase,
     /// Evidence of the whole fleet at that time.
-    pub(crate) evidence: Shared,
+    pub(crate) evidence: FleetEvidence,
 }
 
 impl Rollouts {
@@ -263,7 +264,7 @@
     ) -> Option<Arm> {
         let arm = self.arm_of(service, version)?;
         let canary = self.services.get_mut(service).and_then(ServiceVersions::latest_mut);
-        Some(canary.map_or(arm, |canary| canary.sent(reached, arm, now)))
+        Some(canary.map_or(arm, |canary| canary.record_send(reached, arm, now)))
     }
 
     /// Advances all rollouts; returns those that changed phase.
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -138,7 +138,7 @@
         }
         let loads = &self.gw.loads;
         let mut places: Vec<Place> = pool.available.iter().map(|s| loads.place(s, now)).collect();
-        limit_excluded_share(&mut places, self.gw.settings.health.max_out_share);
+        limit_excluded_share(&mut places, self.gw.settings.health.max_ejected_share);
         let policy = &self.gw.settings.placement;
         let places = pool.lead_count.map_or(places.clone(), |count| lead_servers(places, count));
         let found = place(&places, self.prefill_work(self.size), policy, |n| fastrand::usize(..n))?;
@@ -280,11 +280,12 @@
             s.models.is_empty() || model.is_none_or(|model| s.models.contains(model))
         };
         let (evacuations, regions) = (self.gw.evacuations.borrow(), self.gw.regions.borrow());
-        let customer_homes = self.customer.as_ref().map(|customer| &customer.homes);
-        let homes: Vec<_> = customer_homes.into_iter().chain([&self.route.homes]).collect();
+        let customer_homes = self.customer.as_ref().map(|customer| &customer.allowed_regions);
+        let homes: Vec<_> =
+            customer_homes.into_iter().chain([&self.route.allowed_regions]).collect();
         let is_anywhere = homes.iter().all(|homes| homes.is_anywhere());
         let may_run_in = |domain: &FailureDomain| {
-            is_anywhere || homes.iter().all(|homes| homes.allow(regions.of(domain)))
+            is_anywhere || homes.iter().all(|homes| homes.allows(regions.of(domain)))
         };
         let is_eligible = |s: &&BackendServer| {
             s.service == self.service
