--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -113,12 +113,13 @@
 
     /// Sends the addresses of all peers to newcomers and, if new ones were added, to a few others.
     async fn send_addresses_to_newcomers(&mut self) {
-        let (is_news, mut recipients) = self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
-        if !is_news && recipients.is_empty() {
+        let (has_new_peers, mut recipients) =
+            self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
+        if !has_new_peers && recipients.is_empty() {
             return;
         }
         let live = self.shuffled_live_peers();
-        if is_news {
+        if has_new_peers {
             recipients.extend(Members::gossip_targets(&live));
         }
         self.send_addresses(&live, &recipients, BYTES_RESERVED_FROM_ADDRESSES).await;
@@ -222,7 +223,8 @@
     parts.iter().map(message).collect()
 }
 
-/// Encodes a message. If it is too long for a datagram, optional parts are left out; `None` if it is still too long.
+/// Encodes a message. If it is too long for a datagram, its least important parts are left out; `None` if it is still
+/// too long.
 fn encode_datagram(mut message: PeerMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(&message).ok()?;
     if bytes.len() <= MAX_DATAGRAM {
