--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -5,8 +5,8 @@
 use redwingfold_core::{ErrorKind, Offset, RunState};
 use xxhash_rust::xxh3::Xxh3;
 
-use super::answer::Failed;
 use super::context::Entry;
+use super::response::RequestError;
 use super::sides::SideLink;
 use crate::peer::CallCount;
 use crate::wire::{
@@ -15,19 +15,19 @@
 
 /// Why an attempt failed, and how far the side's configuration went.
 #[derive(Debug)]
-pub(crate) struct AttemptFailed {
-    pub(crate) failed: Failed,
+pub(crate) struct AttemptError {
+    pub(crate) error: RequestError,
     pub(crate) side_offset: Offset,
 }
 
-impl From<Failed> for AttemptFailed {
-    fn from(failed: Failed) -> Self {
-        Self { failed, side_offset: Offset(0) }
+impl From<RequestError> for AttemptError {
+    fn from(error: RequestError) -> Self {
+        Self { error, side_offset: Offset(0) }
     }
 }
 
 /// An answer on its way. Dropping it cancels the run.
-pub(crate) struct Answering {
+pub(crate) struct ResponseStream {
     rx: FrameReader<RunFrame>,
     // Dropped early, it would finish the sending half; the side reads nothing into that.
     _tx: FrameWriter<Call>,
@@ -35,76 +35,76 @@
     backend: String,
     link: Arc<SideLink>,
     entry: Arc<Entry>,
-    hash: Xxh3,
-    length: u64,
-    _count: CallCount,
+    hasher: Xxh3,
+    received_bytes: u64,
+    _call_guard: CallCount,
 }
 
 /// The next part of an answer.
-pub(crate) enum Piece {
+pub(crate) enum ResponsePart {
     Chunk(Vec<u8>),
     End(Box<RunEnd>),
 }
 
 /// Sends a request to a side and waits for the head of its answer.
-pub(crate) async fn begin(
+pub(crate) async fn start_run(
     entry: &Arc<Entry>,
     link: &Arc<SideLink>,
     call: RunCall,
-) -> Result<(RunHead, Answering), AttemptFailed> {
+) -> Result<(RunHead, ResponseStream), AttemptError> {
     let head = call.head;
     let backend = call.backend.clone();
-    link.note_sent(&call.backend);
-    let count = link.link.begin_call();
-    let unsent = |e: String| Failed::new(ErrorKind::NoBackend, e);
+    link.count_sent(&call.backend);
+    let call_guard = link.link.begin_call();
+    let not_sent = |e: String| RequestError::new(ErrorKind::NoBackend, e);
     // Opening a stream sends nothing, so a failure here means that nothing has run.
-    let (send, recv) = link.conn.open_bi().await.map_err(|e| unsent(e.to_string()))?;
+    let (send, recv) = link.conn.open_bi().await.map_err(|e| not_sent(e.to_string()))?;
     let mut tx = FrameWriter::new(send);
-    tx.send(&Call::Run(Box::new(call))).await.map_err(|e| lost(&e))?;
-    let mut answering = Answering {
+    tx.send(&Call::Run(Box::new(call))).await.map_err(|e| wire_error(&e))?;
+    let mut response_stream = ResponseStream {
         rx: FrameReader::new(recv),
         _tx: tx,
         head,
         backend,
         link: link.clone(),
         entry: entry.clone(),
-        hash: Xxh3::new(),
-        length: 0,
-        _count: count,
+        hasher: Xxh3::new(),
+        received_bytes: 0,
+        _call_guard: call_guard,
     };
-    let given_up = async {
-        link.given_up(&entry.daemon).await;
-        Err(Failed::new(ErrorKind::BackendLost, "connection is silent").into())
+    let connection_lost = async {
+        link.until_dead_or_replaced(&entry.daemon).await;
+        Err(RequestError::new(ErrorKind::BackendLost, "connection is silent").into())
     };
-    match smol::future::or(answering.frame(), given_up).await? {
-        RunFrame::Head(_, run_head) => Ok((run_head, answering)),
-        _ => Err(Failed::new(ErrorKind::TornFrame, "answer without a head").into()),
+    match smol::future::or(response_stream.read_frame(), connection_lost).await? {
+        RunFrame::Head(_, run_head) => Ok((run_head, response_stream)),
+        _ => Err(RequestError::new(ErrorKind::TornFrame, "answer without a head").into()),
     }
 }
 
-fn lost(e: &WireError) -> Failed {
+fn wire_error(e: &WireError) -> RequestError {
     let kind = match e {
         WireError::Lost(_) => ErrorKind::BackendLost,
         WireError::Torn(_) => ErrorKind::TornFrame,
     };
-    Failed::new(kind, e.to_string())
+    RequestError::new(kind, e.to_string())
 }
 
-impl Answering {
+impl ResponseStream {
     /// Reads the next frame of this run; one of another run breaks the answer off.
-    async fn frame(&mut self) -> Result<RunFrame, AttemptFailed> {
-        let frame = self.rx.next().await.map_err(|e| lost(&e))?;
+    async fn read_frame(&mut self) -> Result<RunFrame, AttemptError> {
+        let frame = self.rx.next().await.map_err(|e| wire_error(&e))?;
         self.link.link.heard(self.entry.daemon.now());
         match frame {
-            None => Err(Failed::new(ErrorKind::BackendLost, "answer has no end").into()),
+            None => Err(RequestError::new(ErrorKind::BackendLost, "answer has no end").into()),
             Some(frame) if frame.head() != self.head => {
-                Err(Failed::new(ErrorKind::TornFrame, "frame of another run").into())
+                Err(RequestError::new(ErrorKind::TornFrame, "frame of another run").into())
             }
-            Some(RunFrame::Failed(_, failed)) => Err(AttemptFailed {
-                failed: Failed {
+            Some(RunFrame::Failed(_, failed)) => Err(AttemptError {
+                error: RequestError {
                     kind: failed.kind,
-                    run: failed.run,
-                    why: failed.why,
+                    run_state: failed.run,
+                    detail: failed.why,
                     retry_after: failed.retry_after,
                 },
                 side_offset: failed.config.offset,
@@ -114,43 +114,46 @@
     }
 
     /// Reads the next part. At the end, length and checksum must be those of what came before.
-    pub(crate) async fn next(&mut self) -> Result<Piece, Failed> {
+    pub(crate) async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         let (link, entry) = (self.link.clone(), self.entry.clone());
-        let dead = async {
-            link.dead(&entry.daemon).await;
-            Err(Failed::new(ErrorKind::BackendLost, "connection is dead").into())
+        let connection_dead = async {
+            link.until_dead(&entry.daemon).await;
+            Err(RequestError::new(ErrorKind::BackendLost, "connection is dead").into())
         };
-        let frame = smol::future::or(self.frame(), dead).await;
-        match frame.map_err(|e| e.failed)? {
+        let frame = smol::future::or(self.read_frame(), connection_dead).await;
+        match frame.map_err(|e| e.error)? {
             RunFrame::Chunk(_, chunk) => {
-                self.hash.update(&chunk);
-                self.length += chunk.len() as u64;
-                Ok(Piece::Chunk(chunk))
+                self.hasher.update(&chunk);
+                self.received_bytes += chunk.len() as u64;
+                Ok(ResponsePart::Chunk(chunk))
             }
             RunFrame::End(_, end)
-                if end.length == self.length && end.checksum == self.hash.digest() =>
+                if end.length == self.received_bytes && end.checksum == self.hasher.digest() =>
             {
-                self.link.note_change(&self.backend, end.load);
-                Ok(Piece::End(end))
+                self.link.apply_load_change(&self.backend, end.load);
+                Ok(ResponsePart::End(end))
             }
-            RunFrame::End(..) => Err(Failed::new(ErrorKind::TornFrame, "length or checksum")),
-            RunFrame::Failed(..) | RunFrame::Head(..) => Err(Failed {
-                run: RunState::MayHaveRun,
-                ..Failed::new(ErrorKind::TornFrame, "order")
+            RunFrame::End(..) => Err(RequestError::new(ErrorKind::TornFrame, "length or checksum")),
+            RunFrame::Failed(..) | RunFrame::Head(..) => Err(RequestError {
+                run_state: RunState::MayHaveRun,
+                ..RequestError::new(ErrorKind::TornFrame, "order")
             }),
         }
     }
 
     /// Reads the rest of the answer, up to `max` bytes.
-    pub(crate) async fn whole(&mut self, max: usize) -> Result<(Vec<u8>, Box<RunEnd>), Failed> {
+    pub(crate) async fn read_all(
+        &mut self,
+        max: usize,
+    ) -> Result<(Vec<u8>, Box<RunEnd>), RequestError> {
         let mut body = Vec::new();
         loop {
-            match self.next().await? {
-                Piece::Chunk(chunk) if body.len() + chunk.len() > max => {
-                    return Err(Failed::new(ErrorKind::BackendLost, "answer is too large"));
+            match self.next_part().await? {
+                ResponsePart::Chunk(chunk) if body.len() + chunk.len() > max => {
+                    return Err(RequestError::new(ErrorKind::BackendLost, "answer is too large"));
                 }
-                Piece::Chunk(chunk) => body.extend_from_slice(&chunk),
-                Piece::End(end) => return Ok((body, end)),
+                ResponsePart::Chunk(chunk) => body.extend_from_slice(&chunk),
+                ResponsePart::End(end) => return Ok((body, end)),
             }
         }
     }
--- a/src/entry/auth.rs
+++ b/src/entry/auth.rs
@@ -4,7 +4,7 @@
 use redwingfold_http::Request;
 use sha2::{Digest, Sha256};
 
-use super::answer::Failed;
+use super::response::RequestError;
 use crate::settings::LimitSettings;
 
 const LOWEST_PRIORITY: u8 = 9;
@@ -18,7 +18,7 @@
     pub(crate) customer: CustomerName,
     pub(crate) session: Option<SessionId>,
     pub(crate) idempotency_key: Option<String>,
-    pub(crate) deadline: Millis,
+    pub(crate) timeout: Millis,
     pub(crate) priority: u8,
     /// Kind of request, for which quality is known.
     pub(crate) class: String,
@@ -34,45 +34,47 @@
 }
 
 /// Reads the head.
-pub(crate) fn caller(
+pub(crate) fn parse_caller(
     req: &Request,
     config: &Config,
     limits: &LimitSettings,
-) -> Result<Caller, Failed> {
-    let bad =
-        |name: &str, what: &str| Failed::new(ErrorKind::BadRequest, format!("{name}: {what}"));
+) -> Result<Caller, RequestError> {
+    let bad_header = |name: &str, what: &str| {
+        RequestError::new(ErrorKind::BadRequest, format!("{name}: {what}"))
+    };
     let key = header(req, "authorization").and_then(|v| v.strip_prefix("Bearer "));
     let key = key.or_else(|| header(req, "x-api-key"));
     let key = key.ok_or_else(|| {
-        Failed::new(ErrorKind::BadKey, "send the customer's key as Authorization: Bearer KEY")
+        RequestError::new(ErrorKind::BadKey, "send the customer's key as Authorization: Bearer KEY")
     })?;
     let customer = config
         .customer_of_key(&key_sha256(key.trim()))
-        .ok_or_else(|| Failed::new(ErrorKind::BadKey, "no customer has this key"))?;
+        .ok_or_else(|| RequestError::new(ErrorKind::BadKey, "no customer has this key"))?;
     let session = match header(req, "x-session-id") {
-        Some(text) => {
-            Some(text.parse().map_err(|_| bad("x-session-id", "1 to 128 letters, digits, -_.:@"))?)
-        }
+        Some(text) => Some(
+            text.parse()
+                .map_err(|_| bad_header("x-session-id", "1 to 128 letters, digits, -_.:@"))?,
+        ),
         None => None,
     };
     let idempotency_key = match header(req, "idempotency-key") {
         Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
-            return Err(bad("idempotency-key", "1 to 256 bytes"));
+            return Err(bad_header("idempotency-key", "1 to 256 bytes"));
         }
         key => key.map(str::to_owned),
     };
-    let deadline = match header(req, "x-request-timeout-ms").map(str::parse) {
+    let timeout = match header(req, "x-request-timeout-ms").map(str::parse) {
         Some(Ok(Millis(0))) | Some(Err(_)) => {
-            return Err(bad("x-request-timeout-ms", "a number of milliseconds above 0"));
+            return Err(bad_header("x-request-timeout-ms", "a number of milliseconds above 0"));
         }
-        Some(Ok(deadline)) => deadline.min(limits.max_deadline_ms),
+        Some(Ok(timeout)) => timeout.min(limits.max_deadline_ms),
         None => limits.default_deadline_ms,
     };
     let priority = match header(req, "x-priority").map(str::parse::<u8>) {
         Some(Ok(priority)) if priority <= LOWEST_PRIORITY => priority,
-        Some(_) => return Err(bad("x-priority", "0 (most urgent) to 9")),
+        Some(_) => return Err(bad_header("x-priority", "0 (most urgent) to 9")),
         None => DEFAULT_PRIORITY,
     };
     let class = header(req, "x-request-class").unwrap_or(DEFAULT_CLASS).to_owned();
-    Ok(Caller { customer, session, idempotency_key, deadline, priority, class })
+    Ok(Caller { customer, session, idempotency_key, timeout, priority, class })
 }
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -9,25 +9,25 @@
 use serde_json::Value;
 use smol::Timer;
 
-use super::answer::{Failed, error_body};
-use super::attempt::{Answering, AttemptFailed, Piece, begin};
+use super::attempt::{AttemptError, ResponsePart, ResponseStream, start_run};
 use super::auth::Caller;
-use super::context::{Entry, UnderWay};
-use super::decisions::Trace;
-use super::hints::prefix_of;
-use super::pick::{Place, Tried, pick_backend};
-use super::quality::{is_sampled, judge};
-use super::sessions::version_of;
+use super::context::{Entry, InFlightGuard};
+use super::decisions::DecisionTrace;
+use super::hints::prefix_hash;
+use super::pick::{BackendTarget, TriedBackends, pick_backend};
+use super::quality::{is_sampled, rate_response};
+use super::response::{RequestError, error_body};
+use super::sessions::session_version;
 use super::sides::SideLink;
 use crate::billing::Held;
 use crate::clock::span;
 use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
 
 /// Bytes of a streamed answer that are kept for rating it.
-const RATED_BYTES: usize = 64 * 1024;
+const MAX_RATED_BYTES: usize = 64 * 1024;
 
 /// Tokens that are expected of a request that names no maximum.
-const DEFAULT_TOKENS: u64 = 256;
+const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
 /// Characters of a prompt that make one token, roughly.
 const CHARS_PER_TOKEN: u64 = 4;
@@ -36,25 +36,25 @@
 const MAX_REPLANS: u32 = 3;
 
 /// Pause between looks for a connection that takes the place of a lost one.
-const RECONNECT_POLL: Millis = Millis(10);
+const RECONNECT_POLL_INTERVAL: Millis = Millis(10);
 
 /// Longest wait for the records that a side had and this entry had not.
-const CATCH_UP: Millis = Millis(1_000);
+const CATCH_UP_TIMEOUT: Millis = Millis(1_000);
 
 /// A chat request as far as the router reads it.
 #[derive(Clone, Debug)]
 pub(crate) struct ChatRequest {
-    pub(crate) name: String,
+    pub(crate) model_name: String,
     pub(crate) stream: bool,
     prompt: String,
-    work: u64,
+    work_tokens: u64,
     body: Vec<u8>,
 }
 
 impl ChatRequest {
     /// Reads a request's body.
-    pub(crate) fn parse(body: Vec<u8>) -> Result<Self, Failed> {
-        let bad = |what: String| Failed::new(ErrorKind::BadRequest, what);
+    pub(crate) fn parse(body: Vec<u8>) -> Result<Self, RequestError> {
+        let bad = |what: String| RequestError::new(ErrorKind::BadRequest, what);
         let value: Value = serde_json::from_slice(&body).map_err(|e| bad(format!("body: {e}")))?;
         let name =
             value["model"].as_str().ok_or_else(|| bad("model: a string is needed".into()))?;
@@ -69,156 +69,175 @@
         };
         let contents = messages.iter().filter_map(|m| m["content"].as_str());
         let prompt = contents.collect::<Vec<_>>().join("\n");
-        let answer = value["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
-        let work = prompt.len() as u64 / CHARS_PER_TOKEN + answer;
-        Ok(Self { name: name.to_owned(), stream, prompt, work, body })
+        let answer = value["max_tokens"].as_u64().unwrap_or(DEFAULT_ANSWER_TOKENS);
+        let work_tokens = prompt.len() as u64 / CHARS_PER_TOKEN + answer;
+        Ok(Self { model_name: name.to_owned(), stream, prompt, work_tokens, body })
     }
 }
 
 /// A chat request on its way.
-pub(crate) struct Chat {
+pub(crate) struct ChatRun {
     pub(crate) entry: Arc<Entry>,
     pub(crate) caller: Caller,
     pub(crate) request: RequestId,
     pub(crate) req: ChatRequest,
     pub(crate) target: String,
-    pub(crate) trace: Trace,
+    pub(crate) trace: DecisionTrace,
     pub(crate) deadline: Millis,
 }
 
 /// The answer, and what its head tells.
-pub(crate) struct Answered {
+pub(crate) struct ChatResponse {
     pub(crate) res: Response,
     pub(crate) version: VersionName,
     pub(crate) moved_from: Option<VersionName>,
 }
 
 /// The versions of a request, in order.
-struct Chosen {
+struct VersionPlan {
     steps: Vec<VersionName>,
-    target: Option<PerMille>,
+    quality_target: Option<PerMille>,
     moved_from: Option<VersionName>,
     offset: Offset,
 }
 
 /// What was spent on a request so far, and where it has been.
-struct Spent {
+struct RunProgress {
     attempts: u32,
     usage: Usage,
-    tried: Tried,
+    tried: TriedBackends,
     /// What all failed attempts together say: the last may not have run, and an earlier one have.
-    run: RunState,
+    run_state: RunState,
 }
 
-impl Chat {
+impl ChatRun {
     fn config(&self) -> Arc<Config> {
-        self.entry.quality.overlay(self.entry.daemon.store.current())
+        self.entry.quality.effective_config(self.entry.daemon.store.current())
     }
 
     fn step(&self, what: &'static str, detail: impl Into<String>) {
         self.trace.step(self.entry.daemon.now(), what, detail);
     }
 
-    async fn choose(&self) -> Result<Chosen, Failed> {
+    async fn plan_versions(&self) -> Result<VersionPlan, RequestError> {
         let config = self.config();
         let session = self.caller.session.as_ref();
         let who = session.map_or_else(|| self.request.to_string(), ToString::to_string);
         let quality =
             |v: &VersionName, spec: &_| self.entry.quality.lower_bound(v, spec, &self.caller.class);
-        let planned = plan(&config, &self.caller.customer, session, &self.req.name, &who, quality);
-        let planned = planned.map_err(|denied| Failed::new(denied.kind, denied.why));
-        let is_version = self.req.name.parse().is_ok_and(|v| config.version(&v).is_some());
+        let planned =
+            plan(&config, &self.caller.customer, session, &self.req.model_name, &who, quality);
+        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.why));
+        let is_version = self.req.model_name.parse().is_ok_and(|v| config.version(&v).is_some());
         let offset = config.offset;
         match session {
             Some(session) if !is_version => {
                 let proposed = planned.map(|mut plan| plan.steps.remove(0));
-                let (entry, name) = (&self.entry, &self.req.name);
-                let kept =
-                    version_of(entry, &config, &self.caller, session, name, proposed).await?;
-                self.step("session", format!("keeps {}", kept.version));
-                Ok(Chosen {
-                    steps: vec![kept.version],
-                    target: None,
-                    moved_from: kept.moved_from,
+                let (entry, name) = (&self.entry, &self.req.model_name);
+                let pinned =
+                    session_version(entry, &config, &self.caller, session, name, proposed).await?;
+                self.step("session", format!("keeps {}", pinned.version));
+                Ok(VersionPlan {
+                    steps: vec![pinned.version],
+                    quality_target: None,
+                    moved_from: pinned.moved_from,
                     offset,
                 })
             }
             _ => {
                 let plan = planned?;
-                Ok(Chosen { steps: plan.steps, target: plan.target, moved_from: None, offset })
+                Ok(VersionPlan {
+                    steps: plan.steps,
+                    quality_target: plan.target,
+                    moved_from: None,
+                    offset,
+                })
             }
         }
     }
 
     /// Answers the request.
-    pub(crate) async fn answer(self: &Arc<Self>, under_way: UnderWay) -> Result<Answered, Failed> {
+    pub(crate) async fn execute(
+        self: &Arc<Self>,
+        in_flight: InFlightGuard,
+    ) -> Result<ChatResponse, RequestError> {
         if !self.entry.bills.has_room() {
             return Err(ErrorKind::BacklogFull.into());
         }
-        let mut spent = Spent {
+        let mut progress = RunProgress {
             attempts: 0,
             usage: Usage::default(),
-            tried: Tried::new(),
-            run: RunState::NotRun,
+            tried: TriedBackends::new(),
+            run_state: RunState::NotRun,
         };
         let mut replans = 0;
         loop {
-            let chosen = Box::pin(self.choose()).await?;
-            let names: Vec<_> = chosen.steps.iter().map(ToString::to_string).collect();
-            self.step("versions", format!("{} at offset {}", names.join(", "), chosen.offset));
-            match Box::pin(self.run_steps(&chosen, &mut spent)).await {
-                Ok((version, begun)) => {
-                    let res = self.deliver(&version, begun, under_way);
-                    return Ok(Answered { res, version, moved_from: chosen.moved_from });
+            let version_plan = Box::pin(self.plan_versions()).await?;
+            let names: Vec<_> = version_plan.steps.iter().map(ToString::to_string).collect();
+            self.step(
+                "versions",
+                format!("{} at offset {}", names.join(", "), version_plan.offset),
+            );
+            match Box::pin(self.run_plan(&version_plan, &mut progress)).await {
+                Ok((version, started)) => {
+                    let res = self.build_response(&version, started, in_flight);
+                    return Ok(ChatResponse { res, version, moved_from: version_plan.moved_from });
                 }
-                Err(e) if is_stale(&e, chosen.offset) && replans < MAX_REPLANS => {
+                Err(e) if is_stale(&e, version_plan.offset) && replans < MAX_REPLANS => {
                     replans += 1;
                     let offset = e.side_offset;
                     self.step("stale", format!("the side is at offset {offset}"));
-                    self.entry.daemon.store.reaches(offset, CATCH_UP).await;
+                    self.entry.daemon.store.reaches(offset, CATCH_UP_TIMEOUT).await;
+                }
+                Err(e) => {
+                    return Err(RequestError {
+                        run_state: progress.run_state.and(e.error.run_state),
+                        ..e.error
+                    });
                 }
-                Err(e) => return Err(Failed { run: spent.run.and(e.failed.run), ..e.failed }),
             }
         }
     }
 
     /// Tries the steps of a plan: each answer but the last is judged before it is given.
-    async fn run_steps(
+    async fn run_plan(
         self: &Arc<Self>,
-        chosen: &Chosen,
-        spent: &mut Spent,
-    ) -> Result<(VersionName, Begun), AttemptFailed> {
-        let judged = chosen
-            .target
+        version_plan: &VersionPlan,
+        progress: &mut RunProgress,
+    ) -> Result<(VersionName, StartedResponse), AttemptError> {
+        let quality_target = version_plan
+            .quality_target
             .filter(|_| !self.req.stream && self.entry.settings.rating.address.is_some());
         let mut failure = None;
-        for (i, version) in chosen.steps.iter().enumerate() {
-            let is_last = i + 1 == chosen.steps.len();
-            let begun = match self.run_version(version, chosen.offset, spent).await {
-                Ok(begun) => begun,
-                Err(e) if !is_last && e.failed.kind == ErrorKind::NoBackend => {
-                    self.step("step_failed", format!("{version}: {}", e.failed.kind));
+        for (i, version) in version_plan.steps.iter().enumerate() {
+            let is_last = i + 1 == version_plan.steps.len();
+            let started = match self.run_version(version, version_plan.offset, progress).await {
+                Ok(started) => started,
+                Err(e) if !is_last && e.error.kind == ErrorKind::NoBackend => {
+                    self.step("step_failed", format!("{version}: {}", e.error.kind));
                     failure = Some(e);
                     continue;
                 }
                 Err(e) => return Err(e),
             };
-            let (target, body, end) = match (judged, &begun) {
-                (Some(target), Begun::Whole { body, end, .. }) if !is_last => (target, body, end),
-                _ => return Ok((version.clone(), begun)),
+            let (target, body, end) = match (quality_target, &started) {
+                (Some(target), StartedResponse::Whole { body, end, .. }) if !is_last => {
+                    (target, body, end)
+                }
+                _ => return Ok((version.clone(), started)),
             };
             let text = String::from_utf8_lossy(body);
-            let score = judge(&self.entry, version, &self.caller.class, &text).await;
+            let score = rate_response(&self.entry, version, &self.caller.class, &text).await;
             self.step("judged", format!("{version}: {score:?}, target {target}"));
             match score {
                 Some(score) if score < target => {
-                    spent.usage = end.usage;
-                    spent.run = RunState::Ran;
+                    progress.usage = end.usage;
+                    progress.run_state = RunState::Ran;
                 }
-                _ => return Ok((version.clone(), begun)),
+                _ => return Ok((version.clone(), started)),
             }
         }
-        Err(failure.unwrap_or_else(|| Failed::from(ErrorKind::NoBackend).into()))
+        Err(failure.unwrap_or_else(|| RequestError::from(ErrorKind::NoBackend).into()))
     }
 
     /// Runs one version, at another backend server after a failure that allows it.
@@ -226,49 +245,58 @@
         self: &Arc<Self>,
         version: &VersionName,
         offset: Offset,
-        spent: &mut Spent,
-    ) -> Result<Begun, AttemptFailed> {
-        let mut tries = 0;
+        progress: &mut RunProgress,
+    ) -> Result<StartedResponse, AttemptError> {
+        let mut version_attempts = 0;
         loop {
-            let (link, backend) = self.pick(version, &spent.tried).ok_or_else(|| {
-                Failed::new(ErrorKind::NoBackend, format!("none has {version} loaded"))
+            let (link, backend) = self.pick(version, &progress.tried).ok_or_else(|| {
+                RequestError::new(ErrorKind::NoBackend, format!("none has {version} loaded"))
             })?;
-            spent.attempts += 1;
-            tries += 1;
-            spent.tried.insert((link.conn.stable_id(), backend.clone()));
+            progress.attempts += 1;
+            version_attempts += 1;
+            progress.tried.insert((link.conn.stable_id(), backend.clone()));
             self.step(
                 "attempt",
-                format!("{} {version} at {}/{backend}", spent.attempts, link.host),
+                format!("{} {version} at {}/{backend}", progress.attempts, link.host),
             );
-            let call = self.call(version, &backend, offset, spent);
-            let failed = match self.run_once(&link, call).await {
-                Ok(begun) => {
-                    let prefix = prefix_of(version, &self.req.prompt);
+            let call = self.run_call(version, &backend, offset, progress);
+            let attempt_error = match self.run_attempt(&link, call).await {
+                Ok(started) => {
+                    let prefix = prefix_hash(version, &self.req.prompt);
                     let now = self.entry.daemon.now();
-                    self.entry.hints.note(prefix, &link.host, &backend, now);
-                    return Ok(begun);
+                    self.entry.hints.record(prefix, &link.host, &backend, now);
+                    return Ok(started);
                 }
                 Err(e) => e,
             };
-            spent.run = spent.run.and(failed.failed.run);
-            let (kind, why) = (failed.failed.kind, failed.failed.why.clone());
-            self.step("attempt_failed", format!("{kind} ({}): {why}", failed.failed.run));
-            let again = is_worth_another(kind) && tries < self.entry.settings.retry.max_attempts;
-            if !again || !self.entry.try_retry() {
-                return Err(failed);
+            progress.run_state = progress.run_state.and(attempt_error.error.run_state);
+            let (kind, why) = (attempt_error.error.kind, attempt_error.error.detail.clone());
+            self.step(
+                "attempt_failed",
+                format!("{kind} ({}): {why}", attempt_error.error.run_state),
+            );
+            let may_retry =
+                is_retryable(kind) && version_attempts < self.entry.settings.retry.max_attempts;
+            if !may_retry || !self.entry.try_retry() {
+                return Err(attempt_error);
             }
-            if !self.has_another(version, &spent.tried, kind).await {
-                return Err(failed);
+            if !self.has_untried_backend(version, &progress.tried, kind).await {
+                return Err(attempt_error);
             }
         }
     }
 
     /// Says whether another backend server is left. After a lost connection it waits a moment for
     /// the one that takes its place, and for what the side tells on it.
-    async fn has_another(&self, version: &VersionName, tried: &Tried, kind: ErrorKind) -> bool {
+    async fn has_untried_backend(
+        &self,
+        version: &VersionName,
+        tried: &TriedBackends,
+        kind: ErrorKind,
+    ) -> bool {
         let found = async {
             while self.pick(version, tried).is_none() {
-                Timer::after(span(RECONNECT_POLL)).await;
+                Timer::after(span(RECONNECT_POLL_INTERVAL)).await;
             }
         };
         match kind {
@@ -280,17 +308,20 @@
         }
     }
 
-    async fn run_once(
+    async fn run_attempt(
         self: &Arc<Self>,
         link: &Arc<SideLink>,
         call: RunCall,
-    ) -> Result<Begun, AttemptFailed> {
-        let (head, mut answering) = begin(&self.entry, link, call).await?;
+    ) -> Result<StartedResponse, AttemptError> {
+        let (head, mut response_stream) = start_run(&self.entry, link, call).await?;
         if self.req.stream && head.status == u16::from(StatusCode::Ok) {
-            return Ok(Begun::Stream { head, answering: Box::new(answering) });
+            return Ok(StartedResponse::Stream {
+                head,
+                response_stream: Box::new(response_stream),
+            });
         }
-        let (body, end) = answering.whole(crate::wire::MAX_FRAME).await?;
-        Ok(Begun::Whole { head, body, end, link: link.clone() })
+        let (body, end) = response_stream.read_all(crate::wire::MAX_FRAME).await?;
+        Ok(StartedResponse::Whole { head, body, end, link: link.clone() })
     }
 
     fn hold_bill(&self, end: &RunEnd, link: &SideLink) {
@@ -299,10 +330,16 @@
         }
     }
 
-    fn call(&self, version: &VersionName, backend: &str, offset: Offset, spent: &Spent) -> RunCall {
+    fn run_call(
+        &self,
+        version: &VersionName,
+        backend: &str,
+        offset: Offset,
+        progress: &RunProgress,
+    ) -> RunCall {
         let key = self.caller.idempotency_key.as_deref();
         RunCall {
-            head: CallHead { request: self.request, attempt: spent.attempts },
+            head: CallHead { request: self.request, attempt: progress.attempts },
             config: crate::wire::ConfigMark { offset, ..self.entry.daemon.store.mark() },
             customer: self.caller.customer.clone(),
             session: self.caller.session.clone(),
@@ -316,41 +353,49 @@
             stream: self.req.stream,
             deadline: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: self.req.work,
+            work: self.req.work_tokens,
             claim: None,
             bill: Some(Bill::id_for(&self.caller.customer, key, self.request)),
-            spent: spent.usage,
+            spent: progress.usage,
         }
     }
 
     /// Picks a backend server that has the version and was not tried.
-    fn pick(&self, version: &VersionName, tried: &Tried) -> Option<Place> {
-        let prefix = prefix_of(version, &self.req.prompt);
+    fn pick(&self, version: &VersionName, tried: &TriedBackends) -> Option<BackendTarget> {
+        let prefix = prefix_hash(version, &self.req.prompt);
         let hints = &self.entry.hints;
         let now = self.entry.daemon.now();
-        let serves = |load: &Load| load.versions.contains(version);
-        pick_backend(&self.entry, tried, serves, |host, name| hints.cached(prefix, host, name, now))
+        let accepts = |load: &Load| load.versions.contains(version);
+        pick_backend(&self.entry, tried, accepts, |host, name| {
+            hints.cached_share(prefix, host, name, now)
+        })
     }
 
     /// Makes the answer to the caller.
-    fn deliver(
+    fn build_response(
         self: &Arc<Self>,
         version: &VersionName,
-        begun: Begun,
-        under_way: UnderWay,
+        started: StartedResponse,
+        in_flight: InFlightGuard,
     ) -> Response {
-        let (head, body) = match begun {
-            Begun::Stream { head, answering } => {
+        let (head, body) = match started {
+            StartedResponse::Stream { head, response_stream } => {
                 let (tx, body) = channel_body();
-                smol::spawn(self.clone().pump(version.clone(), *answering, tx, under_way)).detach();
+                smol::spawn(self.clone().forward_stream(
+                    version.clone(),
+                    *response_stream,
+                    tx,
+                    in_flight,
+                ))
+                .detach();
                 (head, body)
             }
-            Begun::Whole { head, body, end, link } => {
+            StartedResponse::Whole { head, body, end, link } => {
                 // Not before: an answer that is judged and not given leaves its bill to the next.
                 self.hold_bill(&end, &link);
                 if head.status == u16::from(StatusCode::Ok) && is_sampled(&self.entry, version) {
                     let text = String::from_utf8_lossy(&body).into_owned();
-                    self.clone().judge_later(version.clone(), text);
+                    self.clone().spawn_rating(version.clone(), text);
                 }
                 (head, body.into())
             }
@@ -364,68 +409,72 @@
         res
     }
 
-    fn judge_later(self: Arc<Self>, version: VersionName, text: String) {
-        let judged = async move { judge(&self.entry, &version, &self.caller.class, &text).await };
-        smol::spawn(judged).detach();
+    fn spawn_rating(self: Arc<Self>, version: VersionName, text: String) {
+        let rating =
+            async move { rate_response(&self.entry, &version, &self.caller.class, &text).await };
+        smol::spawn(rating).detach();
     }
 
     /// Passes a streamed answer on. One that breaks off ends with an error event and a cut body:
     /// the caller must not take it for whole, and it is never continued from another attempt.
-    async fn pump(
+    async fn forward_stream(
         self: Arc<Self>,
         version: VersionName,
-        mut answering: Answering,
+        mut response_stream: ResponseStream,
         tx: BodySender,
-        under_way: UnderWay,
+        in_flight: InFlightGuard,
     ) {
         let mut text = Vec::new();
         let is_rated = is_sampled(&self.entry, &version);
         let left = self.deadline.since(self.entry.daemon.now());
-        let pumped = async {
+        let forwarded = async {
             loop {
-                match answering.next().await? {
-                    Piece::Chunk(chunk) => {
-                        if is_rated && text.len() < RATED_BYTES {
+                match response_stream.next_part().await? {
+                    ResponsePart::Chunk(chunk) => {
+                        if is_rated && text.len() < MAX_RATED_BYTES {
                             text.extend_from_slice(&chunk);
                         }
                         if tx.send(chunk).await.is_err() {
-                            return Err(Failed::new(ErrorKind::BackendLost, "the caller has gone"));
+                            return Err(RequestError::new(
+                                ErrorKind::BackendLost,
+                                "the caller has gone",
+                            ));
                         }
                     }
-                    Piece::End(end) => {
-                        self.hold_bill(&end, answering.link());
+                    ResponsePart::End(end) => {
+                        self.hold_bill(&end, response_stream.link());
                         return Ok(());
                     }
                 }
             }
         };
-        let gone = async {
+        let disconnected = async {
             tx.closed().await;
-            Err(Failed::new(ErrorKind::BackendLost, "the caller has gone"))
+            Err(RequestError::new(ErrorKind::BackendLost, "the caller has gone"))
         };
-        let pumped = crate::clock::within(left, smol::future::or(pumped, gone)).await;
-        match pumped.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into())) {
+        let forwarded = crate::clock::within(left, smol::future::or(forwarded, disconnected)).await;
+        match forwarded.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into())) {
             Ok(()) => {
                 self.step("stream_done", version.to_string());
                 if is_rated {
                     let text = String::from_utf8_lossy(&text).into_owned();
-                    self.clone().judge_later(version, text);
+                    self.clone().spawn_rating(version, text);
                 }
             }
-            Err(failed) => {
-                self.step("stream_cut", format!("{}: {}", failed.kind, failed.why));
+            Err(error) => {
+                self.step("stream_cut", format!("{}: {}", error.kind, error.detail));
                 self.entry.daemon.telemetry.count("stream.cut", 1);
-                tx.send(format!("data: {}\n\n", error_body(&failed)).into_bytes()).await.ok();
-                tx.abort(failed.kind.row().code).await;
+                tx.send(format!("data: {}\n\n", error_body(&error)).into_bytes()).await.ok();
+                tx.abort(error.kind.row().code).await;
             }
         }
-        drop(under_way);
+        drop(in_flight);
     }
 }
 
 /// An answer that has begun.
-enum Begun {
-    Stream { head: RunHead, answering: Box<Answering> },
+enum StartedResponse {
+    Stream { head: RunHead, response_stream: Box<ResponseStream> },
     Whole { head: RunHead, body: Vec<u8>, end: Box<RunEnd>, link: Arc<SideLink> },
 }
 
@@ -438,16 +487,16 @@
 }
 
 /// Says whether a side refused because it knows a newer configuration than the plan was made from.
-fn is_stale(e: &AttemptFailed, planned_at: Offset) -> bool {
-    let kind = e.failed.kind;
+fn is_stale(e: &AttemptError, planned_at: Offset) -> bool {
+    let kind = e.error.kind;
     matches!(kind, ErrorKind::NotAllowed | ErrorKind::UnknownModel | ErrorKind::Withdrawn)
-        && e.failed.run == RunState::NotRun
+        && e.error.run_state == RunState::NotRun
         && e.side_offset > planned_at
 }
 
 /// Says whether another backend server may do better. Chat requests may run twice: only one
 /// answer is given and one bill counts.
-fn is_worth_another(kind: ErrorKind) -> bool {
+fn is_retryable(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::BackendFailed
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -7,9 +7,9 @@
     Claim, ClaimFold, ClaimId, ErrorKind, KeyHash, Millis, Offset, RequestId, RunState, Standing,
 };
 
-use super::answer::Failed;
-use super::connections::reach;
+use super::connections::side_connection;
 use super::context::Entry;
+use super::response::RequestError;
 use super::sides::SideLink;
 use crate::peer::call;
 use crate::platform::{LogError, stream};
@@ -17,25 +17,25 @@
 
 /// Partitions of the claims. A claim is followed by a read of its partition only: with all claims
 /// in one stream, each daemon would read those of all the others.
-const PARTITIONS: u128 = 65_536;
+const PARTITION_COUNT: u128 = 65_536;
 
 /// Partitions whose fold is kept.
-const MAX_FOLDS: usize = 512;
+const MAX_CACHED_FOLDS: usize = 512;
 
-const PAGE: usize = 1000;
+const PAGE_RECORDS: usize = 1000;
 const CALL_TIMEOUT: Millis = Millis(2_000);
 
 /// How often a call whose claim was closed is claimed anew before it is given up.
-const MAX_ROUNDS: usize = 3;
+const MAX_CLAIM_ATTEMPTS: usize = 3;
 
 /// The folds of partitions that were read.
 #[derive(Debug, Default)]
-pub(crate) struct Claims(Mutex<HashMap<String, Arc<smol::lock::Mutex<ClaimFold>>>>);
+pub(crate) struct ClaimFolds(Mutex<HashMap<String, Arc<smol::lock::Mutex<ClaimFold>>>>);
 
-impl Claims {
+impl ClaimFolds {
     fn fold(&self, partition: &str) -> Arc<smol::lock::Mutex<ClaimFold>> {
         let mut folds = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if folds.len() >= MAX_FOLDS && !folds.contains_key(partition) {
+        if folds.len() >= MAX_CACHED_FOLDS && !folds.contains_key(partition) {
             folds.clear();
         }
         folds.entry(partition.to_owned()).or_default().clone()
@@ -43,16 +43,16 @@
 }
 
 fn partition_of(key: KeyHash) -> String {
-    format!("{}{}", stream::CLAIMS, key.0 % PARTITIONS)
+    format!("{}{}", stream::CLAIMS, key.0 % PARTITION_COUNT)
 }
 
 /// What to do with a call.
 #[derive(Debug)]
-pub(crate) enum Claimed {
+pub(crate) enum ClaimResult {
     /// Run it, under this claim and at the side that it names.
     Run(Claim),
     /// It ran before, with this outcome.
-    Ran { status: u16, content_type: Option<String>, body: Vec<u8> },
+    AlreadyRan { status: u16, content_type: Option<String>, body: Vec<u8> },
 }
 
 /// Claims a call for a run at one side.
@@ -61,9 +61,9 @@
     link: &SideLink,
     key: KeyHash,
     request: RequestId,
-) -> Result<Claimed, Failed> {
+) -> Result<ClaimResult, RequestError> {
     let mut replaces = None;
-    for _ in 0..MAX_ROUNDS {
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
         let claim = Claim {
             id: new_claim_id(),
             key,
@@ -73,22 +73,22 @@
             replaces,
         };
         match append_and_read(entry, &claim).await? {
-            Standing::Holds => return Ok(Claimed::Run(claim)),
-            Standing::Absent => return Err(log_away("the claim is not in the log")),
-            Standing::Behind(holder) => match settle(entry, &holder).await? {
-                Settled::Ran(ran) => return Ok(ran),
-                Settled::Closed(id) => replaces = Some(id),
+            Standing::Holds => return Ok(ClaimResult::Run(claim)),
+            Standing::Absent => return Err(log_unavailable("the claim is not in the log")),
+            Standing::Behind(holder) => match resolve_holder(entry, &holder).await? {
+                HolderOutcome::Ran(ran) => return Ok(ran),
+                HolderOutcome::Closed(id) => replaces = Some(id),
             },
         }
     }
-    Err(Failed {
-        run: RunState::NotRun,
-        ..Failed::new(ErrorKind::StillRunning, "claimed by others")
+    Err(RequestError {
+        run_state: RunState::NotRun,
+        ..RequestError::new(ErrorKind::StillRunning, "claimed by others")
     })
 }
 
-fn log_away(why: impl Into<String>) -> Failed {
-    Failed::new(ErrorKind::LogAway, why)
+fn log_unavailable(detail: impl Into<String>) -> RequestError {
+    RequestError::new(ErrorKind::LogAway, detail)
 }
 
 /// Appends a claim and reads its partition up to it.
@@ -96,7 +96,7 @@
 /// An append without a clear answer is looked for by its id. If it is not there it may still come;
 /// the call is refused as not run, and stays so: this entry never runs it, and the side that the
 /// claim names closes it when a repeat of the call asks.
-async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<Standing, Failed> {
+async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<Standing, RequestError> {
     let partition = partition_of(claim.key);
     let json = serde_json::to_vec(claim).unwrap_or_default();
     let up_to = match entry.daemon.log.append(&partition, json).await {
@@ -107,7 +107,7 @@
             entry.daemon.telemetry.info("claim_answer_lost", &pairs);
             None
         }
-        Err(e) => return Err(log_away(e.to_string())),
+        Err(e) => return Err(log_unavailable(e.to_string())),
     };
     let fold = entry.claims.fold(&partition);
     let mut fold = fold.lock().await;
@@ -121,14 +121,14 @@
     partition: &str,
     fold: &mut ClaimFold,
     up_to: Option<Offset>,
-) -> Result<(), Failed> {
+) -> Result<(), RequestError> {
     loop {
         let from = Offset(fold.offset().0 + 1);
         if up_to.is_some_and(|up_to| from > up_to) {
             return Ok(());
         }
-        let page = entry.daemon.log.read(partition, from, PAGE, Millis(0)).await;
-        let page = page.map_err(|e| log_away(e.to_string()))?;
+        let page = entry.daemon.log.read(partition, from, PAGE_RECORDS, Millis(0)).await;
+        let page = page.map_err(|e| log_unavailable(e.to_string()))?;
         for (offset, raw) in &page.records {
             fold.apply(*offset, raw);
         }
@@ -138,19 +138,19 @@
     }
 }
 
-enum Settled {
-    Ran(Claimed),
+enum HolderOutcome {
+    Ran(ClaimResult),
     /// The holder's claim will never run.
     Closed(ClaimId),
 }
 
 /// Asks the side that the holder's claim names what became of it, and closes it if it never came.
-async fn settle(entry: &Entry, holder: &Claim) -> Result<Settled, Failed> {
-    let unknown = |why: &str| Failed::new(ErrorKind::OutcomeUnknown, why);
-    let reached = reach(entry, &holder.host).await;
-    let reached =
-        reached.ok_or_else(|| unknown("the side that may have run it is out of reach"))?;
-    let reply = call(&reached.conn, &Call::Outcome(holder.clone()), CALL_TIMEOUT).await;
+async fn resolve_holder(entry: &Entry, holder: &Claim) -> Result<HolderOutcome, RequestError> {
+    let unknown = |why: &str| RequestError::new(ErrorKind::OutcomeUnknown, why);
+    let connection = side_connection(entry, &holder.host).await;
+    let connection =
+        connection.ok_or_else(|| unknown("the side that may have run it is out of reach"))?;
+    let reply = call(&connection.conn, &Call::Outcome(holder.clone()), CALL_TIMEOUT).await;
     let outcome = match reply {
         Ok(Reply::Outcome(outcome)) => outcome,
         _ => return Err(unknown("the side that may have run it does not answer")),
@@ -161,18 +161,20 @@
     );
     match outcome {
         Outcome::Done { status, content_type, body: Some(body) } => {
-            Ok(Settled::Ran(Claimed::Ran { status, content_type, body }))
+            Ok(HolderOutcome::Ran(ClaimResult::AlreadyRan { status, content_type, body }))
         }
-        Outcome::Done { .. } => Err(Failed {
-            run: RunState::Ran,
+        Outcome::Done { .. } => Err(RequestError {
+            run_state: RunState::Ran,
             ..unknown("it ran, and its answer is no longer kept")
         }),
-        Outcome::Running => Err(Failed::new(ErrorKind::StillRunning, "")),
+        Outcome::Running => Err(RequestError::new(ErrorKind::StillRunning, "")),
         Outcome::Unknown => Err(unknown("")),
         Outcome::NotSeen => {
-            match call(&reached.conn, &Call::Close(holder.clone()), CALL_TIMEOUT).await {
-                Ok(Reply::Closed(Closed::Never)) => Ok(Settled::Closed(holder.id)),
-                Ok(Reply::Closed(Closed::TooLate)) => Err(Failed::new(ErrorKind::StillRunning, "")),
+            match call(&connection.conn, &Call::Close(holder.clone()), CALL_TIMEOUT).await {
+                Ok(Reply::Closed(Closed::Never)) => Ok(HolderOutcome::Closed(holder.id)),
+                Ok(Reply::Closed(Closed::TooLate)) => {
+                    Err(RequestError::new(ErrorKind::StillRunning, ""))
+                }
                 _ => Err(unknown("")),
             }
         }
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -8,7 +8,7 @@
 use smol::Timer;
 
 use super::context::Entry;
-use super::sessions::sweep;
+use super::sessions::replicate_pins;
 use super::sides::{SideLink, is_live};
 use crate::billing::Held;
 use crate::clock::{jittered, span};
@@ -17,29 +17,29 @@
 use crate::wire::{Control, FrameReader, FrameWriter};
 
 /// Pause between looks whether a replaced connection is needed still.
-const UNNEEDED_POLL: Millis = Millis(200);
+const REPLACED_POLL_INTERVAL: Millis = Millis(200);
 
-const FIRST_BACKOFF: Millis = Millis(100);
+const INITIAL_BACKOFF: Millis = Millis(100);
 
 /// Seed of the ranking that gives all entries the same keepers.
 const KEEPER_SEED: &str = "keepers";
 
 /// A connection for a few calls; one that was opened for them ends with this.
-pub(crate) struct Reached {
+pub(crate) struct SideConnection {
     pub(crate) conn: Connection,
     _endpoint: Option<Endpoint>,
 }
 
 /// Returns a connection to a side, be it among this entry's sides or not.
-pub(crate) async fn reach(entry: &Entry, host: &HostId) -> Option<Reached> {
+pub(crate) async fn side_connection(entry: &Entry, host: &HostId) -> Option<SideConnection> {
     if let Some(link) = entry.sides.get(host) {
-        return Some(Reached { conn: link.conn.clone(), _endpoint: None });
+        return Some(SideConnection { conn: link.conn.clone(), _endpoint: None });
     }
     let hosts = entry.daemon.hosts.current();
     let record = hosts.iter().find(|h| h.host == *host && h.is_side())?;
     let timeout = entry.settings.peers.connect_timeout_ms;
-    let (endpoint, conn) = dial(&entry.client, record.address, timeout).await.ok()?;
-    Some(Reached { conn, _endpoint: Some(endpoint) })
+    let (endpoint, conn) = dial(&entry.client_config, record.address, timeout).await.ok()?;
+    Some(SideConnection { conn, _endpoint: Some(endpoint) })
 }
 
 /// Keeps connections to this entry's sides, for ever.
@@ -56,7 +56,7 @@
         });
         for record in hosts.iter().filter(|h| wanted.contains(&h.host)) {
             connecting.entry(record.host.clone()).or_insert_with(|| {
-                let task = smol::spawn(stay_connected(entry.clone(), record.clone()));
+                let task = smol::spawn(keep_side_connected(entry.clone(), record.clone()));
                 (record.clone(), task)
             });
         }
@@ -76,25 +76,25 @@
     let mut wanted = sides_of_entry(own, &entries, &sides, peers.fan_in, peers.per_pool);
     wanted.extend(keepers.iter().map(|m| m.host.clone()));
     if entry.sides.set_keepers(keepers) {
-        smol::spawn(sweep(entry.clone())).detach();
+        smol::spawn(replicate_pins(entry.clone())).detach();
     }
     wanted
 }
 
 /// Connects to a side again and again, each time after a longer pause, with jitter: sixty that
 /// begin at once must not come back in step.
-async fn stay_connected(entry: Arc<Entry>, record: HostRecord) {
-    let mut backoff = FIRST_BACKOFF;
-    let mut next: Option<Connected> = None;
+async fn keep_side_connected(entry: Arc<Entry>, record: HostRecord) {
+    let mut backoff = INITIAL_BACKOFF;
+    let mut replacement: Option<Connected> = None;
     loop {
-        let connected = match next.take() {
+        let connected = match replacement.take() {
             Some(connected) => Ok(connected),
-            None => open(&entry, &record).await,
+            None => open_connection(&entry, &record).await,
         };
         match connected {
             Ok(connected) => {
-                backoff = FIRST_BACKOFF;
-                next = hold(&entry, &record, connected).await;
+                backoff = INITIAL_BACKOFF;
+                replacement = run_connection(&entry, &record, connected).await;
             }
             Err(why) => {
                 entry.daemon.telemetry.count("side.connect_failed", 1);
@@ -104,18 +104,19 @@
                     .info("side_unreachable", &[("host", &record.host), ("why", &why)]);
             }
         }
-        if next.is_none() {
+        if replacement.is_none() {
             Timer::after(jittered(backoff)).await;
             backoff = Millis((backoff.0 * 2).min(entry.settings.peers.max_backoff_ms.0));
         }
     }
 }
 
-async fn open(entry: &Entry, record: &HostRecord) -> Result<Connected, String> {
+async fn open_connection(entry: &Entry, record: &HostRecord) -> Result<Connected, String> {
     let timeout = entry.settings.peers.connect_timeout_ms;
     let hello = entry.daemon.hello();
-    let connected =
-        connect(&entry.client, record.address, timeout, hello).await.map_err(|e| e.to_string())?;
+    let connected = connect(&entry.client_config, record.address, timeout, hello)
+        .await
+        .map_err(|e| e.to_string())?;
     match connected.hello.host == record.host {
         true => Ok(connected),
         // The address went to another host, and the list is behind.
@@ -124,7 +125,11 @@
 }
 
 /// Holds a connection until it ends; returns the one that takes its place, if there is one.
-async fn hold(entry: &Arc<Entry>, record: &HostRecord, connected: Connected) -> Option<Connected> {
+async fn run_connection(
+    entry: &Arc<Entry>,
+    record: &HostRecord,
+    connected: Connected,
+) -> Option<Connected> {
     let link = Arc::new(SideLink::new(
         record.host.clone(),
         connected.hello.incarnation,
@@ -137,27 +142,27 @@
         .daemon
         .telemetry
         .info("side_connected", &[("host", &link.host), ("incarnation", &link.incarnation)]);
-    smol::spawn(sweep(entry.clone())).detach();
+    smol::spawn(replicate_pins(entry.clone())).detach();
     // It ends by itself, with the last answer on the connection.
-    smol::spawn(control(entry.clone(), link.clone(), connected.tx, connected.rx)).detach();
-    let _listed = Listed { entry: entry.clone(), link: link.clone() };
-    let dead = async {
-        link.dead(&entry.daemon).await;
+    smol::spawn(run_link_control(entry.clone(), link.clone(), connected.tx, connected.rx)).detach();
+    let _registration = LinkRegistration { entry: entry.clone(), link: link.clone() };
+    let connection_dead = async {
+        link.until_dead(&entry.daemon).await;
         None
     };
-    smol::future::or(dead, watch(entry, record, &link)).await
+    smol::future::or(connection_dead, watch_health(entry, record, &link)).await
 }
 
 /// Keeps a link among those that get new work, until it is dropped.
 ///
 /// The task that holds a link is dropped when its host is not wanted any more. Were the link not
 /// taken out then, requests would go on to a connection that nobody watches, and be lost with it.
-struct Listed {
+struct LinkRegistration {
     entry: Arc<Entry>,
     link: Arc<SideLink>,
 }
 
-impl Drop for Listed {
+impl Drop for LinkRegistration {
     fn drop(&mut self) {
         self.entry.sides.remove(&self.link);
         self.link.link.replace();
@@ -165,7 +170,7 @@
 }
 
 /// Runs the control stream of a connection until it is dead, or was replaced and is not needed.
-async fn control(
+async fn run_link_control(
     entry: Arc<Entry>,
     link: Arc<SideLink>,
     tx: FrameWriter<Control>,
@@ -173,13 +178,13 @@
 ) {
     let events = LinkEvents {
         on_beat: &|leaving, loads| {
-            if leaving && link.leave() {
+            if leaving && link.mark_leaving() {
                 entry.daemon.telemetry.info("side_leaving", &[("host", &link.host)]);
             }
-            link.note_loads(loads);
+            link.update_loads(loads);
         },
         on_confirmed: &|ids| entry.bills.forget(&ids),
-        on_hold: &|bills| take_over(&entry, bills),
+        on_hold: &|bills| store_bills(&entry, bills),
         on_held: &|_| {},
         is_leaving: &|| entry.drain.is_draining(),
         loads: &Vec::new,
@@ -190,13 +195,13 @@
             run_control(&entry.daemon, &link.link, (&peer, &link.conn), tx, rx, &events).await;
         entry.daemon.telemetry.info("side_gone", &[("host", &link.host), ("why", &why)]);
     };
-    let unneeded = async {
-        link.given_up(&entry.daemon).await;
+    let replaced_and_unused = async {
+        link.until_dead_or_replaced(&entry.daemon).await;
         while Arc::strong_count(&link) > 1 {
-            Timer::after(span(UNNEEDED_POLL)).await;
+            Timer::after(span(REPLACED_POLL_INTERVAL)).await;
         }
     };
-    smol::future::or(run, unneeded).await;
+    smol::future::or(run, replaced_and_unused).await;
     link.link.give_up();
     link.conn.close(VarInt::from_u32(0), b"over");
 }
@@ -205,22 +210,22 @@
 ///
 /// The peer may be well and only this connection dead: a new one tells the two apart sooner than
 /// any waiting. If the old one speaks again first, it stays.
-async fn watch(entry: &Entry, record: &HostRecord, link: &SideLink) -> Option<Connected> {
+async fn watch_health(entry: &Entry, record: &HostRecord, link: &SideLink) -> Option<Connected> {
     let daemon = &entry.daemon;
     loop {
         link.link.until(daemon, |health| health != Health::Live).await;
         daemon.telemetry.count("side.suspected", 1);
         daemon.telemetry.info("side_suspected", &[("host", &link.host)]);
-        let spare = open(entry, record).await;
-        match (spare, link.link.health(daemon.now())) {
+        let replacement = open_connection(entry, record).await;
+        match (replacement, link.link.health(daemon.now())) {
             (_, Health::Live) => {
                 daemon.telemetry.count("side.false_suspicion", 1);
                 daemon.telemetry.info("side_back", &[("host", &link.host)]);
             }
-            (Ok(spare), _) => {
+            (Ok(replacement), _) => {
                 link.link.replace();
                 daemon.telemetry.info("side_replaced", &[("host", &link.host)]);
-                return Some(spare);
+                return Some(replacement);
             }
             (Err(_), Health::Dead) => return None,
             (Err(_), Health::Suspect) => {
@@ -230,13 +235,13 @@
     }
 }
 
-fn take_over(entry: &Entry, bills: Vec<Bill>) -> Vec<KeyHash> {
-    let mut held = Vec::new();
+fn store_bills(entry: &Entry, bills: Vec<Bill>) -> Vec<KeyHash> {
+    let mut stored = Vec::new();
     for bill in bills {
         let id = bill.id;
         if entry.bills.hold(Held { bill, side: None }, Millis(0)).is_ok() {
-            held.push(id);
+            stored.push(id);
         }
     }
-    held
+    stored
 }
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -7,10 +7,10 @@
 use redwingfold_core::{ErrorKind, RetryBudget};
 use redwingfold_http::Drain;
 
-use super::claims::Claims;
+use super::claims::ClaimFolds;
 use super::decisions::Decisions;
 use super::hints::PrefixHints;
-use super::quality::Quality;
+use super::quality::QualityTracker;
 use super::sessions::SessionCache;
 use super::sides::Sides;
 use crate::billing::BillBox;
@@ -22,75 +22,79 @@
 pub(crate) struct Entry {
     pub(crate) daemon: Daemon,
     pub(crate) settings: EntrySettings,
-    pub(crate) client: ClientConfig,
+    pub(crate) client_config: ClientConfig,
     pub(crate) sides: Sides,
     pub(crate) bills: BillBox,
-    pub(crate) claims: Claims,
+    pub(crate) claims: ClaimFolds,
     pub(crate) sessions: SessionCache,
     pub(crate) decisions: Decisions,
     pub(crate) hints: PrefixHints,
-    pub(crate) quality: Quality,
+    pub(crate) quality: QualityTracker,
     pub(crate) drain: Drain,
-    retries: Mutex<RetryBudget>,
-    turn: AtomicUsize,
-    under_way: AtomicUsize,
+    retry_budget: Mutex<RetryBudget>,
+    round_robin_counter: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 /// Counts a request until it is dropped.
 #[derive(Debug)]
-pub(crate) struct UnderWay(Arc<Entry>);
+pub(crate) struct InFlightGuard(Arc<Entry>);
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.under_way.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl Entry {
-    pub(crate) fn new(daemon: Daemon, settings: EntrySettings, client: ClientConfig) -> Self {
+    pub(crate) fn new(
+        daemon: Daemon,
+        settings: EntrySettings,
+        client_config: ClientConfig,
+    ) -> Self {
         let retry = &settings.retry;
         let per_request = f64::from(retry.budget_per_mille) / 1000.0;
         Self {
             sides: Sides::default(),
             bills: BillBox::new(settings.batch.clone()),
-            claims: Claims::default(),
+            claims: ClaimFolds::default(),
             sessions: SessionCache::new(settings.sessions.cache),
             decisions: Decisions::new(settings.limits.decisions),
             hints: PrefixHints::default(),
-            quality: Quality::default(),
+            quality: QualityTracker::default(),
             drain: Drain::default(),
-            retries: Mutex::new(RetryBudget::new(per_request, f64::from(retry.budget_max))),
-            turn: AtomicUsize::new(0),
-            under_way: AtomicUsize::new(0),
+            retry_budget: Mutex::new(RetryBudget::new(per_request, f64::from(retry.budget_max))),
+            round_robin_counter: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             daemon,
             settings,
-            client,
+            client_config,
         }
     }
 
     /// Counts a request, within the limit.
-    pub(crate) fn begin(self: &Arc<Self>) -> Result<UnderWay, ErrorKind> {
-        let before = self.under_way.fetch_add(1, Ordering::SeqCst);
-        let under_way = UnderWay(self.clone());
-        self.retries.lock().unwrap_or_else(PoisonError::into_inner).request();
+    pub(crate) fn admit_request(self: &Arc<Self>) -> Result<InFlightGuard, ErrorKind> {
+        let before = self.in_flight.fetch_add(1, Ordering::SeqCst);
+        let in_flight = InFlightGuard(self.clone());
+        self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).request();
         match before < self.settings.limits.requests {
-            true => Ok(under_way),
+            true => Ok(in_flight),
             false => Err(ErrorKind::TooManyOpen),
         }
     }
 
     /// Returns a number that goes up by one each time.
-    pub(crate) fn next_turn(&self) -> usize {
-        self.turn.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_round_robin(&self) -> usize {
+        self.round_robin_counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    pub(crate) fn under_way(&self) -> usize {
-        self.under_way.load(Ordering::SeqCst)
+    pub(crate) fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::SeqCst)
     }
 
     /// Takes a retry out of the budget.
     pub(crate) fn try_retry(&self) -> bool {
-        let taken = self.retries.lock().unwrap_or_else(PoisonError::into_inner).try_retry();
+        let taken = self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).try_retry();
         self.daemon.telemetry.count(if taken { "retry.taken" } else { "retry.refused" }, 1);
         taken
     }
--- a/src/entry/decisions.rs
+++ b/src/entry/decisions.rs
@@ -27,16 +27,16 @@
 
 /// Adds the steps of one request.
 #[derive(Clone, Debug)]
-pub(crate) struct Trace(Arc<Mutex<Decision>>, Millis);
+pub(crate) struct DecisionTrace(Arc<Mutex<Decision>>, Millis);
 
-impl Trace {
+impl DecisionTrace {
     pub(crate) fn step(&self, now: Millis, what: &'static str, detail: impl Into<String>) {
         let mut decision = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let at = now.since(self.1);
         decision.steps.push(Step { at, what, detail: detail.into() });
     }
 
-    pub(crate) fn asked(&self, customer: &str, name: &str) {
+    pub(crate) fn set_request(&self, customer: &str, name: &str) {
         let mut decision = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         decision.customer = customer.to_owned();
         decision.asked_for = name.to_owned();
@@ -52,26 +52,26 @@
 #[derive(Debug)]
 pub(crate) struct Decisions {
     max: usize,
-    kept: Mutex<Kept>,
+    traces: Mutex<TraceTable>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    by_id: HashMap<RequestId, Trace>,
+struct TraceTable {
+    by_id: HashMap<RequestId, DecisionTrace>,
     order: VecDeque<RequestId>,
 }
 
 impl Decisions {
     pub(crate) fn new(max: usize) -> Self {
-        Self { max, kept: Mutex::default() }
+        Self { max, traces: Mutex::default() }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, TraceTable> {
+        self.traces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Begins the trace of a request; `wall` is told to people, `now` measures the steps.
-    pub(crate) fn begin(&self, request: RequestId, wall: Millis, now: Millis) -> Trace {
+    pub(crate) fn begin(&self, request: RequestId, wall: Millis, now: Millis) -> DecisionTrace {
         let decision = Decision {
             request,
             customer: String::new(),
@@ -79,19 +79,19 @@
             began: wall,
             steps: Vec::new(),
         };
-        let trace = Trace(Arc::new(Mutex::new(decision)), now);
-        let mut kept = self.lock();
-        kept.by_id.insert(request, trace.clone());
-        kept.order.push_back(request);
-        if kept.order.len() > self.max
-            && let Some(oldest) = kept.order.pop_front()
+        let trace = DecisionTrace(Arc::new(Mutex::new(decision)), now);
+        let mut traces = self.lock();
+        traces.by_id.insert(request, trace.clone());
+        traces.order.push_back(request);
+        if traces.order.len() > self.max
+            && let Some(oldest) = traces.order.pop_front()
         {
-            kept.by_id.remove(&oldest);
+            traces.by_id.remove(&oldest);
         }
         trace
     }
 
-    pub(crate) fn get(&self, request: RequestId) -> Option<Trace> {
+    pub(crate) fn get(&self, request: RequestId) -> Option<DecisionTrace> {
         self.lock().by_id.get(&request).cloned()
     }
 }
--- a/src/entry/hints.rs
+++ b/src/entry/hints.rs
@@ -9,7 +9,7 @@
 const PREFIX_CHARS: usize = 64;
 
 /// Age at which a hint is worth nothing: engines evict without telling in time.
-const MAX_AGE: Millis = Millis(60_000);
+const MAX_HINT_AGE: Millis = Millis(60_000);
 
 const MAX_HINTS: usize = 50_000;
 
@@ -21,11 +21,11 @@
 struct Hint {
     host: HostId,
     backend: String,
-    at: Millis,
+    recorded_at: Millis,
 }
 
 /// Returns what stands for the beginning of a prompt.
-pub(crate) fn prefix_of(version: &VersionName, prompt: &str) -> u64 {
+pub(crate) fn prefix_hash(version: &VersionName, prompt: &str) -> u64 {
     let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     xxhash_rust::xxh3::xxh3_64(format!("{version}\0{prefix}").as_bytes())
 }
@@ -36,23 +36,29 @@
     }
 
     /// Returns the share of the prompt that a backend server probably has cached.
-    pub(crate) fn cached(&self, prefix: u64, host: &HostId, backend: &str, now: Millis) -> f32 {
+    pub(crate) fn cached_share(
+        &self,
+        prefix: u64,
+        host: &HostId,
+        backend: &str,
+        now: Millis,
+    ) -> f32 {
         match self.lock().get(&prefix) {
             Some(hint) if hint.host == *host && hint.backend == backend => {
-                let age = now.since(hint.at).0.min(MAX_AGE.0) as f32;
-                1.0 - age / MAX_AGE.0 as f32
+                let age = now.since(hint.recorded_at).0.min(MAX_HINT_AGE.0) as f32;
+                1.0 - age / MAX_HINT_AGE.0 as f32
             }
             _ => 0.0,
         }
     }
 
-    pub(crate) fn note(&self, prefix: u64, host: &HostId, backend: &str, now: Millis) {
+    pub(crate) fn record(&self, prefix: u64, host: &HostId, backend: &str, now: Millis) {
         let mut hints = self.lock();
         if hints.len() >= MAX_HINTS {
-            hints.retain(|_, hint| now.since(hint.at) < MAX_AGE);
+            hints.retain(|_, hint| now.since(hint.recorded_at) < MAX_HINT_AGE);
         }
         if hints.len() < MAX_HINTS {
-            let hint = Hint { host: host.clone(), backend: backend.to_owned(), at: now };
+            let hint = Hint { host: host.clone(), backend: backend.to_owned(), recorded_at: now };
             hints.insert(prefix, hint);
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,6 +1,5 @@
 //! The entry: callers' requests, and where each goes.
 
-mod answer;
 mod attempt;
 mod auth;
 mod chat;
@@ -10,10 +9,11 @@
 mod decisions;
 mod hints;
 mod pick;
-mod plain;
 mod quality;
+mod response;
 mod rollouts;
 mod serve;
+mod service_call;
 mod sessions;
 mod sides;
 mod start;
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -6,41 +6,41 @@
 use redwingfold_core::{Candidate, Health, HostId, pick, pick_in_turn, pick_least_reported};
 
 use super::context::Entry;
-use super::sides::{SideLink, usable};
+use super::sides::{SideLink, usable_links};
 use crate::settings::BalancePolicy;
 use crate::wire::Load;
 
 /// Backend servers that a request has been to, each by the connection that led there: a new
 /// connection to the same host may do what a silent one did not.
-pub(crate) type Tried = BTreeSet<(usize, String)>;
+pub(crate) type TriedBackends = BTreeSet<(usize, String)>;
 
 /// A backend server, and the connection that leads there.
-pub(crate) type Place = (Arc<SideLink>, String);
+pub(crate) type BackendTarget = (Arc<SideLink>, String);
 
 /// Picks a backend server among those that `serves` accepts and that were not tried, by the
 /// settings' policy; `cached` tells the share of the prompt that one probably has in its cache.
 pub(crate) fn pick_backend(
     entry: &Entry,
-    tried: &Tried,
-    serves: impl Fn(&Load) -> bool,
-    cached: impl Fn(&HostId, &str) -> f32,
-) -> Option<Place> {
+    tried: &TriedBackends,
+    accepts: impl Fn(&Load) -> bool,
+    cached_share: impl Fn(&HostId, &str) -> f32,
+) -> Option<BackendTarget> {
     let now = entry.daemon.now();
     let mut candidates = Vec::new();
-    for link in usable(entry) {
+    for link in usable_links(entry) {
         let healthy = link.link.health(now) == Health::Live;
-        for told in link.backends() {
-            let load = told.load;
+        for report in link.backends() {
+            let load = report.load;
             let is_tried = tried.contains(&(link.conn.stable_id(), load.backend.clone()));
-            if is_tried || !load.up || !serves(&load) {
+            if is_tried || !load.up || !accepts(&load) {
                 continue;
             }
             candidates.push(Candidate {
                 reported: load.busy,
-                sent_since: told.sent_since,
+                sent_since: report.sent_since,
                 slots: load.slots,
                 first_token: load.first_token,
-                cached: cached(&link.host, &load.backend),
+                cached: cached_share(&link.host, &load.backend),
                 healthy,
                 id: (link.clone(), load.backend),
             });
@@ -49,7 +49,7 @@
     let picked = match entry.settings.balance.policy {
         BalancePolicy::Expected => pick(&candidates, |n| fastrand::usize(0..n)),
         BalancePolicy::LeastReported => pick_least_reported(&candidates),
-        BalancePolicy::RoundRobin => pick_in_turn(&candidates, entry.next_turn()),
+        BalancePolicy::RoundRobin => pick_in_turn(&candidates, entry.next_round_robin()),
     };
     picked.map(|candidate| candidate.id.clone())
 }
--- a/src/entry/quality.rs
+++ b/src/entry/quality.rs
@@ -9,7 +9,7 @@
 };
 
 use super::context::Entry;
-use super::rollouts::withdraw;
+use super::rollouts::append_withdrawal;
 use crate::clock::wall;
 use crate::platform::rate;
 
@@ -17,35 +17,35 @@
 
 /// What this entry has counted, what all have, and the versions that it has stopped itself.
 #[derive(Debug, Default)]
-pub(crate) struct Quality(Mutex<State>);
+pub(crate) struct QualityTracker(Mutex<QualityState>);
 
 #[derive(Debug, Default)]
-struct State {
-    own: BTreeMap<VersionName, Own>,
-    all: Evidence,
+struct QualityState {
+    local: BTreeMap<VersionName, LocalRatings>,
+    all_entries: Evidence,
     stopped: BTreeSet<VersionName>,
 }
 
 /// What this entry has counted of one version.
 #[derive(Debug, Default)]
-struct Own {
+struct LocalRatings {
     since: Offset,
     counter: RatingCounter,
     /// Ratings by kind of request.
-    classes: BTreeMap<String, Tally>,
+    by_class: BTreeMap<String, Tally>,
 }
 
-impl State {
+impl QualityState {
     fn record(&self, entry: &Entry, version: &VersionName) -> Option<TallyRecord> {
-        let own = self.own.get(version)?;
+        let local = self.local.get(version)?;
         Some(TallyRecord {
             host: entry.daemon.host.clone(),
             incarnation: entry.daemon.incarnation,
             version: version.clone(),
-            since: own.since,
+            since: local.since,
             at: wall(),
-            total: own.counter.total(),
-            recent: own.counter.recent(),
+            total: local.counter.total(),
+            recent: local.counter.recent(),
         })
     }
 }
@@ -57,8 +57,8 @@
     stored.map_or(Offset(0), |stored| stored.revision)
 }
 
-impl Quality {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl QualityTracker {
+    fn lock(&self) -> MutexGuard<'_, QualityState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -70,13 +70,13 @@
         class: &str,
     ) -> PerMille {
         let state = self.lock();
-        let tally = state.own.get(version).and_then(|own| own.classes.get(class)).copied();
+        let tally = state.local.get(version).and_then(|local| local.by_class.get(class)).copied();
         tally.unwrap_or_default().lower_bound(spec.quality, spec.quality_weight)
     }
 
     /// Returns the configuration as this entry acts by it: versions that it has stopped are
     /// withdrawn here at once, before the log says so to all.
-    pub(crate) fn overlay(&self, config: Arc<Config>) -> Arc<Config> {
+    pub(crate) fn effective_config(&self, config: Arc<Config>) -> Arc<Config> {
         let mut state = self.lock();
         state.stopped.retain(|v| config.version(v).is_some_and(|spec| spec.withdrawn_at.is_none()));
         if state.stopped.is_empty() {
@@ -97,34 +97,34 @@
     }
 
     /// Adds a rating.
-    fn add(&self, version: &VersionName, since: Offset, class: &str, good: bool) {
+    fn add(&self, version: &VersionName, since: Offset, class: &str, is_good: bool) {
         let mut state = self.lock();
-        let own = state.own.entry(version.clone()).or_default();
-        if own.since != since {
-            *own = Own { since, ..Own::default() };
+        let local = state.local.entry(version.clone()).or_default();
+        if local.since != since {
+            *local = LocalRatings { since, ..LocalRatings::default() };
         }
-        own.counter.add(good);
-        let one = Tally { good: u64::from(good), bad: u64::from(!good) };
-        let tally = own.classes.entry(class.to_owned()).or_default();
-        *tally = tally.plus(one);
+        local.counter.add(is_good);
+        let increment = Tally { good: u64::from(is_good), bad: u64::from(!is_good) };
+        let tally = local.by_class.entry(class.to_owned()).or_default();
+        *tally = tally.plus(increment);
     }
 
     /// Returns this entry's totals, for the ratings stream.
     pub(crate) fn records(&self, entry: &Entry) -> Vec<TallyRecord> {
         let state = self.lock();
-        state.own.keys().filter_map(|version| state.record(entry, version)).collect()
+        state.local.keys().filter_map(|version| state.record(entry, version)).collect()
     }
 
     /// Folds what the ratings stream has.
     pub(crate) fn fold(&self, records: &[(Offset, Vec<u8>)]) {
         let mut state = self.lock();
         for (offset, raw) in records {
-            state.all.apply(*offset, raw);
+            state.all_entries.apply(*offset, raw);
         }
     }
 
-    pub(crate) fn folded(&self) -> Offset {
-        self.lock().all.offset()
+    pub(crate) fn folded_offset(&self) -> Offset {
+        self.lock().all_entries.offset()
     }
 
     /// Returns what all entries have counted of a version, in all and lately, with the newest of
@@ -137,13 +137,13 @@
     ) -> (Tally, Tally) {
         let mut state = self.lock();
         if let Some(record) = state.record(entry, version) {
-            state.all.add(record);
+            state.all_entries.add(record);
         }
-        (state.all.total(version, since), state.all.recent(version, since, wall()))
+        (state.all_entries.total(version, since), state.all_entries.recent(version, since, wall()))
     }
 
     /// Notes that a version is stopped; says whether it was not before.
-    fn stop(&self, version: &VersionName) -> bool {
+    fn mark_stopped(&self, version: &VersionName) -> bool {
         self.lock().stopped.insert(version.clone())
     }
 }
@@ -163,7 +163,7 @@
 }
 
 /// Has an answer rated, counts the rating, and withdraws the version if it is shown to be bad.
-pub(crate) async fn judge(
+pub(crate) async fn rate_response(
     entry: &Arc<Entry>,
     version: &VersionName,
     class: &str,
@@ -173,9 +173,9 @@
     let since = in_service_since(&entry.daemon.store.current(), version);
     let timeout = rating.timeout_ms;
     let score = rate(&entry.daemon.http, rating.address?, version, text, timeout).await?;
-    let good = score.0 >= rating.good_from;
-    entry.daemon.telemetry.count(if good { "rating.good" } else { "rating.bad" }, 1);
-    entry.quality.add(version, since, class, good);
+    let is_good = score.0 >= rating.good_from;
+    entry.daemon.telemetry.count(if is_good { "rating.good" } else { "rating.bad" }, 1);
+    entry.quality.add(version, since, class, is_good);
     test_version(entry, version);
     Some(score)
 }
@@ -189,10 +189,13 @@
     let (_, tally) = entry.quality.evidence(entry, version, since);
     let alpha = f64::from(rating.false_stop_per_million) / MILLION;
     let test = SequentialTest::new(PerMille(rating.allowed_bad_per_mille), alpha);
-    let in_service = config.version(version).is_some_and(|spec| spec.withdrawn_at.is_none());
-    if in_service && test.verdict(tally) == TestVerdict::Stop && entry.quality.stop(version) {
+    let is_in_service = config.version(version).is_some_and(|spec| spec.withdrawn_at.is_none());
+    if is_in_service
+        && test.verdict(tally) == TestVerdict::Stop
+        && entry.quality.mark_stopped(version)
+    {
         let reason = format!("{} of {} rated answers were bad", tally.bad, tally.rated());
         entry.daemon.telemetry.warn("version_stopped", &[("version", version), ("why", &reason)]);
-        smol::spawn(withdraw(entry.clone(), version.clone(), reason)).detach();
+        smol::spawn(append_withdrawal(entry.clone(), version.clone(), reason)).detach();
     }
 }
--- a/src/entry/answer.rs
+++ b/src/entry/response.rs
@@ -12,21 +12,21 @@
 
 /// A request's end without its answer.
 #[derive(Clone, Debug)]
-pub(crate) struct Failed {
+pub(crate) struct RequestError {
     pub(crate) kind: ErrorKind,
-    pub(crate) run: RunState,
-    pub(crate) why: String,
+    pub(crate) run_state: RunState,
+    pub(crate) detail: String,
     pub(crate) retry_after: Option<Millis>,
 }
 
-impl Failed {
-    pub(crate) fn new(kind: ErrorKind, why: impl Into<String>) -> Self {
+impl RequestError {
+    pub(crate) fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         let row = kind.row();
-        Self { kind, run: row.run, why: why.into(), retry_after: row.retry_after }
+        Self { kind, run_state: row.run, detail: detail.into(), retry_after: row.retry_after }
     }
 }
 
-impl From<ErrorKind> for Failed {
+impl From<ErrorKind> for RequestError {
     fn from(kind: ErrorKind) -> Self {
         Self::new(kind, "")
     }
@@ -34,21 +34,21 @@
 
 /// What is told about a request in its answer's head.
 #[derive(Clone, Debug)]
-pub(crate) struct Facts {
+pub(crate) struct ResponseMetadata {
     pub(crate) request: RequestId,
     pub(crate) version: Option<VersionName>,
     /// The version that the session had until its withdrawal.
     pub(crate) moved_from: Option<VersionName>,
 }
 
-impl Facts {
+impl ResponseMetadata {
     /// Makes the facts of a request that has just come.
-    pub(crate) fn of_new_request() -> Self {
+    pub(crate) fn for_new_request() -> Self {
         Self { request: RequestId(fastrand::u128(..)), version: None, moved_from: None }
     }
 
     /// Writes the facts into an answer's head. The decision is kept under the request's id.
-    pub(crate) fn mark(&self, res: &mut Response) {
+    pub(crate) fn add_headers(&self, res: &mut Response) {
         res.insert_header(REQUEST_ID, self.request.to_string());
         res.insert_header(DECISION_ID, self.request.to_string());
         if let Some(version) = &self.version {
@@ -61,49 +61,49 @@
 }
 
 /// Returns the body of an error, in the shape that chat clients read.
-pub(crate) fn error_body(failed: &Failed) -> serde_json::Value {
+pub(crate) fn error_body(error: &RequestError) -> serde_json::Value {
     json!({
         "error": {
-            "code": failed.kind.row().code,
-            "message": match failed.why.as_str() {
-                "" => failed.kind.to_string(),
-                why => format!("{}: {why}", failed.kind),
+            "code": error.kind.row().code,
+            "message": match error.detail.as_str() {
+                "" => error.kind.to_string(),
+                detail => format!("{}: {detail}", error.kind),
             },
-            "type": if failed.kind.row().status < 500 { "invalid_request_error" } else { "server_error" },
-            "run_state": failed.run,
-            "retry_after_ms": failed.retry_after,
+            "type": if error.kind.row().status < 500 { "invalid_request_error" } else { "server_error" },
+            "run_state": error.run_state,
+            "retry_after_ms": error.retry_after,
         }
     })
 }
 
 /// Makes the answer to a request that has none.
-pub(crate) fn error_answer(failed: &Failed) -> Response {
-    let status = failed.kind.row().status;
+pub(crate) fn error_response(error: &RequestError) -> Response {
+    let status = error.kind.row().status;
     let mut res =
         Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError));
     res.insert_header("content-type", "application/json");
-    res.insert_header(RUN_STATE, failed.run.to_string());
-    if let Some(after) = failed.retry_after {
+    res.insert_header(RUN_STATE, error.run_state.to_string());
+    if let Some(after) = error.retry_after {
         res.insert_header("retry-after", after.0.div_ceil(1000).to_string());
     }
-    res.set_body(error_body(failed).to_string());
+    res.set_body(error_body(error).to_string());
     res
 }
 
 /// Makes the answer to what was refused before its head was read.
-pub(crate) fn refusal_answer(refusal: Refusal) -> Response {
+pub(crate) fn refusal_response(refusal: Refusal) -> Response {
     let kind = match refusal {
         Refusal::BadRequest => ErrorKind::BadRequest,
         Refusal::HeadTooLarge => ErrorKind::HeadTooLarge,
         Refusal::SlowSender => ErrorKind::SlowSender,
         Refusal::TooManyOpen => ErrorKind::TooManyOpen,
     };
-    let mut res = error_answer(&Failed::new(kind, "the request's head"));
-    Facts::of_new_request().mark(&mut res);
+    let mut res = error_response(&RequestError::new(kind, "the request's head"));
+    ResponseMetadata::for_new_request().add_headers(&mut res);
     res
 }
 
-pub(crate) fn json_answer(body: &serde_json::Value) -> Response {
+pub(crate) fn json_response(body: &serde_json::Value) -> Response {
     let mut res = Response::new(StatusCode::Ok);
     res.insert_header("content-type", "application/json");
     res.set_body(body.to_string());
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -13,13 +13,13 @@
 use crate::clock::{jittered, wall};
 use crate::platform::{LogError, stream};
 
-const PAGE: usize = 500;
-const RETRY_PAUSE: Millis = Millis(500);
+const PAGE_RECORDS: usize = 500;
+const RETRY_DELAY: Millis = Millis(500);
 
 /// Tells the others what this entry has counted, takes in what they have, and acts by the sum, for
 /// ever: one batch each few seconds, and none where nothing was rated.
-pub(crate) async fn follow_ratings(entry: &Arc<Entry>) {
-    let mut told = 0;
+pub(crate) async fn run_rating_loop(entry: &Arc<Entry>) {
+    let mut published_ratings = 0;
     if entry.settings.rating.address.is_none() {
         return;
     }
@@ -27,15 +27,15 @@
         Timer::after(jittered(entry.settings.batch.every_ms)).await;
         let records = entry.quality.records(entry);
         let rated = records.iter().map(|r| r.total.rated()).sum::<u64>();
-        if rated != told {
+        if rated != published_ratings {
             let json = serde_json::to_vec(&records).unwrap_or_default();
             // One without a clear answer is told again with the next totals.
             if entry.daemon.log.append(stream::RATINGS, json).await.is_ok() {
-                told = rated;
+                published_ratings = rated;
             }
         }
-        let from = Offset(entry.quality.folded().0 + 1);
-        match entry.daemon.log.read(stream::RATINGS, from, PAGE, Millis(0)).await {
+        let from = Offset(entry.quality.folded_offset().0 + 1);
+        match entry.daemon.log.read(stream::RATINGS, from, PAGE_RECORDS, Millis(0)).await {
             Ok(page) => entry.quality.fold(&page.records),
             Err(_) => continue,
         }
@@ -48,17 +48,18 @@
                 _ => {}
             }
         }
-        go_on(entry, &config).await;
+        advance_rollouts(entry, &config).await;
     }
 }
 
 /// Raises the share of each roll-out that has earned its next step.
-async fn go_on(entry: &Arc<Entry>, config: &Config) {
-    let acted_by = entry.quality.overlay(entry.daemon.store.current());
+async fn advance_rollouts(entry: &Arc<Entry>, config: &Config) {
+    let effective = entry.quality.effective_config(entry.daemon.store.current());
     for (key, spec) in config.of_kind("rollout") {
         let Spec::Rollout(rollout) = spec else { continue };
-        let in_service = acted_by.version(&rollout.to).is_some_and(|v| v.withdrawn_at.is_none());
-        if !in_service {
+        let is_in_service =
+            effective.version(&rollout.to).is_some_and(|v| v.withdrawn_at.is_none());
+        if !is_in_service {
             continue;
         }
         let since = in_service_since(config, &rollout.to);
@@ -74,14 +75,14 @@
         if let Some(share) = next {
             let raised = RolloutSpec { share, rated_before: tally.rated(), ..rollout.clone() };
             let reason = format!("{} of {} rated answers were good", tally.good, tally.rated());
-            raise(entry, config, key, raised, reason).await;
+            publish_share(entry, config, key, raised, reason).await;
         }
     }
 }
 
 /// Publishes a roll-out's next share. Of several entries that do so at once the first in log order
 /// wins, as the others expect a revision that has moved.
-async fn raise(
+async fn publish_share(
     entry: &Entry,
     config: &Config,
     key: &ObjectKey,
@@ -114,7 +115,7 @@
 }
 
 /// Appends a withdrawal until the log has it. A second copy has the same id and no effect.
-pub(crate) async fn withdraw(entry: Arc<Entry>, version: VersionName, reason: String) {
+pub(crate) async fn append_withdrawal(entry: Arc<Entry>, version: VersionName, reason: String) {
     let record = Record::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
@@ -126,10 +127,10 @@
     let json = serde_json::to_vec(&record).unwrap_or_default();
     while let Err(e) = entry.daemon.log.append(stream::CONFIG, json.clone()).await {
         entry.daemon.telemetry.warn("withdrawal_not_appended", &[("why", &e)]);
-        let pause = match e {
+        let delay = match e {
             LogError::Refused { retry_after, .. } => retry_after,
-            LogError::Unknown(_) => RETRY_PAUSE,
+            LogError::Unknown(_) => RETRY_DELAY,
         };
-        Timer::after(jittered(pause)).await;
+        Timer::after(jittered(delay)).await;
     }
 }
--- a/src/entry/plain.rs
+++ b/src/entry/service_call.rs
@@ -7,21 +7,21 @@
 };
 use redwingfold_http::{Response, StatusCode};
 
-use super::answer::Failed;
-use super::attempt::{AttemptFailed, begin};
+use super::attempt::{AttemptError, start_run};
 use super::auth::Caller;
-use super::claims::{Claimed, claim};
+use super::claims::{ClaimResult, claim};
 use super::context::Entry;
-use super::decisions::Trace;
-use super::pick::{Place, Tried, pick_backend};
+use super::decisions::DecisionTrace;
+use super::pick::{BackendTarget, TriedBackends, pick_backend};
+use super::response::RequestError;
 use super::sides::SideLink;
 use crate::wire::{CallHead, Load, RunCall, Usage};
 
 /// Work that a plain call stands for in the fair queue, in tokens.
-const PLAIN_WORK: u64 = 100;
+const SERVICE_CALL_WORK_TOKENS: u64 = 100;
 
 /// A call of a plain service on its way.
-pub(crate) struct Plain {
+pub(crate) struct ServiceCall {
     pub(crate) entry: Arc<Entry>,
     pub(crate) caller: Caller,
     pub(crate) request: RequestId,
@@ -29,7 +29,7 @@
     pub(crate) target: String,
     pub(crate) content_type: Option<String>,
     pub(crate) body: Vec<u8>,
-    pub(crate) trace: Trace,
+    pub(crate) trace: DecisionTrace,
     pub(crate) deadline: Millis,
 }
 
@@ -50,23 +50,23 @@
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-impl Plain {
+impl ServiceCall {
     fn step(&self, what: &'static str, detail: impl Into<String>) {
         self.trace.step(self.entry.daemon.now(), what, detail);
     }
 
     /// Answers the call.
-    pub(crate) async fn answer(
+    pub(crate) async fn execute(
         &self,
         service: &str,
         spec: &ServiceSpec,
-    ) -> Result<Response, Failed> {
+    ) -> Result<Response, RequestError> {
         let config = self.entry.daemon.store.current();
         let labels = config.caller_labels(&self.caller.customer, self.caller.session.as_ref());
         match spec {
             s if !s.methods.contains(&self.method) => {
                 let why = format!("{service} takes {}", s.methods.join(", "));
-                return Err(Failed::new(ErrorKind::WrongMethod, why));
+                return Err(RequestError::new(ErrorKind::WrongMethod, why));
             }
             s if !s.callers.matches(&labels) => return Err(ErrorKind::NotAllowed.into()),
             _ => {}
@@ -74,45 +74,46 @@
         if spec.repeatable.contains(&self.method) {
             return self.run_repeatable(service).await;
         }
-        self.run_once(service).await
+        self.run_claimed(service).await
     }
 
     /// Runs a call that may be repeated, at another backend server after a failure.
-    async fn run_repeatable(&self, service: &str) -> Result<Response, Failed> {
-        let mut tried = Tried::new();
-        let mut run = RunState::NotRun;
+    async fn run_repeatable(&self, service: &str) -> Result<Response, RequestError> {
+        let mut tried = TriedBackends::new();
+        let mut run_state = RunState::NotRun;
         loop {
             let (link, backend) = self.pick(service, &tried).ok_or_else(|| no_backend(service))?;
             tried.insert((link.conn.stable_id(), backend.clone()));
             self.step("attempt", format!("{} at {}/{backend}", tried.len(), link.host));
-            let call = self.call(service, &backend, tried.len() as u32);
-            let failed = match self.run(&link, call).await {
+            let call = self.run_call(service, &backend, tried.len() as u32);
+            let error = match self.run_attempt(&link, call).await {
                 Ok(res) => return Ok(res),
-                Err(e) => Failed { run: run.and(e.failed.run), ..e.failed },
+                Err(e) => RequestError { run_state: run_state.and(e.error.run_state), ..e.error },
             };
-            run = failed.run;
-            self.step("attempt_failed", format!("{} ({})", failed.kind, failed.run));
-            let may = (tried.len() as u32) < self.entry.settings.retry.max_attempts;
-            if !may || self.pick(service, &tried).is_none() || !self.entry.try_retry() {
-                return Err(failed);
+            run_state = error.run_state;
+            self.step("attempt_failed", format!("{} ({})", error.kind, error.run_state));
+            let has_attempts_left = (tried.len() as u32) < self.entry.settings.retry.max_attempts;
+            if !has_attempts_left || self.pick(service, &tried).is_none() || !self.entry.try_retry()
+            {
+                return Err(error);
             }
         }
     }
 
     /// Runs a call that may not be repeated: one attempt, claimed first if the caller gave a key by
     /// which a repeat can be known.
-    async fn run_once(&self, service: &str) -> Result<Response, Failed> {
+    async fn run_claimed(&self, service: &str) -> Result<Response, RequestError> {
         let (link, backend) =
-            self.pick(service, &Tried::new()).ok_or_else(|| no_backend(service))?;
-        let mut call = self.call(service, &backend, 1);
+            self.pick(service, &TriedBackends::new()).ok_or_else(|| no_backend(service))?;
+        let mut call = self.run_call(service, &backend, 1);
         if let Some(key) = &self.caller.idempotency_key {
             let key = KeyHash::of(&self.caller.customer, &format!("{service}\0{key}"));
             match claim(&self.entry, &link, key, self.request).await? {
-                Claimed::Ran { status, content_type, body } => {
+                ClaimResult::AlreadyRan { status, content_type, body } => {
                     self.step("replayed", format!("status {status}"));
-                    return Ok(plain_answer(status, content_type, body));
+                    return Ok(service_response(status, content_type, body));
                 }
-                Claimed::Run(claim) => {
+                ClaimResult::Run(claim) => {
                     self.step("claimed", format!("{} at {}", claim.id, claim.host));
                     call.claim = Some(claim);
                 }
@@ -120,27 +121,31 @@
         }
         self.step("attempt", format!("1 at {}/{backend}", link.host));
         call.deadline = self.deadline.since(self.entry.daemon.now());
-        self.run(&link, call).await.map_err(|e| {
-            self.step("attempt_failed", format!("{} ({})", e.failed.kind, e.failed.run));
-            e.failed
+        self.run_attempt(&link, call).await.map_err(|e| {
+            self.step("attempt_failed", format!("{} ({})", e.error.kind, e.error.run_state));
+            e.error
         })
     }
 
-    async fn run(&self, link: &Arc<SideLink>, call: RunCall) -> Result<Response, AttemptFailed> {
-        let (head, mut answering) = begin(&self.entry, link, call).await?;
-        let whole = answering.whole(crate::wire::MAX_FRAME).await;
-        let (body, _) = whole.map_err(|failed| Failed {
+    async fn run_attempt(
+        &self,
+        link: &Arc<SideLink>,
+        call: RunCall,
+    ) -> Result<Response, AttemptError> {
+        let (head, mut response_stream) = start_run(&self.entry, link, call).await?;
+        let received = response_stream.read_all(crate::wire::MAX_FRAME).await;
+        let (body, _) = received.map_err(|error| RequestError {
             // Its head has come, so that it has run at least in part.
-            run: match failed.run {
+            run_state: match error.run_state {
                 RunState::NotRun => RunState::MayHaveRun,
                 run => run,
             },
-            ..failed
+            ..error
         })?;
-        Ok(plain_answer(head.status, head.content_type, body))
+        Ok(service_response(head.status, head.content_type, body))
     }
 
-    fn call(&self, service: &str, backend: &str, attempt: u32) -> RunCall {
+    fn run_call(&self, service: &str, backend: &str, attempt: u32) -> RunCall {
         RunCall {
             head: CallHead { request: self.request, attempt },
             config: self.entry.daemon.store.mark(),
@@ -156,24 +161,24 @@
             stream: false,
             deadline: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: PLAIN_WORK,
+            work: SERVICE_CALL_WORK_TOKENS,
             claim: None,
             bill: None,
             spent: Usage::default(),
         }
     }
 
-    fn pick(&self, service: &str, tried: &Tried) -> Option<Place> {
-        let serves = |load: &Load| load.service.as_deref() == Some(service);
-        pick_backend(&self.entry, tried, serves, |_, _| 0.0)
+    fn pick(&self, service: &str, tried: &TriedBackends) -> Option<BackendTarget> {
+        let accepts = |load: &Load| load.service.as_deref() == Some(service);
+        pick_backend(&self.entry, tried, accepts, |_, _| 0.0)
     }
 }
 
-fn no_backend(service: &str) -> Failed {
-    Failed::new(ErrorKind::NoBackend, format!("none serves {service}"))
+fn no_backend(service: &str) -> RequestError {
+    RequestError::new(ErrorKind::NoBackend, format!("none serves {service}"))
 }
 
-fn plain_answer(status: u16, content_type: Option<String>, body: Vec<u8>) -> Response {
+fn service_response(status: u16, content_type: Option<String>, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::BadGateway);
     let mut res = Response::new(status);
     res.set_body(body);
--- a/src/entry/sides.rs
+++ b/src/entry/sides.rs
@@ -15,7 +15,7 @@
 
 /// A backend server as its side last told of it.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
+pub(crate) struct ReportedLoad {
     pub(crate) load: Load,
     /// Requests that this entry has sent since.
     pub(crate) sent_since: u32,
@@ -28,8 +28,8 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) conn: Connection,
     pub(crate) link: Arc<Link>,
-    leaving: AtomicBool,
-    told: Mutex<BTreeMap<String, Told>>,
+    is_leaving: AtomicBool,
+    reports: Mutex<BTreeMap<String, ReportedLoad>>,
     _endpoint: Endpoint,
 }
 
@@ -47,55 +47,55 @@
             incarnation,
             conn,
             link: Arc::new(link),
-            leaving: AtomicBool::new(false),
-            told: Mutex::default(),
+            is_leaving: AtomicBool::new(false),
+            reports: Mutex::default(),
             _endpoint: endpoint,
         }
     }
 
     /// Notes that the side is leaving; says whether that is new.
-    pub(crate) fn leave(&self) -> bool {
-        !self.leaving.swap(true, Ordering::Relaxed)
+    pub(crate) fn mark_leaving(&self) -> bool {
+        !self.is_leaving.swap(true, Ordering::Relaxed)
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Told>> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, ReportedLoad>> {
+        self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes newer loads.
-    pub(crate) fn note_loads(&self, loads: Vec<Load>) {
-        let mut told = self.lock();
+    pub(crate) fn update_loads(&self, loads: Vec<Load>) {
+        let mut reports = self.lock();
         for load in loads {
-            told.insert(load.backend.clone(), Told { load, sent_since: 0 });
+            reports.insert(load.backend.clone(), ReportedLoad { load, sent_since: 0 });
         }
     }
 
     /// Takes what an answer told of its backend server.
-    pub(crate) fn note_change(&self, backend: &str, change: LoadChange) {
-        if let Some(told) = self.lock().get_mut(backend) {
-            told.load.busy = change.busy;
-            told.load.first_token = change.first_token;
-            told.sent_since = 0;
+    pub(crate) fn apply_load_change(&self, backend: &str, change: LoadChange) {
+        if let Some(report) = self.lock().get_mut(backend) {
+            report.load.busy = change.busy;
+            report.load.first_token = change.first_token;
+            report.sent_since = 0;
         }
     }
 
     /// Notes that a request was sent to a backend server.
-    pub(crate) fn note_sent(&self, backend: &str) {
-        if let Some(told) = self.lock().get_mut(backend) {
-            told.sent_since += 1;
+    pub(crate) fn count_sent(&self, backend: &str) {
+        if let Some(report) = self.lock().get_mut(backend) {
+            report.sent_since += 1;
         }
     }
 
-    pub(crate) fn backends(&self) -> Vec<Told> {
+    pub(crate) fn backends(&self) -> Vec<ReportedLoad> {
         self.lock().values().cloned().collect()
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+        self.is_leaving.load(Ordering::Relaxed)
     }
 
     /// Waits until nothing can be hoped for from this connection.
-    pub(crate) async fn dead(&self, daemon: &Daemon) {
+    pub(crate) async fn until_dead(&self, daemon: &Daemon) {
         self.link.until(daemon, |health| health == Health::Dead).await;
     }
 
@@ -103,9 +103,9 @@
     ///
     /// This is for requests without an answer yet. A stream that has begun waits for [`Self::dead`]:
     /// the peer may just have been slow, and the rest of the stream come after all.
-    pub(crate) async fn given_up(&self, daemon: &Daemon) {
-        let gone = |health| health == Health::Dead || self.link.is_replaced();
-        self.link.until(daemon, gone).await;
+    pub(crate) async fn until_dead_or_replaced(&self, daemon: &Daemon) {
+        let is_lost = |health| health == Health::Dead || self.link.is_replaced();
+        self.link.until(daemon, is_lost).await;
     }
 }
 
@@ -136,16 +136,16 @@
     /// Takes a link out, unless another has taken its place.
     pub(crate) fn remove(&self, link: &Arc<SideLink>) {
         let mut links = self.lock();
-        if links.get(&link.host).is_some_and(|held| Arc::ptr_eq(held, link)) {
+        if links.get(&link.host).is_some_and(|current| Arc::ptr_eq(current, link)) {
             links.remove(&link.host);
         }
     }
 
     /// Sets the sides that hold sessions; says whether they are others than before.
     pub(crate) fn set_keepers(&self, keepers: Vec<Member>) -> bool {
-        let mut held = self.keepers.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_new = **held != keepers;
-        *held = Arc::new(keepers);
+        let mut current = self.keepers.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_new = **current != keepers;
+        *current = Arc::new(keepers);
         is_new
     }
 
@@ -170,7 +170,7 @@
 ///
 /// A side says itself when it is leaving, at once; the host list, some time later, covers one that
 /// could not say so.
-pub(crate) fn usable(entry: &Entry) -> Vec<Arc<SideLink>> {
+pub(crate) fn usable_links(entry: &Entry) -> Vec<Arc<SideLink>> {
     let hosts = entry.daemon.hosts.current();
     let mut links = entry.sides.all();
     links.retain(|l| !l.is_leaving() && is_live(&hosts, &l.host));
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -11,10 +11,10 @@
 use smol::channel::Receiver;
 use smol::net::TcpListener;
 
-use super::answer::refusal_answer;
-use super::connections::{keep_connected, reach};
+use super::connections::{keep_connected, side_connection};
 use super::context::Entry;
-use super::rollouts::follow_ratings;
+use super::response::refusal_response;
+use super::rollouts::run_rating_loop;
 use super::serve::handle;
 use crate::billing::Held;
 use crate::clock::{span, wall, within};
@@ -26,9 +26,9 @@
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Reply, Role};
 use redwingfold_telemetry::Telemetry;
 
-const FLUSH_LIMIT: Millis = Millis(3_000);
-const HAND_OVER_LIMIT: Millis = Millis(3_000);
-const STOP_POLL: Millis = Millis(20);
+const FLUSH_TIMEOUT: Millis = Millis(3_000);
+const HAND_OVER_TIMEOUT: Millis = Millis(3_000);
+const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 
 /// Runs an entry until `stop` says so and everything under way has ended.
 ///
@@ -70,24 +70,24 @@
         write_snapshots(&d.store, &d.log, &d.log_settings, &d.telemetry, || d.is_reader()).await;
     }));
     tasks.push(spawn(&entry, |e| async move {
-        e.bills.ship(&e.daemon, |batch| confirm(&e, batch)).await;
+        e.bills.ship(&e.daemon, |batch| confirm_bills(&e, batch)).await;
     }));
-    tasks.push(spawn(&entry, |e| async move { follow_ratings(&e).await }));
-    let peers = {
+    tasks.push(spawn(&entry, |e| async move { run_rating_loop(&e).await }));
+    let peer_server = {
         let entry = entry.clone();
         let handler = move |_: Connection, call, tx, _: FrameReader<Call>| {
-            handle_peer(entry.clone(), call, tx)
+            handle_peer_call(entry.clone(), call, tx)
         };
         smol::spawn(serve_peers(endpoint.clone(), telemetry.clone(), handler))
     };
-    let callers = {
+    let http_server = {
         let (entry, drain) = (entry.clone(), entry.drain.clone());
         let handler = move |req, peer| handle(entry.clone(), req, peer);
-        smol::spawn(serve_http(listener, limits, drain, refusal_answer, handler))
+        smol::spawn(serve_http(listener, limits, drain, refusal_response, handler))
     };
     stop.recv().await.ok();
     shut_down(&entry).await;
-    drop((callers, peers, tasks));
+    drop((http_server, peer_server, tasks));
     endpoint.close(VarInt::from_u32(0), b"stopped");
     endpoint.wait_idle().await;
     telemetry.info("entry_stopped", &[("host", &entry.daemon.host)]);
@@ -103,7 +103,7 @@
 }
 
 /// Tells the sides which bills are in the log.
-fn confirm(entry: &Entry, batch: Vec<Held>) {
+fn confirm_bills(entry: &Entry, batch: Vec<Held>) {
     for link in entry.sides.all() {
         let of_side = batch.iter().filter(|held| held.side.as_ref() == Some(&link.host));
         let ids: Vec<_> = of_side.map(|held| held.bill.id).collect();
@@ -114,7 +114,7 @@
 }
 
 /// Answers what other processes of the system ask of an entry.
-async fn handle_peer(entry: Arc<Entry>, call: Call, mut tx: FrameWriter<Reply>) {
+async fn handle_peer_call(entry: Arc<Entry>, call: Call, mut tx: FrameWriter<Reply>) {
     let reply = match call {
         Call::Explain(request) => match entry.decisions.get(request) {
             Some(trace) => Reply::Json(trace.json()),
@@ -144,7 +144,7 @@
         "hash": format!("{:016x}", mark.hash),
         "rules": mark.rules,
         "leaving": entry.drain.is_draining(),
-        "running": entry.under_way(),
+        "running": entry.in_flight(),
         "unconfirmed_bills": entry.bills.len(),
         "sides": entry.sides.all().iter().map(|l| l.host.to_string()).collect::<Vec<_>>(),
         "peer_bytes_sent": entry.daemon.traffic.sent.load(Ordering::Relaxed),
@@ -162,15 +162,15 @@
     // The balancer needs a while to see that readiness has gone; until then callers still come.
     Timer::after(span(limits.drain_accept_ms)).await;
     let drained = async {
-        while entry.drain.in_flight() > 0 || entry.under_way() > 0 {
-            Timer::after(span(STOP_POLL)).await;
+        while entry.drain.in_flight() > 0 || entry.in_flight() > 0 {
+            Timer::after(span(DRAIN_POLL_INTERVAL)).await;
         }
     };
     if within(limits.drain_ms, drained).await.is_none() {
         let left = entry.drain.in_flight();
         entry.daemon.telemetry.warn("drain_cut", &[("under_way", &left)]);
     }
-    if !entry.bills.flush(FLUSH_LIMIT).await {
+    if !entry.bills.flush(FLUSH_TIMEOUT).await {
         hand_over(entry).await;
     }
     if entry.bills.len() > 0 {
@@ -183,8 +183,8 @@
     let bills = entry.bills.all();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
     for link in entry.sides.all() {
-        let Some(reached) = reach(entry, &link.host).await else { continue };
-        let reply = call(&reached.conn, &Call::Hold(bills.clone()), HAND_OVER_LIMIT).await;
+        let Some(connection) = side_connection(entry, &link.host).await else { continue };
+        let reply = call(&connection.conn, &Call::Hold(bills.clone()), HAND_OVER_TIMEOUT).await;
         if reply == Ok(Reply::Held) {
             entry.bills.forget(&ids);
             entry.daemon.telemetry.info("bills_handed_over", &[("side", &link.host)]);
