--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -10,6 +10,7 @@
 mod choice;
 mod clock;
 mod cold;
+mod discovery;
 mod ends;
 mod evacuation;
 mod exchange;
@@ -18,15 +19,14 @@
 mod fingerprint;
 mod flight_log;
 mod gateway;
+mod gossip;
 mod head_watch;
 mod limits;
 mod load;
-mod meeting;
 mod model_choice;
 mod net;
 mod peer_message;
 mod peer_table;
-mod peers;
 mod pipeline;
 mod quarantine;
 mod relay;
@@ -34,8 +34,8 @@
 #[cfg(test)]
 mod restored_rollouts_tests;
 mod rollout_choice;
-mod rollout_news;
-mod rollout_turns;
+mod rollout_control;
+mod rollout_report;
 mod rollouts;
 mod serve;
 mod server_list;
@@ -46,21 +46,23 @@
 
 pub use answer::{GatewayResponse, ResponseBody, text_response};
 pub use clock::Clock;
-pub use exchange::{Fetched, Record, feed_pages, fetch_orders, fetch_servers, watch_orders_age};
+pub use discovery::{AddressStore, discover_peers};
+pub use exchange::{
+    FetchedOrders, Record, feed_pages, fetch_newer_orders, fetch_newer_servers, watch_orders_age,
+};
 pub use facts::{
     AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
     ResponseMetadata, Usage,
 };
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
-pub use gateway::{ConfigSource, Gateway, Standing, StoreCopy};
-pub use meeting::{Directory, meet};
+pub use gateway::{ConfigSource, Gateway, Lifecycle, StoreCopy};
+pub use gossip::{receive_gossip, send_gossip};
 pub use net::{bind, connect, with_timeouts};
-pub use peer_table::Peers;
-pub use peers::{hear_peers, tell_peers};
+pub use peer_table::PeerTable;
 pub use quarantine::TrialClaim;
-pub use rollout_news::{Recorded, RolloutNews};
+pub use rollout_report::{RolloutReport, StoredStatus};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
-pub use session_keepers::tell_keepers;
+pub use session_keepers::send_session_messages;
 pub use settings::GatewaySettings;
 pub use upstream::{CallError, HttpConnection, ResponseReader};
