--- a/gateway/src/availability.rs
+++ b/gateway/src/availability.rs
@@ -1,4 +1,4 @@
-//! Backend servers that announce in answers that they are leaving, or request a delay with `Retry-After`.
+//! Backend servers that announce in responses that they are leaving, or request a delay with `Retry-After`.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,23 @@
 use crate::limits::incarnation_hash;
 
 impl Gateway {
-    /// Records that a server announced in an answer that it is leaving, and queues this for the peers.
+    /// Records that a server announced in a response that it is leaving, and queues notices for the peers.
     pub(crate) fn record_leaving(&self, server: &BackendServer) {
         let hash = incarnation_hash(server);
         if self.insert_leaving(hash) {
-            self.loads.tell_leaving(hash, self.now());
+            self.loads.queue_leaving_notices(hash, self.now());
             self.log_leaving(server, "self".to_owned());
         }
     }
 
-    /// Records that a server announced in an answer to a peer that it is leaving.
-    pub(crate) fn apply_peer_leaving(&self, from: SocketAddr, hash: u64) {
+    /// Records a peer's notice that a server is leaving.
+    pub(crate) fn apply_peer_leaving(&self, peer: SocketAddr, hash: u64) {
         if !self.insert_leaving(hash) {
             return;
         }
         let registry = self.registry.borrow();
         let found = registry.servers(self.now()).find(|s| incarnation_hash(s) == hash);
-        found.iter().for_each(|server| self.log_leaving(server, from.to_string()));
+        found.iter().for_each(|server| self.log_leaving(server, peer.to_string()));
     }
 
     /// Adds a server to those that are leaving and returns whether it is new among them.
@@ -37,10 +37,10 @@
         is_new
     }
 
-    fn log_leaving(&self, server: &BackendServer, told_by: String) {
+    fn log_leaving(&self, server: &BackendServer, source: String) {
         self.telemetry.info(
             "server_leaving",
-            &[("server", &server.id), ("service", &server.service), ("told_by", &told_by)],
+            &[("server", &server.id), ("service", &server.service), ("told_by", &source)],
         );
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Returns the rest of the delay that a server requested, or zero if none is in effect.
-    pub(crate) fn retry_after_left(&self, server: &BackendServer, now: Millis) -> Millis {
+    pub(crate) fn retry_after_remaining(&self, server: &BackendServer, now: Millis) -> Millis {
         let times = self.retry_after.borrow();
         if times.is_empty() { Millis(0) } else { times.left(incarnation_hash(server), now) }
     }
@@ -71,7 +71,7 @@
         if self.is_leaving(server) {
             self.telemetry.count("leaving.sent", 1);
         }
-        if self.retry_after_left(server, self.now()) > Millis(0) {
+        if self.retry_after_remaining(server, self.now()) > Millis(0) {
             self.telemetry.count("rest.sent", 1);
         }
     }
@@ -82,7 +82,7 @@
         let (leaving, delayed) = self.with_registry(|r| {
             let leaving = r.servers(now).filter(|server| self.is_leaving(server)).count();
             let is_delayed =
-                |server: &&BackendServer| self.retry_after_left(server, now) > Millis(0);
+                |server: &&BackendServer| self.retry_after_remaining(server, now) > Millis(0);
             (leaving, r.servers(now).filter(is_delayed).count())
         });
         self.telemetry.gauge("servers.leaving", leaving as u64);
