--- a/gateway/src/cold.rs
+++ b/gateway/src/cold.rs
@@ -7,8 +7,9 @@
 impl Gateway {
     /// Returns the limit of a server if it is cold.
     ///
-    /// Servers of an evacuated domain are cold when the order is withdrawn, but their records reflect this only with the
-    /// next heartbeat. Until the limit's duration has passed, they count as cold here.
+    /// Servers of an evacuated domain become cold when the order is withdrawn or shortly before, but their records reflect
+    /// this only with the next heartbeat. Therefore they count as cold here from the withdrawal until the limit's duration
+    /// has passed.
     pub(crate) fn cold_limit(
         &self,
         server: &BackendServer,
@@ -22,7 +23,7 @@
         }
         let limit = self.catalog()?.service(&server.service)?.cold?;
         let returned_at = evacuations.returned_at(&server.domain);
-        let is_returned = returned_at.is_some_and(|at| now.since(at) < limit.lasts);
+        let is_returned = returned_at.is_some_and(|at| now.since(at) < limit.duration);
         let is_cold = is_returned || registry.cold_left(&server.id, now) > Millis(0);
         is_cold.then_some(limit)
     }
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -1,7 +1,8 @@
 //! The feeds of the store whose reads the gateways share: orders, backend servers, and marks of requests.
 
 use redwingfold_core::{
-    BackendId, BackendServer, FeedHeard, FeedPast, FeedTold, FeedView, MarkChange, Millis,
+    BackendId, BackendServer, FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView, MarkChange,
+    Millis,
 };
 
 /// A feed of the store.
@@ -21,8 +22,8 @@
 pub(crate) enum Audience {
     /// All gateways, so that none of them needs to read the store.
     All,
-    /// A few, so that they have one more gateway to fetch from. All have already heard from the gateway that read the
-    /// store, which can't serve all of them at once.
+    /// A few, so that they have one more gateway to fetch from. All have already been notified by the gateway that read
+    /// the store, which can't serve all of them at once.
     Few,
 }
 
@@ -68,10 +69,10 @@
     orders: FeedView,
     servers: FeedView,
     /// Recent changes of servers, from own reads and from messages.
-    server_history: FeedPast<ServerChange>,
+    server_history: FeedHistory<ServerChange>,
     marks: FeedView,
-    mark_history: FeedPast<MarkChange>,
-    unsent_orders: Option<(FeedTold, Millis, Audience)>,
+    mark_history: FeedHistory<MarkChange>,
+    unsent_orders: Option<(FeedUpdate, Millis, Audience)>,
     unsent_servers: Option<(u64, Millis, Audience)>,
     unsent_marks: Option<(u64, Millis)>,
 }
@@ -82,9 +83,9 @@
         Self {
             orders: FeedView::new(periods.orders),
             servers: FeedView::new(periods.servers),
-            server_history: FeedPast::new(MAX_CHANGES),
+            server_history: FeedHistory::new(MAX_CHANGES),
             marks: FeedView::new(periods.marks),
-            mark_history: FeedPast::new(MAX_MARKS),
+            mark_history: FeedHistory::new(MAX_MARKS),
             unsent_orders: None,
             unsent_servers: None,
             unsent_marks: None,
@@ -93,14 +94,14 @@
 
     /// Sets the number of gateways that share reads, including this one.
     pub(crate) fn set_fleet_size(&mut self, fleet: usize) {
-        self.orders.share_with(fleet);
-        self.servers.share_with(fleet);
-        self.marks.share_with(fleet);
+        self.orders.set_fleet_size(fleet);
+        self.servers.set_fleet_size(fleet);
+        self.marks.set_fleet_size(fleet);
     }
 
     /// Returns the number of gateways that share reads, including this one.
     pub fn fleet_size(&self) -> usize {
-        self.servers.fleet()
+        self.servers.fleet_size()
     }
 
     fn view(&mut self, feed: Feed) -> &mut FeedView {
@@ -116,9 +117,9 @@
         self.view(feed).next()
     }
 
-    /// Returns the highest offset up to which a feed was ever known. It is kept by [`Feeds::reset`].
+    /// Returns the highest offset that this gateway has reached in a feed. [`Feeds::reset`] keeps it.
     pub fn reached(&mut self, feed: Feed) -> Option<u64> {
-        self.view(feed).reached()
+        self.view(feed).highest_next()
     }
 
     /// Returns the time as of which a feed is known, if it ever was.
@@ -133,13 +134,14 @@
 
     /// Clears the position in a feed, so that it is read whole.
     pub fn reset(&mut self, feed: Feed) {
-        self.view(feed).lose();
+        self.view(feed).clear_offset();
     }
 
     /// Records that orders are known up to `next` as of `as_of`, to be announced to `audience`.
     pub(crate) fn record_orders(&mut self, as_of: Millis, next: u64, audience: Audience) {
-        self.orders.read(as_of, next, fastrand::u64(..));
-        self.unsent_orders = Some((FeedTold { from: next, next, age: Millis(0) }, as_of, audience));
+        self.orders.record_read(as_of, next, fastrand::u64(..));
+        self.unsent_orders =
+            Some((FeedUpdate { from: next, next, age: Millis(0) }, as_of, audience));
     }
 
     /// Records this gateway's own read of servers, which started at `began`, and its changes.
@@ -160,33 +162,33 @@
         audience: Audience,
     ) {
         let from = self.servers.next().unwrap_or(next);
-        self.servers.read(began, next, fastrand::u64(..));
+        self.servers.record_read(began, next, fastrand::u64(..));
         self.server_history.add(from, next, changes);
         self.unsent_servers = Some((next, began, audience));
     }
 
     /// Records that the whole list of servers as of `as_of` was fetched from another gateway. The changes up to then
-    /// are unknown, but a few gateways hear that they can fetch the list here as well.
+    /// are unknown, but a few gateways are notified that they can fetch the list here as well.
     pub(crate) fn record_fetched_servers(&mut self, as_of: Millis, next: u64) {
-        self.servers.lose();
+        self.servers.clear_offset();
         self.record_servers(as_of, next, Vec::new(), Audience::Few);
     }
 
     /// Applies a message on orders; returns `true` if this gateway has missed some.
-    pub(crate) fn apply_orders_update(&mut self, update: FeedTold, now: Millis) -> bool {
-        self.orders.hear(update, now, fastrand::u64(..)) == FeedHeard::Missed
+    pub(crate) fn apply_orders_update(&mut self, update: FeedUpdate, now: Millis) -> bool {
+        self.orders.apply_update(update, now, fastrand::u64(..)) == FeedUpdateOutcome::Gap
     }
 
     /// Applies a message on servers; returns the changes in it that are new here.
     pub(crate) fn apply_servers_update(
         &mut self,
-        update: FeedTold,
+        update: FeedUpdate,
         changes: Vec<ServerChange>,
         now: Millis,
     ) -> Vec<ServerChange> {
         let from = self.servers.next();
-        match (self.servers.hear(update, now, fastrand::u64(..)), from) {
-            (FeedHeard::Applies, Some(from)) => {
+        match (self.servers.apply_update(update, now, fastrand::u64(..)), from) {
+            (FeedUpdateOutcome::Applies, Some(from)) => {
                 self.server_history.add(from, update.next, changes.clone());
                 changes
             }
@@ -195,25 +197,25 @@
     }
 
     /// Takes the unsent update on orders.
-    pub(crate) fn take_orders_update(&mut self, now: Millis) -> Option<(FeedTold, Audience)> {
+    pub(crate) fn take_orders_update(&mut self, now: Millis) -> Option<(FeedUpdate, Audience)> {
         let (update, as_of, audience) = self.unsent_orders.take()?;
-        Some((FeedTold { age: now.since(as_of), ..update }, audience))
+        Some((FeedUpdate { age: now.since(as_of), ..update }, audience))
     }
 
     /// Takes the unsent update on servers.
     pub(crate) fn take_servers_update(
         &mut self,
         now: Millis,
-    ) -> Option<(FeedTold, Vec<ServerChange>, Audience)> {
+    ) -> Option<(FeedUpdate, Vec<ServerChange>, Audience)> {
         let (next, began, audience) = self.unsent_servers.take()?;
-        let (from, changes) = self.server_history.told().unwrap_or((next, Vec::new()));
-        Some((FeedTold { from, next, age: now.since(began) }, changes, audience))
+        let (from, changes) = self.server_history.recent_changes().unwrap_or((next, Vec::new()));
+        Some((FeedUpdate { from, next, age: now.since(began) }, changes, audience))
     }
 
     /// Records this gateway's own read of marks, which started at `began`, and the marks read.
     pub(crate) fn record_marks_read(&mut self, began: Millis, next: u64, changes: Vec<MarkChange>) {
         let from = self.marks.next().unwrap_or(next);
-        self.marks.read(began, next, fastrand::u64(..));
+        self.marks.record_read(began, next, fastrand::u64(..));
         self.mark_history.add(from, next, changes);
         self.unsent_marks = Some((next, began));
     }
@@ -221,13 +223,13 @@
     /// Applies a message on marks; returns those that are new here.
     pub(crate) fn apply_marks_update(
         &mut self,
-        update: FeedTold,
+        update: FeedUpdate,
         changes: Vec<MarkChange>,
         now: Millis,
     ) -> Vec<MarkChange> {
         let from = self.marks.next();
-        match (self.marks.hear(update, now, fastrand::u64(..)), from) {
-            (FeedHeard::Applies, Some(from)) => {
+        match (self.marks.apply_update(update, now, fastrand::u64(..)), from) {
+            (FeedUpdateOutcome::Applies, Some(from)) => {
                 self.mark_history.add(from, update.next, changes.clone());
                 changes
             }
@@ -236,9 +238,12 @@
     }
 
     /// Takes the unsent update on marks.
-    pub(crate) fn take_marks_update(&mut self, now: Millis) -> Option<(FeedTold, Vec<MarkChange>)> {
+    pub(crate) fn take_marks_update(
+        &mut self,
+        now: Millis,
+    ) -> Option<(FeedUpdate, Vec<MarkChange>)> {
         let (next, began) = self.unsent_marks.take()?;
-        let (from, changes) = self.mark_history.told().unwrap_or((next, Vec::new()));
-        Some((FeedTold { from, next, age: now.since(began) }, changes))
+        let (from, changes) = self.mark_history.recent_changes().unwrap_or((next, Vec::new()));
+        Some((FeedUpdate { from, next, age: now.since(began) }, changes))
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -8,10 +8,10 @@
 
 use event_listener::Event;
 use redwingfold_core::{
-    Catalog, ConfidenceGains, ConnectTimes, Evacuations, FeedPositions, InterruptedRuns,
-    LeavingServers, Millis, Pressure, Quarantine, QuarantinePolicy, ReadRates, Regions, Registry,
-    RegistryPolicy, RepeatBudget, RepeatUse, RetryAfterTimes, SendTurns, ServerLimits, ServiceName,
-    StreamTimes,
+    Catalog, ConfidenceGains, ConnectTimeout, DomainRegions, Evacuations, FeedPositions,
+    InterruptedRuns, LeavingServers, Millis, Pressure, Quarantine, QuarantinePolicy, ReadRates,
+    Registry, RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, SendTurns, ServerLimits,
+    ServiceName, StreamTimes,
 };
 use redwingfold_telemetry::Telemetry;
 use smol::LocalExecutor;
@@ -46,7 +46,7 @@
 /// The copy of the store from which a whole list was read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreCopy {
-    /// An older copy, from which the store was restored; this gateway may know newer records.
+    /// An older copy, from which the store was restored; this gateway may have newer records.
     Older,
     /// A copy with all writes that the store acknowledged.
     Current,
@@ -89,7 +89,7 @@
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) claims: RefCell<VecDeque<TrialClaim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
-    pub(crate) regions: RefCell<Regions>,
+    pub(crate) regions: RefCell<DomainRegions>,
     pub(crate) send_turns: RefCell<SendTurns>,
     pub(crate) turn_waiters: TurnWaiters,
     pub(crate) server_limits: RefCell<ServerLimits>,
@@ -102,15 +102,15 @@
     /// Why the last read of the operator's topic failed.
     pub(crate) orders_read_error: RefCell<Option<String>>,
     /// Positions of other gateways in the operator's topic.
-    pub(crate) orders_leads: RefCell<FeedPositions<SocketAddr>>,
+    pub(crate) orders_positions: RefCell<FeedPositions<SocketAddr>>,
     /// Positions of other gateways in the feed of backend servers.
-    pub(crate) servers_leads: RefCell<FeedPositions<SocketAddr>>,
+    pub(crate) servers_positions: RefCell<FeedPositions<SocketAddr>>,
     /// The server list as last encoded for another gateway.
     pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
     /// Notified when another gateway is ahead in one of these feeds.
     pub(crate) peer_ahead: Event,
-    budgets: RefCell<HashMap<ServiceName, RepeatBudget>>,
-    pub(crate) connect_times: Cell<ConnectTimes>,
+    budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
+    pub(crate) connect_times: Cell<ConnectTimeout>,
     pub(crate) rates: RefCell<ReadRates>,
     pub(crate) rises: RefCell<ConfidenceGains>,
     pub(crate) stream_times: RefCell<StreamTimes>,
@@ -139,7 +139,7 @@
     ) -> Self {
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
-        let connect_times = ConnectTimes::new(settings.connect_timeout);
+        let connect_times = ConnectTimeout::new(settings.connect_timeout);
         // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
         let write_delay = settings.quarantine.write_delay;
         let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
@@ -176,8 +176,8 @@
             marks_changed: Event::new(),
             restored_at: Cell::default(),
             orders_read_error: RefCell::default(),
-            orders_leads: RefCell::default(),
-            servers_leads: RefCell::default(),
+            orders_positions: RefCell::default(),
+            servers_positions: RefCell::default(),
             encoded_servers: RefCell::default(),
             peer_ahead: Event::new(),
             budgets: RefCell::default(),
@@ -204,7 +204,7 @@
     }
 
     /// Sets the regions of failure domains.
-    pub fn set_regions(&self, regions: Regions) {
+    pub fn set_regions(&self, regions: DomainRegions) {
         *self.regions.borrow_mut() = regions;
     }
 
@@ -280,19 +280,19 @@
         f(&mut self.registry.borrow_mut())
     }
 
-    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RepeatBudget) -> T) -> T {
+    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut ResendBudget) -> T) -> T {
         let s = &self.settings;
         let mut budgets = self.budgets.borrow_mut();
         f(budgets.entry(service.clone()).or_insert_with(|| {
-            RepeatBudget::new(s.retry_window, s.retry_ratio, s.larger_model_ratio, s.retry_reserve)
+            ResendBudget::new(s.retry_window, s.retry_ratio, s.larger_model_ratio, s.retry_reserve)
         }))
     }
 
     pub(crate) fn count_request(&self, service: &ServiceName) {
-        self.with_budget(service, |budget| budget.request(self.now()));
+        self.with_budget(service, |budget| budget.record_request(self.now()));
     }
 
-    pub(crate) fn try_repeat(&self, service: &ServiceName, what: RepeatUse) -> bool {
+    pub(crate) fn try_repeat(&self, service: &ServiceName, what: ResendReason) -> bool {
         self.with_budget(service, |budget| budget.try_take(what, self.now()))
     }
 
@@ -300,8 +300,8 @@
     pub(crate) fn record_connect_time(&self, took: Option<Millis>) {
         let mut times = self.connect_times.get();
         match took {
-            Some(took) => times.took(took),
-            None => times.did_not_come(),
+            Some(took) => times.record_connected(took),
+            None => times.record_timeout(),
         }
         self.connect_times.set(times);
     }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use redwingfold_core::{ByteBudget, FeedTold, Members, Millis};
+use redwingfold_core::{ByteBudget, FeedUpdate, Members, Millis};
 use smol::net::UdpSocket;
 
 use crate::clock::{sleep, within};
@@ -18,7 +18,7 @@
 use crate::rollout_report::RolloutReport;
 
 /// Time between periodic messages while there is something to send. Processing a long prompt takes a second, and others
-/// should hear of it within a tenth of that.
+/// should be notified within a tenth of that.
 const SEND_INTERVAL: Millis = Millis(100);
 
 /// Turns between messages on rollouts, which are less urgent than loads.
@@ -113,12 +113,13 @@
 
     /// Sends the addresses of all peers to newcomers and, if new ones were added, to a few others.
     async fn send_addresses_to_newcomers(&mut self) {
-        let (is_news, mut recipients) = self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
-        if !is_news && recipients.is_empty() {
+        let (has_new_peers, mut recipients) =
+            self.peers.with(|m| (m.take_changed(), m.take_newcomers()));
+        if !has_new_peers && recipients.is_empty() {
             return;
         }
         let live = self.shuffled_live_peers();
-        if is_news {
+        if has_new_peers {
             recipients.extend(Members::gossip_targets(&live));
         }
         self.send_addresses(&live, &recipients, BYTES_RESERVED_FROM_ADDRESSES).await;
@@ -222,7 +223,8 @@
     parts.iter().map(message).collect()
 }
 
-/// Encodes a message. If it is too long for a datagram, optional parts are left out; `None` if it is still too long.
+/// Encodes a message. If it is too long for a datagram, its least important parts are left out; `None` if it is still
+/// too long.
 fn encode_datagram(mut message: PeerMessage) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(&message).ok()?;
     if bytes.len() <= MAX_DATAGRAM {
@@ -278,7 +280,7 @@
             changes.into_iter().map(TryInto::try_into).collect();
         match changes {
             Ok(changes) => {
-                let next = FeedTold::from(position).next;
+                let next = FeedUpdate::from(position).next;
                 let new_changes = gw
                     .with_feeds(|feeds| feeds.apply_servers_update(position.into(), changes, now));
                 gw.apply_server_changes(new_changes);
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, StatusCode, Uri};
 use redwingfold_core::{
     Arm, BackendId, BackendServer, Catalog, Customer, EndedRun, ErrorKind, EventId, Fault,
-    Fingerprint, Millis, Priority, RepeatUse, Route, RunState, ServiceName, VersionName, Work,
+    Fingerprint, Millis, Priority, ResendReason, Route, RunState, ServiceName, VersionName, Work,
     is_in_first_half,
 };
 
@@ -91,7 +91,7 @@
         parts: RequestParts,
         received_at: Millis,
     ) -> Self {
-        let service = route.target(fastrand::u64(..)).cloned().unwrap_or_default();
+        let service = route.choose_service(fastrand::u64(..)).cloned().unwrap_or_default();
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
         let deadline = received_at.after(metadata.timeout.unwrap_or(longest).min(longest));
         let is_chosen_here = metadata.model == RequestedModel::Any && !route.sizes.is_empty();
@@ -172,7 +172,7 @@
         let moves =
             self.gw.with_rollouts(|r| r.moves_session(&server.service, &server.version, now));
         if let (true, Some(session)) = (moves, self.binding_inputs().session) {
-            self.gw.session_moved(session);
+            self.gw.record_session_move(session);
         }
     }
 
@@ -261,7 +261,7 @@
             return true;
         };
         if size == 0 {
-            self.gw.record_first_attempt(response.time_to_first_byte, self.route.aim);
+            self.gw.record_first_attempt(response.time_to_first_byte, self.route.latency_target);
         }
         let own = self.unshared_tokens();
         self.gw.rates.borrow_mut().record(&self.service, size, own, response.time_to_first_byte);
@@ -298,7 +298,7 @@
             service: &self.service,
             version: &response.server.version,
             route: &self.route.name,
-            size: response.size.unwrap_or(0),
+            size_index: response.size.unwrap_or(0),
             load: response.load_per_slot(),
             is_first_half: is_in_first_half(&response.server.id),
             signal,
@@ -368,7 +368,7 @@
     }
 
     fn take_retry_budget(&mut self) -> bool {
-        self.gw.try_repeat(&self.service, RepeatUse::Failure)
+        self.gw.try_repeat(&self.service, ResendReason::Failure)
     }
 
     fn record_unreachable(
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -100,7 +100,7 @@
         let copy = if is_older { StoreCopy::Older } else { StoreCopy::Current };
         let least = Millis(0);
         let most = Millis(self.last_read_at.map_or(0, |at| ms - at));
-        let age = OrderAge { least, most, is_unknown: self.last_read_at.is_none() };
+        let age = OrderAge { min: least, max: most, is_unknown: self.last_read_at.is_none() };
         self.last_read_at = Some(ms);
         if let Some(target) = store.order.clone() {
             let order = RolloutOrder { target, window: Millis(WINDOW) };
@@ -241,7 +241,7 @@
                 service: &service,
                 version: &version,
                 route: &route,
-                size: 0,
+                size_index: 0,
                 load: 0.0,
                 is_first_half: false,
                 signal,
@@ -301,8 +301,8 @@
         let wrong = if is_bad { Phase::Done } else { Phase::RolledBack };
         let of_first = self.written.iter().filter(|(_, target, _)| *target == version(2));
         assert!(of_first.clone().all(|(.., ended)| *ended != Some(wrong)), "{what}");
-        let stands = |pair: &[(u32, VersionName, Option<Phase>)]| pair[0] == pair[1];
-        assert!(!self.written.windows(2).any(stands), "{what}: {:?}", self.written);
+        let is_repeated = |pair: &[(u32, VersionName, Option<Phase>)]| pair[0] == pair[1];
+        assert!(!self.written.windows(2).any(is_repeated), "{what}: {:?}", self.written);
     }
 }
 
--- a/gateway/src/rollout_report.rs
+++ b/gateway/src/rollout_report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use redwingfold_core::{Millis, Phase, RouteEvidence, Sent, ServiceName, VersionName};
+use redwingfold_core::{Millis, Phase, RouteEvidence, SendCounts, ServiceName, VersionName};
 
 /// One gateway's report on a rollout.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,10 +21,10 @@
     /// Evidence from the sender's answers, by a hash of the route's name.
     pub routes: HashMap<u32, RouteEvidence>,
     /// Requests that the sender has sent since the order.
-    pub sent: Sent,
+    pub sent: SendCounts,
     /// Whether the sender has rolled the target back.
     pub is_rolled_back: bool,
-    /// The status in the store, as far as the sender knows it.
+    /// The status in the store, as last read by the sender or reported to it.
     pub stored_status: StoredStatus,
     /// Era of the store: how often it had been restored from an older copy.
     pub store_era: u64,
@@ -52,7 +52,7 @@
 /// A rollout's status in the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoredStatus {
-    /// Not known.
+    /// Neither read nor reported yet.
     #[default]
     Unknown,
     /// Running.
