--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one backend server.
+//! One attempt to run a request on one backend server.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     Call, CallHead, FrameReader, FrameWriter, RunCall, RunEnd, RunFrame, RunHead, WireError,
 };
 
-/// Why an attempt failed, and how far the side's configuration went.
+/// Why an attempt failed, and the offset of the side's configuration if the side reported it.
 #[derive(Debug)]
 pub(crate) struct AttemptError {
     pub(crate) error: RequestError,
@@ -26,10 +26,11 @@
     }
 }
 
-/// An answer on its way. Dropping it cancels the run.
+/// A response that is being received. Dropping it cancels the run.
 pub(crate) struct ResponseStream {
     rx: FrameReader<RunFrame>,
-    // Dropped early, it would finish the sending half; the side reads nothing into that.
+    // Kept open for the whole run; if it were dropped early, the sending half would finish, which
+    // the side ignores.
     _tx: FrameWriter<Call>,
     head: CallHead,
     backend: String,
@@ -40,13 +41,13 @@
     _call_guard: CallCount,
 }
 
-/// The next part of an answer.
+/// A part of a response.
 pub(crate) enum ResponsePart {
     Chunk(Vec<u8>),
     End(Box<RunEnd>),
 }
 
-/// Sends a request to a side and waits for the head of its answer.
+/// Sends a request to a side and waits for the head of its response.
 pub(crate) async fn start_run(
     entry: &Arc<Entry>,
     link: &Arc<SideLink>,
@@ -91,7 +92,7 @@
 }
 
 impl ResponseStream {
-    /// Reads the next frame of this run; one of another run breaks the answer off.
+    /// Reads the next frame; a frame of another run is an error.
     async fn read_frame(&mut self) -> Result<RunFrame, AttemptError> {
         let frame = self.rx.next().await.map_err(|e| wire_error(&e))?;
         self.link.link.heard(self.entry.daemon.now());
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Reads the next part. At the end, length and checksum must be those of what came before.
+    /// Reads the next part. At the end, the length and checksum are verified against the received
+    /// chunks.
     pub(crate) async fn next_part(&mut self) -> Result<ResponsePart, RequestError> {
         let (link, entry) = (self.link.clone(), self.entry.clone());
         let connection_dead = async {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Reads the rest of the answer, up to `max` bytes.
+    /// Reads the rest of the response, up to `max` bytes.
     pub(crate) async fn read_all(
         &mut self,
         max: usize,
--- a/src/entry/auth.rs
+++ b/src/entry/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls, and what the head says about the request.
+//! Authentication of callers, and parsing of request headers.
 
 use redwingfold_core::{Config, CustomerName, ErrorKind, Millis, SessionId};
 use redwingfold_http::Request;
@@ -12,7 +12,7 @@
 const MAX_KEY_BYTES: usize = 256;
 const DEFAULT_CLASS: &str = "default";
 
-/// What a request's head says.
+/// The authenticated customer and the options from a request's headers.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     pub(crate) customer: CustomerName,
@@ -20,11 +20,11 @@
     pub(crate) idempotency_key: Option<String>,
     pub(crate) timeout: Millis,
     pub(crate) priority: u8,
-    /// Kind of request, for which quality is known.
+    /// Request class; quality is measured per class.
     pub(crate) class: String,
 }
 
-/// Returns the SHA-256 of a customer's key, as it stands in the configuration.
+/// Returns the SHA-256 of a customer's key in lowercase hex, as stored in the configuration.
 pub(crate) fn key_sha256(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -33,7 +33,10 @@
     req.header(name).map(|values| values.as_str().trim())
 }
 
-/// Reads the head.
+/// Authenticates the caller and parses the request's headers.
+///
+/// The key comes from `Authorization: Bearer` or else `X-Api-Key`. A requested timeout is capped at
+/// the configured maximum.
 pub(crate) fn parse_caller(
     req: &Request,
     config: &Config,
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -1,4 +1,4 @@
-//! Chat requests: which version answers, at which engine, and again if need be.
+//! Chat requests: choosing a version and a backend server, retrying, and streaming the response.
 
 use std::sync::Arc;
 
@@ -23,25 +23,26 @@
 use crate::clock::span;
 use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
 
-/// Bytes of a streamed answer that are kept for rating it.
+/// Bytes of a streamed response that are buffered for rating; collection stops at the first chunk
+/// that reaches it.
 const MAX_RATED_BYTES: usize = 64 * 1024;
 
-/// Tokens that are expected of a request that names no maximum.
+/// Estimated output tokens of a request without `max_tokens`.
 const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
-/// Characters of a prompt that make one token, roughly.
+/// Approximate bytes of prompt text per token.
 const CHARS_PER_TOKEN: u64 = 4;
 
-/// How often a request is planned anew because a side knew a newer configuration.
+/// Times that a request is planned again because a side had a newer configuration.
 const MAX_REPLANS: u32 = 3;
 
-/// Pause between looks for a connection that takes the place of a lost one.
+/// Interval at which a replacement for a lost connection is looked for.
 const RECONNECT_POLL_INTERVAL: Millis = Millis(10);
 
-/// Longest wait for the records that a side had and this entry had not.
+/// Longest wait for this entry's configuration to reach the offset that a side reported.
 const CATCH_UP_TIMEOUT: Millis = Millis(1_000);
 
-/// A chat request as far as the router reads it.
+/// The parts of a chat request that routing needs, and its raw body.
 #[derive(Clone, Debug)]
 pub(crate) struct ChatRequest {
     pub(crate) model_name: String,
@@ -75,7 +76,7 @@
     }
 }
 
-/// A chat request on its way.
+/// The execution of one chat request.
 pub(crate) struct ChatRun {
     pub(crate) entry: Arc<Entry>,
     pub(crate) caller: Caller,
@@ -86,14 +87,14 @@
     pub(crate) deadline: Millis,
 }
 
-/// The answer, and what its head tells.
+/// The response, and the values for its headers.
 pub(crate) struct ChatResponse {
     pub(crate) res: Response,
     pub(crate) version: VersionName,
     pub(crate) moved_from: Option<VersionName>,
 }
 
-/// The versions of a request, in order.
+/// The versions to try for a request, in order, with the quality target of a cascade.
 struct VersionPlan {
     steps: Vec<VersionName>,
     quality_target: Option<PerMille>,
@@ -101,12 +102,13 @@
     offset: Offset,
 }
 
-/// What was spent on a request so far, and where it has been.
+/// The attempts of a request so far, with their usage and the backend servers tried.
 struct RunProgress {
     attempts: u32,
     usage: Usage,
     tried: TriedBackends,
-    /// What all failed attempts together say: the last may not have run, and an earlier one have.
+    /// Run state of all attempts combined: an earlier attempt may have run even if the last did
+    /// not.
     run_state: RunState,
 }
 
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Answers the request.
+    /// Runs the request, planning again if a side had a newer configuration.
     pub(crate) async fn execute(
         self: &Arc<Self>,
         in_flight: InFlightGuard,
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Tries the steps of a plan: each answer but the last is judged before it is given.
+    /// Runs the versions of a plan in order. With a quality target, each response but that of the
+    /// last version is rated, and one below the target is discarded for the next version.
     async fn run_plan(
         self: &Arc<Self>,
         version_plan: &VersionPlan,
@@ -240,7 +243,7 @@
         Err(failure.unwrap_or_else(|| RequestError::from(ErrorKind::NoBackend).into()))
     }
 
-    /// Runs one version, at another backend server after a failure that allows it.
+    /// Runs the request on one version, retrying on other backend servers after retryable failures.
     async fn run_version(
         self: &Arc<Self>,
         version: &VersionName,
@@ -286,8 +289,8 @@
         }
     }
 
-    /// Says whether another backend server is left. After a lost connection it waits a moment for
-    /// the one that takes its place, and for what the side tells on it.
+    /// Returns whether an untried backend server is available. After a lost connection, waits up to
+    /// two heartbeat intervals for a replacement connection and the first load report on it.
     async fn has_untried_backend(
         &self,
         version: &VersionName,
@@ -360,7 +363,7 @@
         }
     }
 
-    /// Picks a backend server that has the version and was not tried.
+    /// Picks an untried backend server that has the version loaded.
     fn pick(&self, version: &VersionName, tried: &TriedBackends) -> Option<BackendTarget> {
         let prefix = prefix_hash(version, &self.req.prompt);
         let hints = &self.entry.hints;
@@ -371,7 +374,7 @@
         })
     }
 
-    /// Makes the answer to the caller.
+    /// Builds the response to the caller; a stream is forwarded by a task of its own.
     fn build_response(
         self: &Arc<Self>,
         version: &VersionName,
@@ -391,7 +394,8 @@
                 (head, body)
             }
             StartedResponse::Whole { head, body, end, link } => {
-                // Not before: an answer that is judged and not given leaves its bill to the next.
+                // Only now: a response that was rated and discarded must not be billed by itself;
+                // its usage is included in the next one's bill.
                 self.hold_bill(&end, &link);
                 if head.status == u16::from(StatusCode::Ok) && is_sampled(&self.entry, version) {
                     let text = String::from_utf8_lossy(&body).into_owned();
@@ -415,8 +419,10 @@
         smol::spawn(rating).detach();
     }
 
-    /// Passes a streamed answer on. One that breaks off ends with an error event and a cut body:
-    /// the caller must not take it for whole, and it is never continued from another attempt.
+    /// Forwards a streamed response to the caller.
+    ///
+    /// A stream that fails ends with an error event and a truncated body, so that the caller can't
+    /// take it for complete. It is never continued from another attempt.
     async fn forward_stream(
         self: Arc<Self>,
         version: VersionName,
@@ -472,13 +478,13 @@
     }
 }
 
-/// An answer that has begun.
+/// A response whose head has been received.
 enum StartedResponse {
     Stream { head: RunHead, response_stream: Box<ResponseStream> },
     Whole { head: RunHead, body: Vec<u8>, end: Box<RunEnd>, link: Arc<SideLink> },
 }
 
-/// Holds a bill until the log has it. Its side holds the other copy.
+/// Stores a bill until it is in the log; its side has the second copy.
 pub(crate) fn hold_bill(entry: &Entry, bill: Bill, link: &SideLink) {
     let held = Held { bill, side: Some(link.host.clone()) };
     if entry.bills.hold(held, Millis(0)).is_err() {
@@ -486,7 +492,7 @@
     }
 }
 
-/// Says whether a side refused because it knows a newer configuration than the plan was made from.
+/// Returns whether a side refused the request because its configuration is newer than the plan's.
 fn is_stale(e: &AttemptError, planned_at: Offset) -> bool {
     let kind = e.error.kind;
     matches!(kind, ErrorKind::NotAllowed | ErrorKind::UnknownModel | ErrorKind::Withdrawn)
@@ -494,8 +500,8 @@
         && e.side_offset > planned_at
 }
 
-/// Says whether another backend server may do better. Chat requests may run twice: only one
-/// answer is given and one bill counts.
+/// Returns whether the request may succeed on another backend server. Running a chat request twice
+/// is safe: only one response is delivered and only one bill counts.
 fn is_retryable(kind: ErrorKind) -> bool {
     matches!(
         kind,
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,4 +1,7 @@
-//! Claims on calls that may not be repeated.
+//! Claims, which give non-idempotent calls at-most-once execution.
+//!
+//! Before a call runs, its entry appends a claim to the log. The first valid claim of a key holds
+//! it; a later call with the same key gets the outcome of that run.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,20 +18,21 @@
 use crate::platform::{LogError, stream};
 use crate::wire::{Call, Closed, Outcome, Reply, new_claim_id};
 
-/// Partitions of the claims. A claim is followed by a read of its partition only: with all claims
-/// in one stream, each daemon would read those of all the others.
+/// Number of log partitions for claims. After an append only the claim's own partition is read; in
+/// a single stream each entry would have to read the claims of all others.
 const PARTITION_COUNT: u128 = 65_536;
 
-/// Partitions whose fold is kept.
+/// Partitions whose fold is cached.
 const MAX_CACHED_FOLDS: usize = 512;
 
 const PAGE_RECORDS: usize = 1000;
 const CALL_TIMEOUT: Millis = Millis(2_000);
 
-/// How often a call whose claim was closed is claimed anew before it is given up.
+/// Claims that are appended for one call before it fails, if each earlier claim of its key turns
+/// out to be closed.
 const MAX_CLAIM_ATTEMPTS: usize = 3;
 
-/// The folds of partitions that were read.
+/// Cached folds of the partitions that were read, by partition.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimFolds(Mutex<HashMap<String, Arc<smol::lock::Mutex<ClaimFold>>>>);
 
@@ -46,16 +50,19 @@
     format!("{}{}", stream::CLAIMS, key.0 % PARTITION_COUNT)
 }
 
-/// What to do with a call.
+/// The result of claiming a call.
 #[derive(Debug)]
 pub(crate) enum ClaimResult {
-    /// Run it, under this claim and at the side that it names.
+    /// The call must run, with this claim and on the side that it names.
     Run(Claim),
-    /// It ran before, with this outcome.
+    /// The call has already run, with this response.
     AlreadyRan { status: u16, content_type: Option<String>, body: Vec<u8> },
 }
 
-/// Claims a call for a run at one side.
+/// Claims a call for execution on one side.
+///
+/// If another claim holds the key, its outcome is resolved first: a response is returned, and a
+/// claim that was closed without a run is replaced.
 pub(crate) async fn claim(
     entry: &Arc<Entry>,
     link: &SideLink,
@@ -93,9 +100,10 @@
 
 /// Appends a claim and reads its partition up to it.
 ///
-/// An append without a clear answer is looked for by its id. If it is not there it may still come;
-/// the call is refused as not run, and stays so: this entry never runs it, and the side that the
-/// claim names closes it when a repeat of the call asks.
+/// If the outcome of the append is unknown, the claim is looked up by its id. A claim that is not
+/// found may still be appended later. The call is then refused as not run, which stays true: this
+/// entry never runs it, and the side that the claim names closes the claim when a repeat of the
+/// call asks for its outcome.
 async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<Standing, RequestError> {
     let partition = partition_of(claim.key);
     let json = serde_json::to_vec(claim).unwrap_or_default();
@@ -115,7 +123,7 @@
     Ok(fold.standing(claim))
 }
 
-/// Folds a partition up to an offset, or up to its end as of now.
+/// Reads a partition into its fold, up to an offset or up to the current end.
 async fn read_up_to(
     entry: &Entry,
     partition: &str,
@@ -140,11 +148,12 @@
 
 enum HolderOutcome {
     Ran(ClaimResult),
-    /// The holder's claim will never run.
+    /// The holder's claim was closed and never runs.
     Closed(ClaimId),
 }
 
-/// Asks the side that the holder's claim names what became of it, and closes it if it never came.
+/// Asks the side that the holder's claim names for its outcome, and closes the claim if the side
+/// has not received it.
 async fn resolve_holder(entry: &Entry, holder: &Claim) -> Result<HolderOutcome, RequestError> {
     let unknown = |why: &str| RequestError::new(ErrorKind::OutcomeUnknown, why);
     let connection = side_connection(entry, &holder.host).await;
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -1,4 +1,4 @@
-//! Keeping connections to the sides.
+//! Connecting to the sides, with reconnection and replacement of silent connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,21 +16,23 @@
 use crate::platform::{HostRecord, HostState};
 use crate::wire::{Control, FrameReader, FrameWriter};
 
-/// Pause between looks whether a replaced connection is needed still.
+/// Interval at which a replaced connection is checked for remaining requests.
 const REPLACED_POLL_INTERVAL: Millis = Millis(200);
 
 const INITIAL_BACKOFF: Millis = Millis(100);
 
-/// Seed of the ranking that gives all entries the same keepers.
+/// Seed of the host ranking that makes all entries choose the same keepers, the sides that store
+/// session pins.
 const KEEPER_SEED: &str = "keepers";
 
-/// A connection for a few calls; one that was opened for them ends with this.
+/// A connection to a side for a few calls. One that was opened for them closes when this is
+/// dropped.
 pub(crate) struct SideConnection {
     pub(crate) conn: Connection,
     _endpoint: Option<Endpoint>,
 }
 
-/// Returns a connection to a side, be it among this entry's sides or not.
+/// Returns the existing connection to a side, or a new temporary one if this entry has none.
 pub(crate) async fn side_connection(entry: &Entry, host: &HostId) -> Option<SideConnection> {
     if let Some(link) = entry.sides.get(host) {
         return Some(SideConnection { conn: link.conn.clone(), _endpoint: None });
@@ -42,14 +44,14 @@
     Some(SideConnection { conn, _endpoint: Some(endpoint) })
 }
 
-/// Keeps connections to this entry's sides, for ever.
+/// Keeps this entry connected to its sides, following the host list. Never returns.
 pub(crate) async fn keep_connected(entry: Arc<Entry>) {
     let mut connecting: BTreeMap<HostId, (HostRecord, smol::Task<()>)> = BTreeMap::new();
     loop {
         let changed = entry.daemon.hosts.changed();
         let hosts = entry.daemon.hosts.current();
         let wanted = wanted_sides(&entry, &hosts);
-        // A side that leaves stays connected until it closes: its streams under way go on.
+        // A leaving side stays connected until it closes, so that its running streams can finish.
         connecting.retain(|host, (record, _)| {
             hosts.iter().any(|h| h.host == *host && h.address == record.address)
                 && (wanted.contains(host) || !is_live(&hosts, host))
@@ -81,8 +83,10 @@
     wanted
 }
 
-/// Connects to a side again and again, each time after a longer pause, with jitter: sixty that
-/// begin at once must not come back in step.
+/// Keeps one side connected, reconnecting with exponential backoff.
+///
+/// The backoff is jittered so that many entries (such as sixty) that lose a side at the same time
+/// don't reconnect all at once.
 async fn keep_side_connected(entry: Arc<Entry>, record: HostRecord) {
     let mut backoff = INITIAL_BACKOFF;
     let mut replacement: Option<Connected> = None;
@@ -119,12 +123,12 @@
         .map_err(|e| e.to_string())?;
     match connected.hello.host == record.host {
         true => Ok(connected),
-        // The address went to another host, and the list is behind.
+        // The address was reassigned to another host and the host list is stale.
         false => Err(format!("answers as {}", connected.hello.host)),
     }
 }
 
-/// Holds a connection until it ends; returns the one that takes its place, if there is one.
+/// Runs a connection until it is dead or replaced; returns the replacement, if there is one.
 async fn run_connection(
     entry: &Arc<Entry>,
     record: &HostRecord,
@@ -143,7 +147,7 @@
         .telemetry
         .info("side_connected", &[("host", &link.host), ("incarnation", &link.incarnation)]);
     smol::spawn(replicate_pins(entry.clone())).detach();
-    // It ends by itself, with the last answer on the connection.
+    // Detached: a replaced connection stays open until its last response has been received.
     smol::spawn(run_link_control(entry.clone(), link.clone(), connected.tx, connected.rx)).detach();
     let _registration = LinkRegistration { entry: entry.clone(), link: link.clone() };
     let connection_dead = async {
@@ -153,10 +157,11 @@
     smol::future::or(connection_dead, watch_health(entry, record, &link)).await
 }
 
-/// Keeps a link among those that get new work, until it is dropped.
+/// Keeps a link in the list of links for new requests; dropping it removes the link.
 ///
-/// The task that holds a link is dropped when its host is not wanted any more. Were the link not
-/// taken out then, requests would go on to a connection that nobody watches, and be lost with it.
+/// The task that runs a link is dropped when its host is no longer wanted. If the link stayed in
+/// the list, requests would be sent on a connection whose health is not monitored, and be lost with
+/// it.
 struct LinkRegistration {
     entry: Arc<Entry>,
     link: Arc<SideLink>,
@@ -169,7 +174,8 @@
     }
 }
 
-/// Runs the control stream of a connection until it is dead, or was replaced and is not needed.
+/// Runs the control stream of a connection until the connection is dead, or was replaced and has no
+/// requests left.
 async fn run_link_control(
     entry: Arc<Entry>,
     link: Arc<SideLink>,
@@ -206,10 +212,12 @@
     link.conn.close(VarInt::from_u32(0), b"over");
 }
 
-/// Waits until the connection is silent, and opens another beside it.
+/// Waits until the connection is silent, then opens a second one to the same side and returns it.
 ///
-/// The peer may be well and only this connection dead: a new one tells the two apart sooner than
-/// any waiting. If the old one speaks again first, it stays.
+/// The peer may be healthy and only this connection dead. A new connection shows which it is sooner
+/// than waiting for the dead timeout. If the old connection has recovered by the time the new one
+/// is open, the old one stays in use. Returns `None` if the connection is dead and the new one
+/// failed.
 async fn watch_health(entry: &Entry, record: &HostRecord, link: &SideLink) -> Option<Connected> {
     let daemon = &entry.daemon;
     loop {
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share.
+//! State that is shared by all tasks of an entry.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,7 +17,7 @@
 use crate::daemon::Daemon;
 use crate::settings::EntrySettings;
 
-/// What the parts of an entry share.
+/// State that is shared by all tasks of an entry.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) daemon: Daemon,
@@ -36,7 +36,7 @@
     in_flight: AtomicUsize,
 }
 
-/// Counts a request until it is dropped.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard(Arc<Entry>);
 
@@ -72,7 +72,11 @@
         }
     }
 
-    /// Counts a request, within the limit.
+    /// Admits a request and counts it as in flight, and adds its share to the retry budget.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::TooManyOpen`] if the limit of requests in flight is reached.
     pub(crate) fn admit_request(self: &Arc<Self>) -> Result<InFlightGuard, ErrorKind> {
         let before = self.in_flight.fetch_add(1, Ordering::SeqCst);
         let in_flight = InFlightGuard(self.clone());
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Returns a number that goes up by one each time.
+    /// Returns the next value of the round-robin counter.
     pub(crate) fn next_round_robin(&self) -> usize {
         self.round_robin_counter.fetch_add(1, Ordering::Relaxed)
     }
@@ -92,7 +96,7 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Takes a retry out of the budget.
+    /// Takes a retry from the budget; returns `false` if the budget is used up.
     pub(crate) fn try_retry(&self) -> bool {
         let taken = self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).try_retry();
         self.daemon.telemetry.count(if taken { "retry.taken" } else { "retry.refused" }, 1);
--- a/src/entry/decisions.rs
+++ b/src/entry/decisions.rs
@@ -1,4 +1,4 @@
-//! What was decided about each request, and from what.
+//! Traces of routing decisions, kept for the most recent requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,16 +6,16 @@
 use redwingfold_core::{Millis, RequestId};
 use serde::Serialize;
 
-/// One step of a decision.
+/// One step of a decision trace.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Step {
-    /// Milliseconds since the request came.
+    /// Milliseconds since the request was received.
     pub(crate) at: Millis,
     pub(crate) what: &'static str,
     pub(crate) detail: String,
 }
 
-/// The decisions about one request.
+/// The decision trace of one request.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Decision {
     pub(crate) request: RequestId,
@@ -25,7 +25,7 @@
     pub(crate) steps: Vec<Step>,
 }
 
-/// Adds the steps of one request.
+/// Shared handle to a request's trace, with the monotonic start time.
 #[derive(Clone, Debug)]
 pub(crate) struct DecisionTrace(Arc<Mutex<Decision>>, Millis);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The last decisions of this entry.
+/// The traces of this entry's most recent requests, at most `max`.
 #[derive(Debug)]
 pub(crate) struct Decisions {
     max: usize,
@@ -70,7 +70,8 @@
         self.traces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins the trace of a request; `wall` is told to people, `now` measures the steps.
+    /// Starts the trace of a request. `wall` is the start time that is reported; `now` is monotonic
+    /// and the base of the steps' times.
     pub(crate) fn begin(&self, request: RequestId, wall: Millis, now: Millis) -> DecisionTrace {
         let decision = Decision {
             request,
--- a/src/entry/hints.rs
+++ b/src/entry/hints.rs
@@ -1,19 +1,20 @@
-//! Where prompts that begin alike went, so that they find the engine's prefix cache warm.
+//! Prefix cache hints: prompts with the same prefix are routed to the backend server that probably
+//! has the prefix in its engine's cache.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use redwingfold_core::{HostId, Millis, VersionName};
 
-/// Characters of the prompt's beginning that stand for it.
+/// Characters at the start of a prompt that are hashed as its prefix.
 const PREFIX_CHARS: usize = 64;
 
-/// Age at which a hint is worth nothing: engines evict without telling in time.
+/// Age at which a hint expires; engines evict prefixes without reporting it in time.
 const MAX_HINT_AGE: Millis = Millis(60_000);
 
 const MAX_HINTS: usize = 50_000;
 
-/// Where each prefix went last.
+/// The backend server that each prefix was last sent to, by prefix hash.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixHints(Mutex<HashMap<u64, Hint>>);
 
@@ -24,7 +25,7 @@
     recorded_at: Millis,
 }
 
-/// Returns what stands for the beginning of a prompt.
+/// Returns the hash of a version and the prefix of a prompt.
 pub(crate) fn prefix_hash(version: &VersionName, prompt: &str) -> u64 {
     let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     xxhash_rust::xxh3::xxh3_64(format!("{version}\0{prefix}").as_bytes())
@@ -35,7 +36,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the share of the prompt that a backend server probably has cached.
+    /// Returns the share of the prompt that a backend server probably has cached, from 1 for a new
+    /// hint down to 0 at `MAX_HINT_AGE`.
     pub(crate) fn cached_share(
         &self,
         prefix: u64,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: callers' requests, and where each goes.
+//! The entry process: accepts callers' requests and routes each to a backend server.
 
 mod attempt;
 mod auth;
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -1,4 +1,4 @@
-//! Which backend server gets a request.
+//! Selection of the backend server for a request.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,15 +10,16 @@
 use crate::settings::BalancePolicy;
 use crate::wire::Load;
 
-/// Backend servers that a request has been to, each by the connection that led there: a new
-/// connection to the same host may do what a silent one did not.
+/// Backend servers that a request was sent to, each with the ID of the connection used. A backend
+/// may be tried again on a new connection to the same host, as only the old one may have failed.
 pub(crate) type TriedBackends = BTreeSet<(usize, String)>;
 
-/// A backend server, and the connection that leads there.
+/// A backend server's name, and the connection to its side.
 pub(crate) type BackendTarget = (Arc<SideLink>, String);
 
-/// Picks a backend server among those that `serves` accepts and that were not tried, by the
-/// settings' policy; `cached` tells the share of the prompt that one probably has in its cache.
+/// Picks an untried backend server that `accepts` allows, by the configured balancing policy.
+///
+/// `cached_share` returns the share of the prompt that a backend server probably has in its cache.
 pub(crate) fn pick_backend(
     entry: &Entry,
     tried: &TriedBackends,
--- a/src/entry/quality.rs
+++ b/src/entry/quality.rs
@@ -1,4 +1,4 @@
-//! Ratings of answers: what they say of versions, and of kinds of requests.
+//! Ratings of responses: the quality of each version, overall and per request class.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +15,8 @@
 
 const MILLION: f64 = 1_000_000.0;
 
-/// What this entry has counted, what all have, and the versions that it has stopped itself.
+/// The ratings counted by this entry, those of all entries, and the versions this entry has
+/// stopped.
 #[derive(Debug, Default)]
 pub(crate) struct QualityTracker(Mutex<QualityState>);
 
@@ -26,12 +27,12 @@
     stopped: BTreeSet<VersionName>,
 }
 
-/// What this entry has counted of one version.
+/// This entry's ratings of one version.
 #[derive(Debug, Default)]
 struct LocalRatings {
     since: Offset,
     counter: RatingCounter,
-    /// Ratings by kind of request.
+    /// Ratings by request class.
     by_class: BTreeMap<String, Tally>,
 }
 
@@ -50,8 +51,8 @@
     }
 }
 
-/// Returns the offset at which a version was last changed, as far as its ratings go: a version that
-/// is put back begins anew.
+/// Returns the offset since which a version's ratings count, which is that of its last change: a
+/// version that returns to service starts with no ratings.
 pub(crate) fn in_service_since(config: &Config, version: &VersionName) -> Offset {
     let stored = config.objects.get(&ObjectKey::new("version", version));
     stored.map_or(Offset(0), |stored| stored.revision)
@@ -62,7 +63,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the lower bound of a version's quality for a kind of request, as this entry saw it.
+    /// Returns the lower bound of a version's quality for a request class, from this entry's
+    /// ratings.
     pub(crate) fn lower_bound(
         &self,
         version: &VersionName,
@@ -74,8 +76,9 @@
         tally.unwrap_or_default().lower_bound(spec.quality, spec.quality_weight)
     }
 
-    /// Returns the configuration as this entry acts by it: versions that it has stopped are
-    /// withdrawn here at once, before the log says so to all.
+    /// Returns the configuration with the versions that this entry has stopped marked as withdrawn.
+    ///
+    /// They stop here at once, before their withdrawal is in the log for all entries.
     pub(crate) fn effective_config(&self, config: Arc<Config>) -> Arc<Config> {
         let mut state = self.lock();
         state.stopped.retain(|v| config.version(v).is_some_and(|spec| spec.withdrawn_at.is_none()));
@@ -109,13 +112,13 @@
         *tally = tally.plus(increment);
     }
 
-    /// Returns this entry's totals, for the ratings stream.
+    /// Returns this entry's totals as records for the ratings stream.
     pub(crate) fn records(&self, entry: &Entry) -> Vec<TallyRecord> {
         let state = self.lock();
         state.local.keys().filter_map(|version| state.record(entry, version)).collect()
     }
 
-    /// Folds what the ratings stream has.
+    /// Applies records of the ratings stream.
     pub(crate) fn fold(&self, records: &[(Offset, Vec<u8>)]) {
         let mut state = self.lock();
         for (offset, raw) in records {
@@ -127,8 +130,8 @@
         self.lock().all_entries.offset()
     }
 
-    /// Returns what all entries have counted of a version, in all and lately, with the newest of
-    /// this one.
+    /// Returns the tallies of a version over all entries, total and recent, including this entry's
+    /// unpublished ratings.
     pub(crate) fn evidence(
         &self,
         entry: &Entry,
@@ -142,13 +145,14 @@
         (state.all_entries.total(version, since), state.all_entries.recent(version, since, wall()))
     }
 
-    /// Notes that a version is stopped; says whether it was not before.
+    /// Marks a version as stopped; returns whether it was not stopped before.
     fn mark_stopped(&self, version: &VersionName) -> bool {
         self.lock().stopped.insert(version.clone())
     }
 }
 
-/// Says whether an answer of this version is among those that are rated.
+/// Decides at random whether a response of this version is rated; versions in a rollout have a
+/// sampling rate of their own.
 pub(crate) fn is_sampled(entry: &Entry, version: &VersionName) -> bool {
     let rating = &entry.settings.rating;
     let config = entry.daemon.store.current();
@@ -162,7 +166,8 @@
     rating.address.is_some() && fastrand::u16(0..1000) < share
 }
 
-/// Has an answer rated, counts the rating, and withdraws the version if it is shown to be bad.
+/// Has a response rated, counts the rating, and tests the version with it. Returns `None` if the
+/// response could not be rated.
 pub(crate) async fn rate_response(
     entry: &Arc<Entry>,
     version: &VersionName,
@@ -180,8 +185,8 @@
     Some(score)
 }
 
-/// Tests a version by what all entries have counted; one that fails is stopped here at once and
-/// withdrawn through the log.
+/// Runs the sequential test on a version's ratings of all entries. A version that fails is stopped
+/// at once on this entry, and withdrawn for all entries through the log.
 pub(crate) fn test_version(entry: &Arc<Entry>, version: &VersionName) {
     let rating = &entry.settings.rating;
     let config = entry.daemon.store.current();
--- a/src/entry/response.rs
+++ b/src/entry/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Error responses and response headers for callers.
 
 use redwingfold_core::{ErrorKind, Millis, RequestId, RunState, VersionName};
 use redwingfold_http::{Refusal, Response, StatusCode};
@@ -10,7 +10,7 @@
 const RUN_STATE: &str = "x-run-state";
 const SESSION_MOVED: &str = "x-session-moved";
 
-/// A request's end without its answer.
+/// Why a request failed, and whether it may have run.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestError {
     pub(crate) kind: ErrorKind,
@@ -32,22 +32,22 @@
     }
 }
 
-/// What is told about a request in its answer's head.
+/// Values for the response headers that identify a request and its version.
 #[derive(Clone, Debug)]
 pub(crate) struct ResponseMetadata {
     pub(crate) request: RequestId,
     pub(crate) version: Option<VersionName>,
-    /// The version that the session had until its withdrawal.
+    /// The session's previous version, if that was withdrawn.
     pub(crate) moved_from: Option<VersionName>,
 }
 
 impl ResponseMetadata {
-    /// Makes the facts of a request that has just come.
+    /// Creates the metadata of a new request, with a random request ID.
     pub(crate) fn for_new_request() -> Self {
         Self { request: RequestId(fastrand::u128(..)), version: None, moved_from: None }
     }
 
-    /// Writes the facts into an answer's head. The decision is kept under the request's id.
+    /// Adds the headers to a response. The request ID is also the ID of the decision trace.
     pub(crate) fn add_headers(&self, res: &mut Response) {
         res.insert_header(REQUEST_ID, self.request.to_string());
         res.insert_header(DECISION_ID, self.request.to_string());
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns the body of an error, in the shape that chat clients read.
+/// Returns the JSON body of an error, in the format that chat clients expect.
 pub(crate) fn error_body(error: &RequestError) -> serde_json::Value {
     json!({
         "error": {
@@ -76,7 +76,7 @@
     })
 }
 
-/// Makes the answer to a request that has none.
+/// Creates the response to a request that failed.
 pub(crate) fn error_response(error: &RequestError) -> Response {
     let status = error.kind.row().status;
     let mut res =
@@ -90,7 +90,7 @@
     res
 }
 
-/// Makes the answer to what was refused before its head was read.
+/// Creates the response to a request or connection that was refused before the head was read.
 pub(crate) fn refusal_response(refusal: Refusal) -> Response {
     let kind = match refusal {
         Refusal::BadRequest => ErrorKind::BadRequest,
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs that go on by themselves, and withdrawals.
+//! Automatic rollout steps, and withdrawals of versions.
 
 use std::sync::Arc;
 
@@ -16,8 +16,10 @@
 const PAGE_RECORDS: usize = 500;
 const RETRY_DELAY: Millis = Millis(500);
 
-/// Tells the others what this entry has counted, takes in what they have, and acts by the sum, for
-/// ever: one batch each few seconds, and none where nothing was rated.
+/// Periodically publishes this entry's rating totals to the log, reads those of the other entries,
+/// and tests versions and advances rollouts by the sum. Never returns if rating is configured.
+///
+/// Totals are published as one batch per interval, and only if ratings were added.
 pub(crate) async fn run_rating_loop(entry: &Arc<Entry>) {
     let mut published_ratings = 0;
     if entry.settings.rating.address.is_none() {
@@ -29,7 +31,7 @@
         let rated = records.iter().map(|r| r.total.rated()).sum::<u64>();
         if rated != published_ratings {
             let json = serde_json::to_vec(&records).unwrap_or_default();
-            // One without a clear answer is told again with the next totals.
+            // If the append fails or its outcome is unknown, the next totals include these.
             if entry.daemon.log.append(stream::RATINGS, json).await.is_ok() {
                 published_ratings = rated;
             }
@@ -52,7 +54,7 @@
     }
 }
 
-/// Raises the share of each roll-out that has earned its next step.
+/// Raises the share of each rollout whose ratings allow the next step.
 async fn advance_rollouts(entry: &Arc<Entry>, config: &Config) {
     let effective = entry.quality.effective_config(entry.daemon.store.current());
     for (key, spec) in config.of_kind("rollout") {
@@ -80,8 +82,8 @@
     }
 }
 
-/// Publishes a roll-out's next share. Of several entries that do so at once the first in log order
-/// wins, as the others expect a revision that has moved.
+/// Publishes a rollout's next share. If several entries do so at the same time, the first in log
+/// order takes effect; the others expect a revision that is then outdated.
 async fn publish_share(
     entry: &Entry,
     config: &Config,
@@ -103,7 +105,7 @@
         delete: Vec::new(),
     });
     let json = serde_json::to_vec(&record).unwrap_or_default();
-    // One that did not take effect is tried again with the next look.
+    // A change that did not take effect is retried in the next round of `run_rating_loop`.
     match entry.daemon.log.append(stream::CONFIG, json).await {
         Ok(_) => {
             entry.daemon.telemetry.info("rollout_raised", &[("rollout", key), ("share", &share)])
@@ -114,7 +116,8 @@
     }
 }
 
-/// Appends a withdrawal until the log has it. A second copy has the same id and no effect.
+/// Appends a withdrawal to the log, retrying until it succeeds. A duplicate has the same id and no
+/// effect.
 pub(crate) async fn append_withdrawal(entry: Arc<Entry>, version: VersionName, reason: String) {
     let record = Record::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! The paths that an entry serves to callers.
+//! HTTP request handling for callers: paths, deadlines, body limits and response headers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -20,7 +20,7 @@
 const MODELS_PATH: &str = "/v1/models";
 const READY_PATH: &str = "/readyz";
 
-/// Answers a caller's request.
+/// Handles a caller's request and logs its outcome.
 pub(crate) async fn handle(entry: Arc<Entry>, req: Request, peer: Peer) -> Response {
     let metadata = ResponseMetadata::for_new_request();
     let probe_response = match req.url().path() {
@@ -162,7 +162,7 @@
     Ok(result.res)
 }
 
-/// Waits for an answer until the deadline, or until the caller goes away.
+/// Waits for a result until the deadline, or until the caller disconnects.
 async fn until_deadline<T>(
     entry: &Entry,
     deadline: Millis,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Reads a request's body, within the limits of size and time.
+/// Reads a request's body within the configured size and time limits.
 async fn read_body(entry: &Entry, req: &mut Request) -> Result<Vec<u8>, RequestError> {
     use smol::io::AsyncReadExt;
     let limits = &entry.settings.limits;
@@ -229,7 +229,7 @@
     }
 }
 
-/// Lists what the caller may name in `model`.
+/// Lists the names that the caller may use in `model`: versions, models and cascades.
 fn list_models(entry: &Entry, caller: &Caller) -> Response {
     let config = entry.quality.effective_config(entry.daemon.store.current());
     let session = caller.session.as_ref();
--- a/src/entry/service_call.rs
+++ b/src/entry/service_call.rs
@@ -1,4 +1,5 @@
-//! Plain services, by path. Some of their calls may not be repeated.
+//! Calls of plain services, which are selected by path. Methods that a service doesn't list as
+//! repeatable are attempted only once.
 
 use std::sync::Arc;
 
@@ -17,10 +18,10 @@
 use super::sides::SideLink;
 use crate::wire::{CallHead, Load, RunCall, Usage};
 
-/// Work that a plain call stands for in the fair queue, in tokens.
+/// Cost of a service call in the fair queue, in tokens.
 const SERVICE_CALL_WORK_TOKENS: u64 = 100;
 
-/// A call of a plain service on its way.
+/// The execution of one call of a plain service.
 pub(crate) struct ServiceCall {
     pub(crate) entry: Arc<Entry>,
     pub(crate) caller: Caller,
@@ -33,7 +34,7 @@
     pub(crate) deadline: Millis,
 }
 
-/// Finds the service with the longest prefix of a path.
+/// Finds the service whose path is the longest prefix of `path`.
 pub(crate) fn find_service<'a>(
     config: &'a Config,
     path: &str,
@@ -55,7 +56,7 @@
         self.trace.step(self.entry.daemon.now(), what, detail);
     }
 
-    /// Answers the call.
+    /// Checks that the method and the caller are allowed, and runs the call.
     pub(crate) async fn execute(
         &self,
         service: &str,
@@ -77,7 +78,7 @@
         self.run_claimed(service).await
     }
 
-    /// Runs a call that may be repeated, at another backend server after a failure.
+    /// Runs a repeatable call, retrying on other backend servers after failures.
     async fn run_repeatable(&self, service: &str) -> Result<Response, RequestError> {
         let mut tried = TriedBackends::new();
         let mut run_state = RunState::NotRun;
@@ -100,8 +101,10 @@
         }
     }
 
-    /// Runs a call that may not be repeated: one attempt, claimed first if the caller gave a key by
-    /// which a repeat can be known.
+    /// Runs a call that must not be repeated, in a single attempt.
+    ///
+    /// If the caller sent an idempotency key, the call is claimed first, so that a repeat of it by
+    /// the caller is detected.
     async fn run_claimed(&self, service: &str) -> Result<Response, RequestError> {
         let (link, backend) =
             self.pick(service, &TriedBackends::new()).ok_or_else(|| no_backend(service))?;
@@ -135,7 +138,7 @@
         let (head, mut response_stream) = start_run(&self.entry, link, call).await?;
         let received = response_stream.read_all(crate::wire::MAX_FRAME).await;
         let (body, _) = received.map_err(|error| RequestError {
-            // Its head has come, so that it has run at least in part.
+            // The response head was received, so the call has run at least in part.
             run_state: match error.run_state {
                 RunState::NotRun => RunState::MayHaveRun,
                 run => run,
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -1,4 +1,6 @@
-//! Sessions keep their version, through whatever entry they come.
+//! Session affinity: a session's requests run on one model version, whichever entry receives them.
+//!
+//! The version is stored as a pin, replicated on several sides (the pin's holders).
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,18 +17,20 @@
 use crate::peer::call;
 use crate::wire::{Call, Reply};
 
-/// Pins that a holder is given at once.
+/// Pins sent to a holder in one call.
 const REPLICATION_BATCH_PINS: usize = 500;
 
-/// Which holders were given a pin, and which start of each.
+/// The holders that a pin was sent to, each with its incarnation if it was connected.
 ///
-/// A holder that was replaced under the same name has lost its pins. Were that not seen, sessions
-/// would lose their copies one by one as hosts are replaced, until none is left and the session
-/// gets another version.
+/// The incarnation detects a holder that was replaced under the same host name and so lost its
+/// pins. Otherwise a session's copies would be lost one by one as hosts are replaced, until none is
+/// left and the session moves to another version.
 type HolderSet = Vec<(HostId, Option<Incarnation>)>;
 
-/// Pins that this entry has seen. They never change but by a withdrawal, which the entry knows of.
-/// One counts only while its holders are those that have it.
+/// Cache of the pins that this entry has used.
+///
+/// A pin changes only when its version is withdrawn, which the entry checks in the configuration.
+/// A cached pin is valid only while its current holders are those that it was sent to.
 #[derive(Debug)]
 pub(crate) struct SessionCache {
     max_pins: usize,
@@ -74,8 +78,10 @@
         .collect()
 }
 
-/// Gives the pins that this entry knows to the holders that lack them: hosts come and go more often
-/// than some sessions send requests.
+/// Sends the cached pins to the holders that lack them.
+///
+/// Repairing a pin only when its session sends a request isn't enough: a rarely used session could
+/// lose all copies in between as hosts are replaced.
 pub(crate) async fn replicate_pins(entry: Arc<Entry>) {
     let mut batches = BTreeMap::<HostId, Vec<(PinKey, Pin)>>::new();
     let mut replicated = Vec::new();
@@ -107,15 +113,18 @@
     }
 }
 
-/// The version of a session's request.
+/// The version that a session's request runs on.
 #[derive(Debug)]
 pub(crate) struct SessionVersion {
     pub(crate) version: VersionName,
-    /// The version that it had until its withdrawal.
+    /// The session's previous version, if that was withdrawn.
     pub(crate) moved_from: Option<VersionName>,
 }
 
-/// Returns the version that a session keeps; `proposed` is taken if it has none, and only then needed.
+/// Returns the version that a session is pinned to.
+///
+/// A session without a pin, or whose version was withdrawn, is pinned to `proposed`; only then does
+/// an error in `proposed` fail the request.
 pub(crate) async fn session_version(
     entry: &Arc<Entry>,
     config: &Config,
@@ -156,13 +165,14 @@
             (set_pin(entry, &key, first).await?, None)
         }
     };
-    // Another entry may have been faster with another version; it counts, if it may run.
+    // Another entry may have set another version first. That one is used, if it is allowed to run.
     may_run(&pin.version).map_err(|kind| RequestError::new(kind, "the session's version"))?;
     entry.sessions.put(&key, &pin, holders);
     Ok(SessionVersion { version: pin.version, moved_from })
 }
 
-/// What each holder has, in the order of rank; `None` for one that did not answer.
+/// The reply of each holder, in rank order. The outer `Option` is `None` if the holder did not
+/// reply, the inner one if it has no pin.
 type HolderReplies = Vec<(Option<Arc<SideLink>>, Option<Option<Pin>>)>;
 
 async fn query_holder(entry: &Entry, link: &SideLink, request: Call) -> Option<Option<Pin>> {
@@ -172,7 +182,7 @@
     }
 }
 
-/// Asks all holders at once for the pin that they have.
+/// Queries all holders in parallel and returns the newest pin, with each holder's reply.
 async fn find_pin(
     entry: &Arc<Entry>,
     key: &PinKey,
@@ -208,7 +218,8 @@
     RequestError::new(ErrorKind::NoBackend, "no holder of the session's version can be reached")
 }
 
-/// Sets a pin: the first holder that answers decides, the others take over what it says.
+/// Sets a pin: the first holder in rank order that replies decides which pin is stored, and that
+/// pin is sent to the holders after it.
 async fn set_pin(entry: &Arc<Entry>, key: &PinKey, proposed: Pin) -> Result<Pin, RequestError> {
     let holders = entry.sides.holders(key, entry.settings.sessions.copies);
     let mut links = holders.into_iter().filter_map(|(_, link)| link);
@@ -233,7 +244,7 @@
     Ok(pin)
 }
 
-/// Gives the pin to holders that answered and lack it, such as replaced ones.
+/// Sends the pin, in the background, to holders that replied without it, such as replaced hosts.
 fn repair_copies(entry: &Arc<Entry>, key: &PinKey, pin: &Pin, copies: &HolderReplies) {
     for (link, answer) in copies {
         match (link, answer) {
--- a/src/entry/sides.rs
+++ b/src/entry/sides.rs
@@ -1,4 +1,4 @@
-//! The sides that this entry is connected to, and what they told.
+//! The sides that this entry is connected to, and the backend loads that they reported.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,11 +13,11 @@
 use crate::platform::{HostRecord, HostState};
 use crate::wire::{Load, LoadChange};
 
-/// A backend server as its side last told of it.
+/// A backend server's last reported load.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) load: Load,
-    /// Requests that this entry has sent since.
+    /// Requests that this entry has sent since that report.
     pub(crate) sent_since: u32,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl SideLink {
-    /// Makes a link; the endpoint must live as long as the connection.
+    /// Creates a link. It owns the endpoint, which must outlive the connection.
     pub(crate) fn new(
         host: HostId,
         incarnation: Incarnation,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Notes that the side is leaving; says whether that is new.
+    /// Marks the side as leaving; returns whether it was not marked before.
     pub(crate) fn mark_leaving(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::Relaxed)
     }
@@ -62,7 +62,7 @@
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes newer loads.
+    /// Stores newer load reports and resets their count of sent requests.
     pub(crate) fn update_loads(&self, loads: Vec<Load>) {
         let mut reports = self.lock();
         for load in loads {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes what an answer told of its backend server.
+    /// Applies the load change that came with a response of a backend server.
     pub(crate) fn apply_load_change(&self, backend: &str, change: LoadChange) {
         if let Some(report) = self.lock().get_mut(backend) {
             report.load.busy = change.busy;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Notes that a request was sent to a backend server.
+    /// Counts a request sent to a backend server.
     pub(crate) fn count_sent(&self, backend: &str) {
         if let Some(report) = self.lock().get_mut(backend) {
             report.sent_since += 1;
@@ -94,22 +94,22 @@
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Waits until nothing can be hoped for from this connection.
+    /// Waits until the connection is dead.
     pub(crate) async fn until_dead(&self, daemon: &Daemon) {
         self.link.until(daemon, |health| health == Health::Dead).await;
     }
 
-    /// Waits until the connection is dead, or another has taken its place while it was silent.
+    /// Waits until the connection is dead, or was replaced by another while it was silent.
     ///
-    /// This is for requests without an answer yet. A stream that has begun waits for [`Self::dead`]:
-    /// the peer may just have been slow, and the rest of the stream come after all.
+    /// For requests without a response head yet. A stream that has started waits for
+    /// [`Self::until_dead`]: the peer may just have been slow, and the rest may still arrive.
     pub(crate) async fn until_dead_or_replaced(&self, daemon: &Daemon) {
         let is_lost = |health| health == Health::Dead || self.link.is_replaced();
         self.link.until(daemon, is_lost).await;
     }
 }
 
-/// The connections to sides.
+/// The connections to sides, and the keepers: the sides that store session pins.
 #[derive(Debug, Default)]
 pub(crate) struct Sides {
     links: Mutex<BTreeMap<HostId, Arc<SideLink>>>,
@@ -133,7 +133,7 @@
         self.lock().insert(link.host.clone(), link.clone());
     }
 
-    /// Takes a link out, unless another has taken its place.
+    /// Removes a link, unless another link to the host has replaced it.
     pub(crate) fn remove(&self, link: &Arc<SideLink>) {
         let mut links = self.lock();
         if links.get(&link.host).is_some_and(|current| Arc::ptr_eq(current, link)) {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Sets the sides that hold sessions; says whether they are others than before.
+    /// Sets the sides that store session pins; returns whether they changed.
     pub(crate) fn set_keepers(&self, keepers: Vec<Member>) -> bool {
         let mut current = self.keepers.lock().unwrap_or_else(PoisonError::into_inner);
         let is_new = **current != keepers;
@@ -149,7 +149,7 @@
         is_new
     }
 
-    /// Returns the holders of a session's pin, the first to be asked first.
+    /// Returns the holders of a session's pin in rank order, each with its link if it is connected.
     pub(crate) fn holders(
         &self,
         key: &PinKey,
@@ -161,15 +161,15 @@
     }
 }
 
-/// Says whether a host may be given new work, going by the host list.
+/// Returns whether the host list has the host as live, so that it may get new requests.
 pub(crate) fn is_live(hosts: &[HostRecord], host: &HostId) -> bool {
     hosts.iter().any(|h| h.host == *host && h.state == HostState::Live)
 }
 
-/// Returns the connections to which new work may go.
+/// Returns the connections that new requests may be sent on.
 ///
-/// A side says itself when it is leaving, at once; the host list, some time later, covers one that
-/// could not say so.
+/// A side announces in its heartbeats that it is leaving. The host list follows some time later,
+/// and covers sides that could not announce it.
 pub(crate) fn usable_links(entry: &Entry) -> Vec<Arc<SideLink>> {
     let hosts = entry.daemon.hosts.current();
     let mut links = entry.sides.all();
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry.
+//! Startup and graceful shutdown of an entry.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -30,7 +30,7 @@
 const HAND_OVER_TIMEOUT: Millis = Millis(3_000);
 const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 
-/// Runs an entry until `stop` says so and everything under way has ended.
+/// Runs an entry until `stop` receives a message or is closed, then shuts it down gracefully.
 ///
 /// # Errors
 ///
@@ -102,7 +102,7 @@
     smol::spawn(f(entry.clone()))
 }
 
-/// Tells the sides which bills are in the log.
+/// Confirms to each side the bills it holds that are now in the log.
 fn confirm_bills(entry: &Entry, batch: Vec<Held>) {
     for link in entry.sides.all() {
         let of_side = batch.iter().filter(|held| held.side.as_ref() == Some(&link.host));
@@ -113,7 +113,7 @@
     }
 }
 
-/// Answers what other processes of the system ask of an entry.
+/// Answers a call from another process of the system.
 async fn handle_peer_call(entry: Arc<Entry>, call: Call, mut tx: FrameWriter<Reply>) {
     let reply = match call {
         Call::Explain(request) => match entry.decisions.get(request) {
@@ -129,7 +129,7 @@
     };
     tx.send(&reply).await.ok();
     tx.finish();
-    // Dropping an unfinished stream would reset it under the reply.
+    // Dropping the stream before the peer has received all of it would reset it and lose the reply.
     tx.stopped().await;
 }
 
@@ -154,12 +154,13 @@
     serde_json::to_vec(&value).unwrap_or_default()
 }
 
-/// Lets requests end, then sees to it that no bill is lost.
+/// Drains requests in flight, then flushes the bills to the log or hands them over to a side.
 async fn shut_down(entry: &Arc<Entry>) {
     entry.drain.begin();
     let limits = &entry.settings.limits;
     entry.daemon.telemetry.info("draining", &[("under_way", &entry.drain.in_flight())]);
-    // The balancer needs a while to see that readiness has gone; until then callers still come.
+    // The load balancer takes a while to detect failed readiness; until then it still sends
+    // requests.
     Timer::after(span(limits.drain_accept_ms)).await;
     let drained = async {
         while entry.drain.in_flight() > 0 || entry.in_flight() > 0 {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Gives the unconfirmed bills to a side.
+/// Hands over the unconfirmed bills to the first side that accepts them.
 async fn hand_over(entry: &Arc<Entry>) {
     let bills = entry.bills.all();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
