--- a/http/src/body.rs
+++ b/http/src/body.rs
@@ -1,4 +1,4 @@
-//! A response body that is fed chunk by chunk.
+//! A streaming response body with chunks from a channel.
 
 use std::io;
 use std::pin::Pin;
@@ -8,10 +8,12 @@
 use http_types::Body;
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Chunks that wait between the feeder and the connection; a slow reader holds the feeder back.
+/// Chunks buffered between the sender and the connection; when it is full, the sender waits for the
+/// reader (backpressure).
 const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// The feeding end of a body. Dropping it ends the body; [`BodySender::abort`] breaks it off.
+/// The sending half of a body. Dropping it ends the body normally; [`BodySender::abort`] truncates
+/// it.
 #[derive(Debug)]
 pub struct BodySender(Sender<io::Result<Vec<u8>>>);
 
@@ -20,12 +22,12 @@
     ///
     /// # Errors
     ///
-    /// Returns the chunk if the reader is gone.
+    /// Returns the chunk if the reader was dropped.
     pub async fn send(&self, chunk: Vec<u8>) -> Result<(), Vec<u8>> {
         self.0.send(Ok(chunk)).await.map_err(|e| e.into_inner().unwrap_or_default())
     }
 
-    /// Breaks the body off, so that the reader sees it cut and not ended.
+    /// Aborts the body with an error, so that the reader can tell it from a complete one.
     pub async fn abort(self, why: &str) {
         self.0
             .send(Err(io::Error::new(io::ErrorKind::ConnectionAborted, why.to_owned())))
@@ -33,13 +35,13 @@
             .ok();
     }
 
-    /// Waits until the reader is gone.
+    /// Waits until the reader is dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// Makes a body and its feeding end.
+/// Creates a body and its sending half.
 pub fn channel_body() -> (BodySender, Body) {
     let (tx, rx) = bounded(MAX_BUFFERED_CHUNKS);
     let reader = ChannelReader { rx: Box::pin(rx), chunk: Vec::new(), offset: 0 };
--- a/http/src/client.rs
+++ b/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling HTTP/1.1 servers by IP number, with timeouts and connections that are used again.
+//! HTTP/1.1 client for servers given by socket address, with timeouts and connection reuse.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,29 +12,29 @@
 use smol::Timer;
 use smol::net::TcpStream;
 
-/// Idle connections kept for one server.
+/// Idle connections kept per server.
 const MAX_IDLE_PER_SERVER: usize = 64;
 
-/// Bytes of a body that are read at a time.
+/// Buffer size for reading a body, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A whole answer.
+/// A response with its whole body in memory.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
     /// HTTP status.
     pub status: u16,
     /// Body.
     pub body: Vec<u8>,
-    /// Value of `Retry-After`, in seconds, if there was one.
+    /// Value of `Retry-After` in seconds, if the header was present and a whole number.
     pub retry_after: Option<u64>,
 }
 
-/// How long a call may take.
+/// Timeout of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallTimeout {
-    /// So long without a byte, and as long as the bytes need.
+    /// Maximum time without receiving a byte; the total time is unlimited.
     Idle(Duration),
-    /// So long in all.
+    /// Maximum total time.
     Total(Duration),
 }
 
@@ -46,14 +46,14 @@
     }
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallError {
     /// The body is larger than allowed.
     TooLarge,
-    /// The server may have received the call, but its answer is not known.
+    /// The server may have received the call, but its response is unknown.
     Unknown(String),
-    /// No connection could be made, so the server has not received the call.
+    /// No connection could be opened, so the server has not received the call.
     Unreachable(String),
 }
 
@@ -70,26 +70,26 @@
 impl std::error::Error for CallError {}
 
 impl BufferedResponse {
-    /// Says whether the status is 2xx.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// What does not fit.
+    /// If the body isn't valid JSON for `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
-/// Connects with the small-write delay switched off.
+/// Opens a TCP connection with `TCP_NODELAY` set.
 ///
 /// # Errors
 ///
-/// [`CallError::Unreachable`] if there is no connection after `timeout`.
+/// [`CallError::Unreachable`] if the connection fails or isn't open after `timeout`.
 pub(crate) async fn connect(addr: SocketAddr, timeout: Duration) -> Result<TcpStream, CallError> {
     let unreachable = |why: String| CallError::Unreachable(format!("{addr}: {why}"));
     let connected =
@@ -103,11 +103,14 @@
     Ok(stream)
 }
 
-/// Sends a request on a connection of its own and returns the answer's head, its body unread.
+/// Sends a request on a new connection and returns the response with its body unread.
+///
+/// `timeout` applies to connecting only.
 ///
 /// # Errors
 ///
-/// [`CallError::Unreachable`] if nothing was sent, [`CallError::Unknown`] otherwise.
+/// [`CallError::Unreachable`] if no connection was opened and so nothing was sent,
+/// [`CallError::Unknown`] otherwise.
 pub async fn open_stream(
     addr: SocketAddr,
     req: Request,
@@ -117,16 +120,16 @@
     async_h1::connect(stream, req).await.map_err(|e| CallError::Unknown(e.to_string()))
 }
 
-/// A client that keeps idle connections.
+/// A client that reuses idle connections.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<TcpStream>>>>,
 }
 
 impl Client {
-    /// Calls a server and reads the whole answer.
+    /// Calls a server and reads the whole response.
     ///
-    /// `target` is the path and query, and a body is JSON.
+    /// `target` is the path and query. A body is sent as JSON.
     ///
     /// # Errors
     ///
@@ -150,10 +153,10 @@
         self.send(addr, req, timeout, max_body).await
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     ///
-    /// A call that fails on a connection that was used before is not repeated here: the server may
-    /// have received it.
+    /// A call that fails on a reused connection is not retried here, as the server may have
+    /// received it.
     ///
     /// # Errors
     ///
@@ -180,8 +183,8 @@
         Ok(response)
     }
 
-    /// Takes an idle connection on which nothing has arrived: one that the server closed in the
-    /// meantime would make the call fail with its fate unknown.
+    /// Takes an idle connection that has nothing to read. One that the server has closed in the
+    /// meantime is discarded: a call on it would fail with an unknown outcome.
     fn take_idle(&self, addr: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let streams = idle.get_mut(&addr)?;
--- a/http/src/conn.rs
+++ b/http/src/conn.rs
@@ -1,5 +1,5 @@
-//! A server's connection, with what async-h1 does not watch: bytes before a request, and a peer
-//! that goes away.
+//! A server's connection, with checks that async-h1 lacks: a limit on the bytes before a request,
+//! and detection of a disconnected peer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use smol::net::TcpStream;
 
-/// Bytes that are read before a request's head must have ended.
+/// Maximum number of bytes read before the end of a request's head.
 ///
-/// async-h1 refuses heads over 8 KiB, but looks only at the end of a line: a head of one endless
-/// line would grow in memory until the timeout.
+/// async-h1 refuses heads over 8 KiB, but checks the size only at the end of a line: a head without
+/// a line break would grow in memory until the timeout.
 const MAX_HEAD_READ_BYTES: usize = 24 * 1024;
 
-/// Head size at which async-h1 gives up.
+/// Head size at which async-h1 refuses a request.
 pub(crate) const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 #[derive(Debug, Default)]
 pub(crate) struct ConnState {
     /// Bytes read since the last request ended.
     pub(crate) bytes_read: AtomicUsize,
-    /// Whether the head of the present request has been read.
+    /// Whether the head of the current request has been read.
     pub(crate) is_head_read: AtomicBool,
-    /// Whether the rest of the request's body is to be taken for read.
+    /// Whether reads report the end of the stream, to leave the rest of the request's body unread.
     pub(crate) skip_body: AtomicBool,
-    /// Whether the peer has closed its end.
+    /// Whether the peer has closed its sending half.
     pub(crate) is_peer_closed: AtomicBool,
 }
 
@@ -55,7 +55,7 @@
             n if before + n > MAX_HEAD_READ_BYTES => {
                 return Poll::Ready(Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "endless head",
+                    "request head exceeds the size limit",
                 )));
             }
             _ => {}
@@ -82,19 +82,20 @@
     }
 }
 
-/// The other end of a connection, as a handler sees it.
+/// The peer of a connection, for use by a handler.
 #[derive(Clone, Debug)]
 pub struct Peer {
     pub(crate) conn: Conn,
-    /// Its address.
+    /// The peer's address.
     pub addr: SocketAddr,
 }
 
 impl Peer {
-    /// Waits until the caller has closed its end. Ask only once the request's body has been read.
+    /// Waits until the caller has closed its connection. Use it only after the request's body has
+    /// been read: while there are unread bytes, it never completes.
     ///
-    /// A write notices a caller that went away, but while nothing is written, as before a first
-    /// token, engine time would be spent for nobody.
+    /// A write detects a disconnected caller too, but while nothing is written, such as before the
+    /// first token, engine time would be spent on a response that nobody receives.
     pub async fn disconnected(&self) {
         let mut buf = [0; 1];
         match self.conn.stream.peek(&mut buf).await {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Leaves the rest of the request's body unread and closes the connection after the answer.
+    /// Leaves the rest of the request's body unread and closes the connection after the response.
     pub fn skip_body(&self) {
         self.conn.state.skip_body.store(true, Ordering::Relaxed);
     }
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 serving and calling with limits, on async-h1 and smol.
+//! HTTP/1.1 server and client with size and time limits, on async-h1 and smol.
 
 mod body;
 mod client;
--- a/http/src/server.rs
+++ b/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, within limits, until a drain ends.
+//! HTTP/1.1 server with connection limits, head timeouts and graceful shutdown.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,29 +14,30 @@
 
 use crate::conn::{Conn, ConnState, MAX_HEAD_BYTES, Peer};
 
-/// Bounds of what callers may take up.
+/// Limits on connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Time for the head of a request, and between requests on a connection.
+    /// Maximum time to receive a request's head, including the idle time before the request.
     pub head_timeout: Duration,
 }
 
-/// A refusal that is made before a handler sees the request.
+/// Why a request or connection was refused before the handler was called.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// The head is no HTTP/1.1.
+    /// The head isn't valid HTTP/1.1.
     BadRequest,
     /// The head is too large.
     HeadTooLarge,
-    /// The head took too long.
+    /// The head was not received within the timeout.
     SlowSender,
-    /// Too many connections.
+    /// Too many open connections.
     TooManyOpen,
 }
 
-/// A graceful shutdown: counts what is under way and asks connections to close.
+/// Graceful shutdown: counts requests in flight and open connections, and closes connections after
+/// their next response.
 #[derive(Clone, Debug, Default)]
 pub struct Drain(Arc<DrainState>);
 
@@ -48,17 +49,17 @@
 }
 
 impl Drain {
-    /// Begins the drain: from now on each answer closes its connection.
+    /// Starts the drain: from now on each response closes its connection.
     pub fn begin(&self) {
         self.0.is_draining.store(true, Ordering::SeqCst);
     }
 
-    /// Says whether the drain has begun.
+    /// Returns whether the drain has started.
     pub fn is_draining(&self) -> bool {
         self.0.is_draining.load(Ordering::SeqCst)
     }
 
-    /// Returns the number of requests under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.0.in_flight.load(Ordering::SeqCst)
     }
@@ -84,7 +85,7 @@
     }
 }
 
-/// Makes the plain answer to a refusal; a server passes its own to [`serve`].
+/// Creates a response without a body for a refusal, the default `refuse` function for [`serve`].
 pub fn refusal_response(kind: Refusal) -> Response {
     let status = match kind {
         Refusal::BadRequest => StatusCode::BadRequest,
@@ -95,7 +96,9 @@
     Response::new(status)
 }
 
-/// Serves connections for ever; the caller drops the future to stop.
+/// Accepts and serves connections. Never returns; drop the future to stop accepting.
+///
+/// `refuse` creates the responses to requests that are refused before `handler` is called.
 pub async fn serve<F, Fut, R>(
     listener: TcpListener,
     limits: Limits,
@@ -109,11 +112,13 @@
 {
     loop {
         let Ok((stream, addr)) = listener.accept().await else {
-            // Out of file descriptors, most likely: wait for some to be closed rather than spin.
+            // Most likely out of file descriptors: wait for some to be closed instead of
+            // busy-looping.
             Timer::after(Duration::from_millis(10)).await;
             continue;
         };
-        // Small writes would wait for the peer's delayed acknowledgement, some 40 ms a request.
+        // With Nagle's algorithm, small writes wait for the peer's delayed ACK, about 40 ms a
+        // request.
         stream.set_nodelay(true).ok();
         let (drain, handler, refuse) = (drain.clone(), handler.clone(), refuse.clone());
         smol::spawn(async move {
@@ -148,8 +153,9 @@
         let peer = Peer { conn: conn.clone(), addr };
         let endpoint = |req: Request| {
             state.is_head_read.store(true, Ordering::Relaxed);
-            // Boxed: a future is copied into each that awaits it, and a handler's is large. Tens of
-            // kilobytes became half a megabyte a connection, and overflowed the thread's stack.
+            // Boxed because a future is copied into each future that awaits it. An unboxed handler
+            // future of tens of kilobytes took half a megabyte per connection and overflowed the
+            // thread's stack.
             let answer = Box::pin(handler(req, peer.clone()));
             let (state, drain) = (state.clone(), drain.clone());
             async move {
@@ -186,7 +192,7 @@
     }
 }
 
-/// Counts a request as under way from its first byte until its answer is written.
+/// Counts a request as in flight from its first byte until its response is written.
 async fn count_in_flight<T>(
     serving: impl Future<Output = T>,
     state: &ConnState,
@@ -204,7 +210,7 @@
     .await
 }
 
-/// Ends when the head has taken too long; never while a request is being answered.
+/// Completes if the head isn't read within the timeout; never completes once it has been read.
 async fn head_timeout(state: &ConnState, timeout: Duration) {
     Timer::after(timeout).await;
     if state.is_head_read.load(Ordering::Relaxed) {
@@ -220,13 +226,13 @@
     }
 }
 
-/// Time for a caller to send what it had begun, before its connection is closed.
+/// Maximum time to read and discard what the caller still sends before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Ends the own side of a connection, and reads on for a while before closing it.
+/// Closes the sending half of a connection, and reads on for a while before closing it.
 ///
-/// Closing with unread bytes resets the connection: a caller that was still sending a body that had been
-/// refused met a reset in place of its answer.
+/// Closing with unread bytes resets the connection: a caller that was still sending a refused body
+/// got a reset instead of its response.
 async fn close_gracefully(mut stream: TcpStream) {
     stream.close().await.ok();
     let mut rest = [0; 16 * 1024];
--- a/http/tests/slow_answers.rs
+++ b/http/tests/slow_answers.rs
@@ -1,4 +1,4 @@
-//! Calls whose answers take longer than a server may be silent.
+//! Calls whose responses take longer than the idle timeout.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -10,8 +10,8 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 const CHUNK: [u8; 1024] = [b'x'; 1024];
 
-/// Starts a server that answers one call with some pieces, with a pause before each, and then is silent until the
-/// other end closes.
+/// Starts a server that answers one call with `chunk_count` chunks of the `total_chunks` in `Content-Length`, with a
+/// pause before each, and then sends nothing until the client closes the connection.
 fn server(chunk_count: usize, total_chunks: usize, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let addr = listener.local_addr().unwrap();
@@ -42,16 +42,16 @@
     smol::block_on(call).map(|answer| answer.body.len())
 }
 
-/// A page of the log comes over a slow link for longer than the log may be silent. With a bound on the whole call
-/// it is given up and asked for again from its start, and an entry behind that link never gets it.
+/// A page of the log takes longer than the timeout to arrive over a slow link. With a timeout on the whole call, the
+/// page would be requested again from its start each time, and an entry behind that link would never get it.
 #[test]
 fn page_that_takes_longer_than_the_timeout_is_read() {
     let addr = server(30, 30, Duration::from_millis(40));
     assert_eq!(read(addr, CallTimeout::Idle(IDLE_TIMEOUT)), Ok(30 * CHUNK.len()));
 }
 
-/// The log stops in the middle of a page: the call ends. So does one that is bounded as a whole, such as a call
-/// that somebody waits for, though bytes still come.
+/// A call with an idle timeout fails if the log stops sending in the middle of a page. A call with a total timeout,
+/// such as one that a caller waits for, fails even while bytes still arrive.
 #[test]
 fn silent_server_is_given_up() {
     let unknown = |read: Result<usize, CallError>| matches!(read, Err(CallError::Unknown(_)));
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -124,7 +124,7 @@
     match connected.hello.host == record.host {
         true => Ok(connected),
         // The address was reassigned to another host and the host list is stale.
-        false => Err(format!("answers as {}", connected.hello.host)),
+        false => Err(format!("address belongs to host {}", connected.hello.host)),
     }
 }
 
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics, passed explicitly to whatever uses them.
+//! Logging and metrics, passed explicitly to the code that uses them.
 
 mod page;
 
@@ -14,7 +14,7 @@
 
 pub use page::MetricsPage;
 
-/// Log lines that wait for a slow reader of the output; about a megabyte at most.
+/// Log lines queued for a slow reader of the output, about a megabyte at most.
 const MAX_WAITING_LINES: usize = 2048;
 
 const METRICS_PREFIX: &str = "redwingfold";
@@ -33,11 +33,11 @@
 }
 
 impl Telemetry {
-    /// Logs to standard error, and sends metrics to a statsd server if there is one.
+    /// Logs to standard error, and sends metrics to a statsd server if one is given.
     ///
     /// # Errors
     ///
-    /// If no socket can be opened for metrics.
+    /// If the UDP socket for metrics can't be opened.
     pub fn new(statsd: Option<SocketAddr>) -> eyre::Result<Self> {
         let logger = logger(std_sink(StdStream::Stderr)?)?;
         let metrics = match statsd {
@@ -52,14 +52,15 @@
         Ok(Self { logger: Arc::new(logger), metrics: Arc::new(metrics) })
     }
 
-    /// Logs to standard output without ever waiting for it, and adds metrics up on a page.
+    /// Logs to standard output without blocking, and collects metrics on a page.
     ///
-    /// A reader of the output that stands still would stop the process at its next line, and with
-    /// it all requests. Lines wait in a queue instead, and are dropped once it is full.
+    /// With blocking writes, a stalled reader of the output would block the process at its next log
+    /// line, and with it all requests. Lines are queued instead, and dropped while the queue is
+    /// full.
     ///
     /// # Errors
     ///
-    /// If the thread that writes cannot be started.
+    /// If the writer thread can't be started.
     ///
     /// ```
     /// use redwingfold_telemetry::{MetricsPage, Telemetry};
@@ -80,28 +81,28 @@
         Ok(Self { logger: Arc::new(logger(sink)?), metrics: Arc::new(metrics) })
     }
 
-    /// Logs and counts nothing, for tools whose output is their answer.
+    /// Discards all logs and metrics, for tools that print results only.
     ///
     /// # Errors
     ///
-    /// If no logger can be made.
+    /// If the logger can't be created.
     pub fn quiet() -> eyre::Result<Self> {
         let logger = Logger::builder().level_filter(spdlog::LevelFilter::Off).build()?;
         let metrics = StatsdClient::from_sink(METRICS_PREFIX, NopMetricSink);
         Ok(Self { logger: Arc::new(logger), metrics: Arc::new(metrics) })
     }
 
-    /// Logs an event as one line of key=value pairs.
+    /// Logs an event as one line of `key=value` pairs.
     pub fn info(&self, event: &str, pairs: &[(&str, &dyn Display)]) {
         self.log(Level::Info, event, pairs);
     }
 
-    /// Logs an event that an operator should look at.
+    /// Logs an event that may need an operator's attention.
     pub fn warn(&self, event: &str, pairs: &[(&str, &dyn Display)]) {
         self.log(Level::Warn, event, pairs);
     }
 
-    /// Logs what only matters while a fault is looked for; off unless asked for.
+    /// Logs an event for debugging; discarded unless the logger's level includes debug.
     pub fn debug(&self, event: &str, pairs: &[(&str, &dyn Display)]) {
         if self.logger.should_log(Level::Debug) {
             self.log(Level::Debug, event, pairs);
@@ -126,7 +127,7 @@
         self.metrics.gauge(name, value).ok();
     }
 
-    /// Records a time in milliseconds.
+    /// Records a duration in milliseconds.
     pub fn time(&self, name: &str, millis: u64) {
         self.metrics.time(name, millis).ok();
     }
@@ -143,7 +144,7 @@
     Ok(logger.sink(sink).flush_level_filter(spdlog::LevelFilter::All).build()?)
 }
 
-/// Quotes a value that would not be read back as one word.
+/// Quotes a value that is empty or contains whitespace, control characters, `"` or `=`.
 fn quoted(text: &str) -> String {
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
     if !text.is_empty() && text.chars().all(plain) { text.to_owned() } else { format!("{text:?}") }
--- a/telemetry/src/page.rs
+++ b/telemetry/src/page.rs
@@ -1,4 +1,4 @@
-//! The metrics of a process as a page of text.
+//! A process's metrics in the OpenMetrics text format.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,14 +12,14 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the buckets of a latency histogram, in milliseconds: powers of two from 1 ms to
-/// the longest deadline that is common.
+/// Upper bounds of the latency histogram's buckets in milliseconds: powers of two from 1 ms to the
+/// longest common deadline.
 const BUCKETS_MS: [f64; 16] = [
     1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0, 512.0, 1024.0, 2048.0, 4096.0, 8192.0,
     16384.0, 32768.0,
 ];
 
-/// Adds up what is counted, to be fetched as text.
+/// A metric sink that collects all metrics for scraping as text.
 #[derive(Clone, Default)]
 pub struct MetricsPage(Arc<Mutex<Series>>);
 
@@ -87,7 +87,7 @@
 }
 
 impl MetricSink for MetricsPage {
-    /// Takes a metric in the statsd format, `name:value|kind`.
+    /// Records a metric in the statsd format, `name:value|kind`.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         let parsed = metric.split_once(':').and_then(|(name, rest)| {
             let (value, kind) = rest.split_once('|')?;
