--- a/core/src/serving/connect_timeout.rs
+++ b/core/src/serving/connect_timeout.rs
@@ -33,12 +33,12 @@
     ///
     /// ```
     /// use redwingfold_core::{ConnectTimeout, Millis};
-    /// let mut times = ConnectTimeout::new(Millis(250));
-    /// assert_eq!(times.timeout(), Millis(250));
-    /// (0..100).for_each(|_| times.record_connected(Millis(3)));
-    /// assert_eq!(times.timeout(), Millis(60));
-    /// (0..20).for_each(|_| times.record_timeout());
-    /// assert_eq!(times.timeout(), Millis(250));
+    /// let mut timeout = ConnectTimeout::new(Millis(250));
+    /// assert_eq!(timeout.timeout(), Millis(250));
+    /// (0..100).for_each(|_| timeout.record_connected(Millis(3)));
+    /// assert_eq!(timeout.timeout(), Millis(60));
+    /// (0..20).for_each(|_| timeout.record_timeout());
+    /// assert_eq!(timeout.timeout(), Millis(250));
     /// ```
     pub fn new(max: Millis) -> Self {
         Self { recent_max_ms: max.0 as f64 / TIMEOUT_FACTOR, max }
--- a/core/tests/freshness.rs
+++ b/core/tests/freshness.rs
@@ -47,7 +47,7 @@
 
 struct Gateway {
     view: FeedView,
-    leads: FeedPositions<usize>,
+    positions: FeedPositions<usize>,
     is_fast: bool,
     is_refused: bool,
     /// A read in progress: the version that it returns, and when it began and ends.
@@ -85,7 +85,7 @@
             };
             let gateway = &mut fleet[message.to];
             gateway.view.apply_update(update, Millis(ms), rng.u64(..));
-            gateway.leads.record(message.from, message.next, Millis(ms));
+            gateway.positions.record(message.from, message.next, Millis(ms));
         }
         for n in 0..fleet.len() {
             let known = fleet[n].view.next();
@@ -119,7 +119,7 @@
     let one_in = |of: usize| of > 0 && n.is_multiple_of(of);
     Gateway {
         view,
-        leads: FeedPositions::new(),
+        positions: FeedPositions::new(),
         is_fast: one_in(load.fast_one_in),
         is_refused: load.refused_one_in > 0 && n % load.refused_one_in == 1,
         read: None,
@@ -166,16 +166,16 @@
             fleet[n].view.record_read(Millis(began), next, draw);
         }
     }
-    let lead =
-        fleet[n].leads.pick_ahead(fleet[n].view.next(), draw, now).filter(|_| load.peer_fetch);
-    if let (Some(lead), None) = (lead, fleet[n].fetch) {
-        match fleet[lead].served < MAX_SERVED {
+    let peer =
+        fleet[n].positions.pick_ahead(fleet[n].view.next(), draw, now).filter(|_| load.peer_fetch);
+    if let (Some(peer), None) = (peer, fleet[n].fetch) {
+        match fleet[peer].served < MAX_SERVED {
             true => {
-                fleet[lead].served += 1;
-                fleet[n].fetch = Some((lead, ms + ANSWER_DELAY));
+                fleet[peer].served += 1;
+                fleet[n].fetch = Some((peer, ms + ANSWER_DELAY));
                 fleet[n].not_before = ms + PEER_HEAD_START;
             }
-            false => fleet[n].leads.record_failure(lead, now),
+            false => fleet[n].positions.record_failure(peer, now),
         }
     }
     let gateway = &mut fleet[n];
