--- a/core/src/serving/answers.rs
+++ b/core/src/serving/answers.rs
@@ -88,9 +88,9 @@
 /// Difference of mean logarithms above which a version is slow (a factor of 1.8).
 const MIN_LOG_SLOWDOWN: f64 = 0.59;
 
-/// Standard errors by which the means must differ if the variance is known. A roll-out is tested a
+/// Standard errors by which the means must differ if the variance is known. A rollout is tested a
 /// few hundred times, and a good version exceeds this by chance in fewer than one of a hundred
-/// roll-outs.
+/// rollouts.
 const MIN_STANDARD_ERRORS: f64 = 4.4;
 
 /// Returns the standard errors by which the means must differ after `n` samples.
@@ -158,7 +158,7 @@
     }
 }
 
-/// Answers on one route since a roll-out began.
+/// Answers on one route since a rollout began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteEvidence {
     /// Answers of the target.
--- a/core/src/serving/canary.rs
+++ b/core/src/serving/canary.rs
@@ -1,4 +1,4 @@
-//! Canary roll-out of a new service version, with automatic rollback if its answers regress.
+//! Canary rollout of a new service version, with automatic rollback if its answers regress.
 
 use super::answers::{AnswerCounts, FleetEvidence, LatencySums, RouteEvidence};
 use super::canary_policy::CanaryPolicy;
@@ -45,7 +45,7 @@
     AskKeepers,
 }
 
-/// Phase of a roll-out.
+/// Phase of a rollout.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
     /// A small share of the requests goes to the target.
@@ -70,19 +70,19 @@
 pub struct OrderAge {
     /// Time since the read that returned the order. The share of the target is raised by this age.
     pub min: Millis,
-    /// Time since the last read that did not return the order. The roll-out ends by this age.
+    /// Time since the last read that did not return the order. The rollout ends by this age.
     pub max: Millis,
     /// Whether the order was already in the feed when this gateway started, so that it may be of
     /// any age.
     pub is_unknown: bool,
 }
 
-/// State of one roll-out at one gateway.
+/// State of one rollout at one gateway.
 #[derive(Clone, Debug)]
 pub struct Canary {
     policy: CanaryPolicy,
     order: RolloutOrder,
-    /// Whether an operator ordered the roll-out.
+    /// Whether an operator ordered the rollout.
     is_announced: bool,
     /// The latest time at which the order may have been given.
     latest_order: Millis,
@@ -105,7 +105,7 @@
 const MIN_FULL_TRAFFIC: Millis = Millis(900);
 
 /// Time between the latest retirement of the old version and the deadline, by the greatest possible
-/// age of the order. Gateways step a roll-out every 0.2 s, wait up to 0.15 s for each other, and
+/// age of the order. Gateways step a rollout every 0.2 s, wait up to 0.15 s for each other, and
 /// take 0.1 s to write the status.
 const RETIRE_MARGIN: Millis = Millis(500);
 
@@ -142,7 +142,7 @@
 const MIN_CURRENT_ANSWERS: u64 = 20;
 
 impl Canary {
-    /// Starts a roll-out; `draw` is a random number.
+    /// Starts a rollout; `draw` is a random number.
     pub fn new(
         policy: CanaryPolicy,
         order: RolloutOrder,
@@ -178,7 +178,7 @@
         Self { is_announced: false, ..Self::new(policy, order, OrderAge::default(), now, draw) }
     }
 
-    /// Returns whether an operator ordered the roll-out.
+    /// Returns whether an operator ordered the rollout.
     pub fn is_announced(&self) -> bool {
         self.is_announced
     }
@@ -212,12 +212,12 @@
         self.earliest_order = self.earliest_order.min(self.latest_order);
     }
 
-    /// Ends the roll-out in the phase that another gateway wrote to the store.
+    /// Ends the rollout in the phase that another gateway wrote to the store.
     pub fn end(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
-    /// Advances the roll-out by the evidence of all gateways, and returns the phase.
+    /// Advances the rollout by the evidence of all gateways, and returns the phase.
     ///
     /// A regression rolls the target back from every phase but the final ones, because a version
     /// may turn bad late, or only under full traffic.
--- a/core/src/serving/canary_policy.rs
+++ b/core/src/serving/canary_policy.rs
@@ -1,8 +1,8 @@
-//! Traffic shares, durations and thresholds of canary roll-outs.
+//! Traffic shares, durations and thresholds of canary rollouts.
 
 use crate::ids::{Millis, PerMille};
 
-/// Traffic shares, durations and thresholds of a roll-out.
+/// Traffic shares, durations and thresholds of a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryPolicy {
     /// Largest share of the requests in the window that a bad version may get.
--- a/core/src/serving/exposure.rs
+++ b/core/src/serving/exposure.rs
@@ -6,7 +6,7 @@
 /// shorter one, a gateway of a large fleet has only one or two requests.
 const RATE_WINDOW: Millis = Millis(500);
 
-/// Requests sent since the order of a roll-out, by one gateway or several.
+/// Requests sent since the order of a rollout, by one gateway or several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SendCounts {
     /// Requests sent to the service.
@@ -48,7 +48,7 @@
     per_s * time.0 as f64 / 1000.0 * (1.0 - share)
 }
 
-/// Limits the requests that one gateway sends to the target of a roll-out.
+/// Limits the requests that one gateway sends to the target of a rollout.
 ///
 /// It guards against a version that shows no fault in its window, with a burst that begins when the
 /// version already has all of the traffic. With full traffic from a fixed time on, such a version
--- a/core/tests/canary.rs
+++ b/core/tests/canary.rs
@@ -1,4 +1,4 @@
-//! Simulated roll-outs in virtual time: bad versions are rolled back, and good ones are done before
+//! Simulated rollouts in virtual time: bad versions are rolled back, and good ones are done before
 //! the deadline.
 
 mod rollout_fleet;
@@ -196,7 +196,7 @@
                 ahead.record_send(None, Arm::Current, now);
             });
             ahead.step(&shared, now);
-            // Gateways step their roll-outs every 0.2 s.
+            // Gateways step their rollouts every 0.2 s.
             if now.0 % 200 == 180 {
                 late.step(&shared, now);
             }
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Simulates a roll-out at a request rate at which each server of a version runs `running`
+    /// Simulates a rollout at a request rate at which each server of a version runs `running`
     /// requests; after the window, the rate is multiplied by `burst`.
     fn simulate(mut self, running: f64, burst: f64, failure_rate: FailureRate) -> Outcome {
         let per_step = running * self.servers[0].len() as f64 * STEP as f64 / 2_000.0;
--- a/core/tests/rollout_fleet/mod.rs
+++ b/core/tests/rollout_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of roll-outs in virtual time, with several gateways that exchange their evidence.
+//! Simulation of rollouts in virtual time, with several gateways that exchange their evidence.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -78,7 +78,7 @@
 /// What a gateway sends to the others.
 type GossipState = ([RouteEvidence; ROUTES], SendCounts);
 
-/// Outcome of a simulated roll-out.
+/// Outcome of a simulated rollout.
 pub(crate) struct Outcome {
     pub(crate) phase: Phase,
     pub(crate) to_target: u64,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Sets the window of the roll-out, in ms.
+    /// Sets the window of the rollout, in ms.
     pub(crate) fn with_window(mut self, window: u64) -> Self {
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(window) };
         for gateway in &mut self.gateways {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Simulates a roll-out with `per_s` requests a second, and the bad answer rates of the version
+    /// Simulates a rollout with `per_s` requests a second, and the bad answer rates of the version
     /// in service and the target.
     pub(crate) fn simulate(
         self,
@@ -255,7 +255,7 @@
         self.simulate_rate(|_| per_s, current_bad_rate, target_bad_rate, kind)
     }
 
-    /// Simulates a roll-out with a request rate that depends on the time in ms.
+    /// Simulates a rollout with a request rate that depends on the time in ms.
     pub(crate) fn simulate_rate(
         mut self,
         per_s: impl Fn(u64) -> u64,
@@ -294,7 +294,7 @@
             for g in 0..self.gateway_count(ms) {
                 let shared = self.shared(&mut received, g, Millis(ms));
                 let phase = self.gateways[g].canary.step(&shared, Millis(ms));
-                // The first gateway to end the roll-out writes the status, and the others read it.
+                // The first gateway to end the rollout writes the status, and the others read it.
                 if phase >= Phase::Done && outcome.ended_at.is_none() {
                     outcome.ended_at = Some(ms);
                     outcome.phase = phase;
