--- a/core/src/serving/canary.rs
+++ b/core/src/serving/canary.rs
@@ -1,140 +1,148 @@
-//! Rolling a new version of a service out, and back if it answers badly.
+//! Canary rollout of a new service version, with automatic rollback if its answers regress.
 
-use super::answers::{Counts, RouteEvidence, Shared, Times};
+use super::answers::{AnswerCounts, FleetEvidence, LatencySums, RouteEvidence};
 use super::canary_policy::CanaryPolicy;
-use super::exposure::{ExposureBudget, Sent};
+use super::exposure::{ExposureBudget, SendCounts};
 use crate::ids::{Millis, PerMille, VersionName};
 use crate::rollout::{SequentialTest, Tally, TestVerdict};
 
-/// An operator's order to move a service to a version.
+/// An operator's order to move a service to another version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RolloutOrder {
     /// The version to move to.
     pub target: VersionName,
-    /// Time from the order until it should be done.
+    /// Time from the order until its deadline.
     pub window: Millis,
 }
 
-/// Which version a request goes to.
+/// The version that serves a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Arm {
     /// The version in service.
     Current,
-    /// The version that is rolled out.
+    /// The version that is being rolled out.
     Target,
 }
 
-/// What binds a request to a version.
+/// What ties a request to a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Affinity {
-    /// Nothing: it belongs to no session.
+    /// Nothing: the request belongs to no session.
     None,
-    /// Its session, of which this gateway knows nothing.
+    /// A session of which this gateway has no entry.
     UnknownSession,
-    /// The version that it, or a request of its session, was sent to.
+    /// The version to which this request, or an earlier request of its session, was sent.
     Bound(Arm),
 }
 
-/// Which version a request goes to, as far as one gateway can tell.
+/// A gateway's routing decision for one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ArmChoice {
-    /// This one.
+    /// Send the request to this version.
     Arm(Arm),
-    /// The target if its session has moved there, else the version in service; the session's keepers know.
+    /// Ask the gateways that keep the session's entry: the request goes to the target if the
+    /// session has moved there, and to the version in service otherwise.
     AskKeepers,
 }
 
-/// Where a roll-out stands.
+/// Phase of a rollout.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// A small share is tried.
+    /// A small share of the requests goes to the target.
     Trial,
-    /// The share grows.
+    /// A larger share goes to the target.
     Ramp,
-    /// All new requests go to the target; old ones end.
+    /// All new requests go to the target; requests in flight on the old version finish there.
     Full,
-    /// The version in service is the target, and the old one may stop.
+    /// The target is the version in service, and servers of the old version may stop.
     Done,
-    /// The target gets nothing.
+    /// The target gets no requests.
     RolledBack,
 }
 
-/// How old an order is, when it is read from a feed that shows no times.
+/// Bounds on the age of an order, which is read from a feed without timestamps.
 ///
-/// Both bounds are needed. Were the order taken for older than it is, all of the traffic would go to the
-/// target too early, and a version that never shows its fault would get more than it may: with the mean
-/// of both bounds, 461 requests of 2,669 in place of 430. Taken for younger, a good one would be done
+/// Both bounds are needed. If the order were taken to be older than it is, all traffic would go to
+/// the target too early, and a version whose fault never shows would exceed its exposure; so would
+/// it with the mean of both bounds. If it were taken to be younger, a good version would be done
 /// after its deadline.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct OrderAge {
-    /// Time since the read that brought it: more traffic waits by this.
-    pub least: Millis,
-    /// Time since the feed was last known without it: the end comes by this.
-    pub most: Millis,
-    /// Whether it stood in the feed when this gateway started, so that it may be of any age.
+    /// Time since the read that returned the order. The share of the target is raised by this age.
+    pub min: Millis,
+    /// Time since the last read that did not return the order. The rollout ends by this age.
+    pub max: Millis,
+    /// Whether the order was already in the feed when this gateway started, so that it may be of
+    /// any age.
     pub is_unknown: bool,
 }
 
-/// One roll-out as a gateway sees it.
+/// State of one rollout at one gateway.
 #[derive(Clone, Debug)]
 pub struct Canary {
     policy: CanaryPolicy,
     order: RolloutOrder,
-    /// Whether an operator has given the order.
+    /// Whether an operator ordered the rollout.
     is_announced: bool,
     /// The latest time at which the order may have been given.
-    began: Millis,
-    /// The earliest one.
-    began_earliest: Millis,
-    /// Whether this gateway, or one that told it, has seen the order come.
+    latest_order: Millis,
+    /// The earliest time at which the order may have been given.
+    earliest_order: Millis,
+    /// Whether this gateway, or one that sent it the age, was running when the order appeared.
     is_age_known: bool,
     phase: Phase,
     budget: ExposureBudget,
-    /// When full traffic began, and the target's answers until then.
-    full_since: Option<(Millis, Counts)>,
+    /// When full traffic began, and the target's answer counts at that time.
+    full_since: Option<(Millis, AnswerCounts)>,
 }
 
-/// Time for which a version that no order names is tried before it has its part of all requests.
+/// Duration of the trial of a version that no order names; after it, the version gets its regular
+/// share of the requests.
 const UNANNOUNCED_TRIAL: Millis = Millis(20_000);
 
-/// How long all requests must have gone to the target before old ones count as ended: gateways
-/// hear of each other's counts twice a second.
-const SETTLE: Millis = Millis(900);
+/// Least duration of full traffic before the old version is retired: requests in flight on it
+/// finish, and gateways exchange their counts, which they do twice a second.
+const MIN_FULL_TRAFFIC: Millis = Millis(900);
 
-/// How long before the deadline the old version is given up at the latest, by the greatest age that the
-/// order may have: gateways look at a roll-out each 0.2 s, wait 0.15 s for each other at most, and the word takes
-/// 0.1 s to be written.
-const END_MARGIN: Millis = Millis(500);
+/// Time between the latest retirement of the old version and the deadline, by the greatest possible
+/// age of the order. Gateways step a rollout every 0.2 s, wait up to 0.15 s for each other, and
+/// take 0.1 s to write the status.
+const RETIRE_MARGIN: Millis = Millis(500);
 
-/// Level at which more failures than usual keep the old version from being given up: one good version
-/// in four waits a few seconds longer, and a bad one that is just short of proof is not let through.
-const SUSPECT: f64 = 0.25;
+/// Significance level of the failure test at which the old version is not yet retired. One good
+/// version in four waits a few seconds longer for it; a bad version just short of the rollback
+/// level is not put into service.
+const ELEVATED_ALPHA: f64 = 0.25;
 
-/// Difference of the logarithms up to which a few answers are not slow: 1.4 times as long. Half of the
-/// answers at eight times the usual time make a difference of one.
-const MAX_LONGER_DUE: f64 = 0.35;
+/// Largest difference of mean log latencies at which a few answers count as not slow (a factor of
+/// 1.4). If half of the answers take eight times as long, the difference is about 1.
+const MAX_CLEAN_LOG_SLOWDOWN: f64 = 0.35;
 
-/// Part of the window before which no session may move to the target.
-const SESSIONS_STAY_UNTIL: PerMille = PerMille(500);
+/// Part of the window before which no session moves to the target.
+const SESSION_MOVES_FROM: PerMille = PerMille(500);
 
-/// How much older another gateway may take the order to be: each hears the others' ages once a second or more, and the
-/// message that was on its way for the shortest time counts.
-const MAX_AHEAD: Millis = Millis(200);
+/// How much older another gateway may take the order to be. Gateways receive each other's ages at
+/// least once a second, and the largest one counts, which is the one with the shortest transit
+/// time.
+const MAX_AGE_SKEW: Millis = Millis(200);
 
-/// Servers without which there is no load trial: one that fails by itself would be all of them.
-const MIN_LOAD_TRIAL: usize = 2;
+/// Fewest servers of a load trial: with a single one, its own failure would look like a fault of
+/// the version.
+const MIN_LOAD_TRIAL_SERVERS: usize = 2;
 
-/// Answers below which one half of the target's servers is passed over, once there are some of the other.
-const MIN_HALF: u64 = 4;
+/// Answers below which one half of the target's servers counts as empty, if the target has
+/// [`MIN_ANSWERS_BESIDE_EMPTY_HALF`].
+const MIN_HALF_ANSWERS: u64 = 4;
 
-/// Answers of the target after which a half with hardly any is taken to have no servers.
-const MIN_BESIDE_SILENT: u64 = 20;
+/// Answers of the target from which a half with next to none is taken to have no servers.
+const MIN_ANSWERS_BESIDE_EMPTY_HALF: u64 = 20;
 
-/// Answers of the version in service below which its share of bad ones says little.
-const MIN_COMPARED: u64 = 20;
+/// Smallest divisor for the failure rate of the version in service: a rate of fewer answers means
+/// little.
+const MIN_CURRENT_ANSWERS: u64 = 20;
 
 impl Canary {
-    /// Begins a roll-out; `draw` is a random number.
+    /// Starts a rollout; `draw` is a random number.
     pub fn new(
         policy: CanaryPolicy,
         order: RolloutOrder,
@@ -147,8 +155,8 @@
             policy,
             order,
             is_announced: true,
-            began: ago(age.least),
-            began_earliest: ago(age.most),
+            latest_order: ago(age.min),
+            earliest_order: ago(age.max),
             is_age_known: !age.is_unknown,
             phase: Phase::Trial,
             budget: ExposureBudget::new(policy.exposure, draw),
@@ -156,13 +164,13 @@
         }
     }
 
-    /// Begins the trial of a version that no order names; `draw` is a random number.
+    /// Starts the trial of a version that no order names; `draw` is a random number.
     ///
     /// ```
-    /// use redwingfold_core::{Canary, CanaryPolicy, Millis, Phase, Shared};
+    /// use redwingfold_core::{Canary, CanaryPolicy, Millis, Phase, FleetEvidence};
     /// let target = "v2".parse()?;
     /// let mut trial = Canary::unannounced(CanaryPolicy::default(), target, Millis(0), 0);
-    /// assert_eq!(trial.step(&Shared::default(), Millis(60_000)), Phase::Trial);
+    /// assert_eq!(trial.step(&FleetEvidence::default(), Millis(60_000)), Phase::Trial);
     /// # Ok::<(), redwingfold_core::ParseIdError>(())
     /// ```
     pub fn unannounced(policy: CanaryPolicy, target: VersionName, now: Millis, draw: u64) -> Self {
@@ -170,7 +178,7 @@
         Self { is_announced: false, ..Self::new(policy, order, OrderAge::default(), now, draw) }
     }
 
-    /// Returns whether an operator has given the order.
+    /// Returns whether an operator ordered the rollout.
     pub fn is_announced(&self) -> bool {
         self.is_announced
     }
@@ -185,43 +193,48 @@
         self.phase
     }
 
-    /// Returns the least time that has passed since the order.
+    /// Returns the least possible age of the order.
     pub fn elapsed(&self, now: Millis) -> Millis {
-        now.since(self.began)
+        now.since(self.latest_order)
     }
 
-    /// Returns whether this gateway, or one that told it, has seen the order come.
+    /// Returns whether this gateway, or one that sent it the age, was running when the order
+    /// appeared.
     pub fn is_age_known(&self) -> bool {
         self.is_age_known
     }
 
-    /// Learns from another gateway that the order is at least so old, and whether that one knows its age.
-    pub fn is_older(&mut self, elapsed: Millis, is_age_known: bool, now: Millis) {
+    /// Merges another gateway's age of the order, which is a lower bound; `is_age_known` is that
+    /// gateway's [`Canary::is_age_known`].
+    pub fn merge_age(&mut self, elapsed: Millis, is_age_known: bool, now: Millis) {
         self.is_age_known |= is_age_known;
-        self.began = self.began.min(Millis(now.0.saturating_sub(elapsed.0)));
-        self.began_earliest = self.began_earliest.min(self.began);
+        self.latest_order = self.latest_order.min(Millis(now.0.saturating_sub(elapsed.0)));
+        self.earliest_order = self.earliest_order.min(self.latest_order);
     }
 
-    /// Ends the roll-out as another gateway wrote it.
+    /// Ends the rollout in the phase that another gateway wrote to the store.
     pub fn end(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
-    /// Looks at what is known and moves on; returns the phase.
+    /// Advances the rollout by the evidence of all gateways, and returns the phase.
     ///
-    /// A bad version is rolled back from every phase but the last: a version may turn bad late, or
-    /// only under the load of the last phase.
-    pub fn step(&mut self, shared: &Shared, now: Millis) -> Phase {
+    /// A regression rolls the target back from every phase but the final ones, because a version
+    /// may turn bad late, or only under full traffic.
+    pub fn step(&mut self, shared: &FleetEvidence, now: Millis) -> Phase {
         self.phase = match self.phase {
             Phase::Done | Phase::RolledBack => self.phase,
-            _ if self.is_bad(shared, now) => Phase::RolledBack,
-            // The old version stays, and the servers of this one may be few: there is no moment of full traffic.
+            _ if self.has_regressed(shared, now) => Phase::RolledBack,
+            // There is no phase of full traffic without an order: the old version stays in service,
+            // and the target may have few servers.
             _ if !self.is_announced => self.step_unannounced(shared, now),
-            Phase::Trial if self.is_past(self.policy.trial_until, now) && self.is_tried(shared) => {
+            Phase::Trial
+                if self.is_past(self.policy.trial_until, now) && self.has_min_good(shared) =>
+            {
                 Phase::Ramp
             }
-            Phase::Ramp if self.elapsed(now) >= self.full_from() => Phase::Full,
-            Phase::Full if self.may_give_up(shared, now) => Phase::Done,
+            Phase::Ramp if self.elapsed(now) >= self.full_traffic_age() => Phase::Full,
+            Phase::Full if self.may_retire_current(shared, now) => Phase::Done,
             phase => phase,
         };
         if self.phase == Phase::Full {
@@ -230,76 +243,83 @@
         self.phase
     }
 
-    fn step_unannounced(&self, shared: &Shared, now: Millis) -> Phase {
+    fn step_unannounced(&self, shared: &FleetEvidence, now: Millis) -> Phase {
         let is_over = self.elapsed(now) >= self.order.window;
-        let is_good = is_over && self.is_tried(shared) && !self.is_suspect(shared);
+        let is_good =
+            is_over && self.has_min_good(shared) && !self.is_failure_rate_elevated(shared);
         if is_good { Phase::Done } else { Phase::Trial }
     }
 
     /// Returns the share of requests without a session that goes to the target.
     pub fn share(&self) -> PerMille {
         match self.phase {
-            Phase::Trial => self.policy.trial,
-            Phase::Ramp => self.policy.ramp,
+            Phase::Trial => self.policy.trial_share,
+            Phase::Ramp => self.policy.ramp_share,
             Phase::Full | Phase::Done => PerMille(1000),
             Phase::RolledBack => PerMille(0),
         }
     }
 
-    /// Returns the share of sessions that goes to the target. It never falls, so that a session that a gateway draws
-    /// for the target is drawn for it by all others from then on.
+    /// Returns the share of sessions that goes to the target. It never falls, so that a session
+    /// which one gateway has drawn for the target is drawn for it by all other gateways from then
+    /// on.
     fn session_share(&self, now: Millis) -> PerMille {
         match self.phase {
             Phase::Trial if self.elapsed(now) >= self.sessions_move_from() => {
-                self.policy.session_trial
+                self.policy.session_trial_share
             }
             Phase::Trial => PerMille(0),
             _ => self.share(),
         }
     }
 
-    /// Returns the greatest share of sessions that another gateway may send to the target by now.
+    /// Returns the greatest share of sessions that another gateway may already send to the target.
     fn session_share_elsewhere(&self, now: Millis) -> PerMille {
-        let elapsed = self.elapsed(now).after(MAX_AHEAD);
+        let elapsed = self.elapsed(now).after(MAX_AGE_SKEW);
         match () {
-            () if elapsed >= self.full_from() => PerMille(1000),
-            () if elapsed >= self.part_of_window(self.policy.trial_until) => self.policy.ramp,
-            () if elapsed >= self.sessions_move_from() => self.policy.session_trial,
+            () if elapsed >= self.full_traffic_age() => PerMille(1000),
+            () if elapsed >= self.part_of_window(self.policy.trial_until) => self.policy.ramp_share,
+            () if elapsed >= self.sessions_move_from() => self.policy.session_trial_share,
             () => PerMille(0),
         }
     }
 
-    /// Returns how many of the target's servers should get its requests; `None` if all should.
+    /// Returns on how many of the target's servers its requests are concentrated; `None` if all of
+    /// them take requests.
     ///
-    /// A version that fails under load shows nothing while its few requests are spread over as many servers as the version
-    /// in service has: it comes into service and fails in the first burst, with no other left. So a few servers get them, as
-    /// many requests each as in a burst.
+    /// A version that fails under load shows no fault while its small share of requests is spread
+    /// over as many servers as the version in service has. It would be put into service and fail in
+    /// the first burst, with no other version left. So a few servers get all of its requests, each
+    /// as many as in a burst.
     pub fn load_trial(&self, servers: usize, now: Millis) -> Option<usize> {
         let is_load_trial = match self.phase {
             _ if !self.is_announced => false,
-            Phase::Trial => self.is_past(SESSIONS_STAY_UNTIL, now),
+            Phase::Trial => self.is_past(SESSION_MOVES_FROM, now),
             Phase::Ramp => true,
             Phase::Full | Phase::Done | Phase::RolledBack => false,
         };
-        let share = f64::from(self.policy.session_trial.max(self.share()).0) / 1000.0;
-        let count = (servers as f64 * share / self.policy.load_trial).ceil() as usize;
-        (is_load_trial && (MIN_LOAD_TRIAL..servers).contains(&count)).then_some(count)
+        let share = f64::from(self.policy.session_trial_share.max(self.share()).0) / 1000.0;
+        let count = (servers as f64 * share / self.policy.load_trial_factor).ceil() as usize;
+        (is_load_trial && (MIN_LOAD_TRIAL_SERVERS..servers).contains(&count)).then_some(count)
     }
 
-    /// Returns the least age of the order at which sessions move. All other gateways know then that the first half is over.
+    /// Returns the least age of the order from which sessions move. By then, all other gateways are
+    /// past the first half of the window as well.
     fn sessions_move_from(&self) -> Millis {
-        self.part_of_window(SESSIONS_STAY_UNTIL).after(MAX_AHEAD)
+        self.part_of_window(SESSION_MOVES_FROM).after(MAX_AGE_SKEW)
     }
 
-    /// Chooses the version for a request; `draw` is a hash of its session, the same on all gateways, or of itself.
+    /// Chooses the version for a request. `draw` is a hash of its session, which is the same on all
+    /// gateways, or of the request if it has none.
     ///
-    /// The requests of a session reach any gateway, and most reach one that has not served the session before. So in
-    /// the first half of a roll-out no session is moved, and in the second half the draw alone decides who is. Where this
-    /// gateway has spent its part of the allowed exposure, takes the order for younger than others may, or has just started
-    /// and does not know which half it is, sessions that have moved already must be told apart from others, which only
-    /// their keepers can. After a roll-back sessions must leave the target.
-    pub fn arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
-        let is_half_over = self.is_past(SESSIONS_STAY_UNTIL, now);
+    /// Most requests of a session reach a gateway that has not served the session before. So no
+    /// session moves in the first half of the window, and in the second half the draw alone decides
+    /// which sessions move. The gateways that keep the session's entry must be asked whether it has
+    /// moved where this gateway has used up its exposure budget, takes the order to be younger than
+    /// others may, or has just started and doesn't know the age of the order. After a rollback,
+    /// sessions return to the version in service.
+    pub fn choose_arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
+        let is_half_over = self.is_past(SESSION_MOVES_FROM, now);
         let share = match affinity {
             Affinity::None => self.share(),
             Affinity::UnknownSession | Affinity::Bound(_) => self.session_share(now),
@@ -323,50 +343,51 @@
         }
     }
 
-    /// Counts a send of a request that has `reached` a version before; returns what it has reached then.
-    /// One that was ever sent to the target counts as the target's.
-    pub fn sent(&mut self, reached: Option<Arm>, arm: Arm, now: Millis) -> Arm {
+    /// Counts a send of a request that was previously sent to `reached`, and returns the version
+    /// that the request counts for. A request that was ever sent to the target counts for the
+    /// target.
+    pub fn record_send(&mut self, reached: Option<Arm>, arm: Arm, now: Millis) -> Arm {
         if reached.is_none() {
-            self.budget.reached_service(now);
+            self.budget.record_request(now);
         }
         match (reached, arm) {
             (Some(Arm::Target), _) => Arm::Target,
             (_, Arm::Target) => {
-                self.budget.reached_target();
+                self.budget.record_target_request();
                 Arm::Target
             }
             (_, Arm::Current) => Arm::Current,
         }
     }
 
-    /// Returns the time until the deadline, at most.
-    fn left(&self, now: Millis) -> Millis {
+    /// Returns the greatest possible time until the deadline.
+    fn time_left(&self, now: Millis) -> Millis {
         self.order.window.since(self.elapsed(now))
     }
 
-    /// Says whether the bound on the exposure leaves one more request for the target.
+    /// Returns whether the exposure budget allows one more request for the target.
     fn may_expose(&self, now: Millis) -> bool {
-        let held_back = match self.phase {
-            Phase::Full => self.left(now).min(self.order.window.since(self.ends_at())),
+        let reserved_time = match self.phase {
+            Phase::Full => self.time_left(now).min(self.order.window.since(self.retire_age())),
             _ => Millis(0),
         };
-        self.left(now) == Millis(0) || self.budget.may_send(held_back, now)
+        self.time_left(now) == Millis(0) || self.budget.may_send(reserved_time, now)
     }
 
-    /// Returns what this gateway has sent since the order.
-    pub fn counts(&self, now: Millis) -> Sent {
+    /// Returns the send counts of this gateway since the order.
+    pub fn counts(&self, now: Millis) -> SendCounts {
         self.budget.counts(now)
     }
 
-    /// Says whether the old version may be given up as far as the bound on the exposure goes: until the
-    /// deadline, everything goes to the target then.
+    /// Returns whether the exposure allows the old version to be retired: from then on until the
+    /// deadline, all requests go to the target.
     ///
-    /// All gateways together are asked. With each asking itself, the one of 28 that had the fewest requests in the
-    /// last moments gave it up in a burst that it had not seen, and 1,376 of 8,460 requests went to the
-    /// target where 1,299 are allowed (core/tests/exposure.rs).
-    fn is_within_exposure(&self, sent: Sent, now: Millis) -> bool {
-        let left = self.left(now);
-        left == Millis(0) || sent.leaves(left, self.policy.exposure)
+    /// The counts of all gateways are added up for this. When each gateway checked its own counts,
+    /// the one with the fewest recent requests retired the old version during a burst that had not
+    /// reached it, and the fleet exceeded the exposure.
+    fn allows_full_traffic(&self, sent: SendCounts, now: Millis) -> bool {
+        let left = self.time_left(now);
+        left == Millis(0) || sent.allows_full_traffic(left, self.policy.exposure)
     }
 
     fn is_past(&self, part: PerMille, now: Millis) -> bool {
@@ -377,103 +398,127 @@
         Millis(self.order.window.0 * u64::from(part.0) / 1000)
     }
 
-    /// Returns the least age of the order at which the old version is given up.
+    /// Returns the least age of the order at which the old version is retired.
     ///
-    /// Both bounds on the age count. By the greatest one alone the end would come so early that the
-    /// exposure does not allow it yet; by the least one a good version would be done after its deadline.
-    fn ends_at(&self) -> Millis {
-        let doubt = self.began.since(self.began_earliest);
-        let latest = self.order.window.since(doubt).since(END_MARGIN);
-        latest.min(self.part_of_window(self.policy.done_by))
+    /// Both bounds on the age count. By the greatest age alone, the old version would be retired
+    /// before the exposure allows it; by the least age alone, a good version would be done after
+    /// its deadline.
+    fn retire_age(&self) -> Millis {
+        let age_uncertainty = self.latest_order.since(self.earliest_order);
+        let latest = self.order.window.since(age_uncertainty).since(RETIRE_MARGIN);
+        latest.min(self.part_of_window(self.policy.retire_at))
     }
 
-    /// Returns the least age at which all traffic goes to the target: in time to be judged under it before
-    /// the end.
+    /// Returns the least age of the order at which all traffic goes to the target, early enough to
+    /// judge the target under full traffic before the old version is retired.
     ///
-    /// From the clock alone, with an age known to 1.1 s, full traffic began 0.8 s before the end of the window,
-    /// and good versions of fleets of 28 and 103 gateways were done after their deadlines
-    /// (core/tests/exposure.rs). What it may bring is bounded by count.
-    fn full_from(&self) -> Millis {
-        self.part_of_window(self.policy.ramp_until).min(self.ends_at().since(SETTLE))
+    /// When full traffic began at a fixed part of the window and the age of the order was uncertain
+    /// by 1.1 s, good versions of large fleets were done after their deadlines. The exposure of an
+    /// earlier start is limited by the counted budget.
+    fn full_traffic_age(&self) -> Millis {
+        self.part_of_window(self.policy.ramp_until).min(self.retire_age().since(MIN_FULL_TRAFFIC))
     }
 
-    fn is_tried(&self, shared: &Shared) -> bool {
-        shared.total().target.good >= self.policy.min_rated
+    fn has_min_good(&self, shared: &FleetEvidence) -> bool {
+        shared.total().target.good >= self.policy.min_good
     }
 
-    /// Looks at each route and at all together.
+    /// Returns whether the target is worse than the version in service, on any route or on all
+    /// routes together.
     ///
-    /// A version may be bad on one route only, and its failures would drown among the answers of
-    /// the others: at half of one route's answers in three, it went on into full service.
-    fn is_bad(&self, shared: &Shared, now: Millis) -> bool {
-        let is_worse = |route| self.is_worse(route, now);
-        shared.routes.iter().copied().any(is_worse) || is_worse(shared.total())
+    /// A version may be bad on one route only. Its failures would be too few among the answers of
+    /// all routes, and it would be put into service.
+    fn has_regressed(&self, shared: &FleetEvidence, now: Millis) -> bool {
+        let has_route_regressed = |route| self.has_route_regressed(route, now);
+        shared.routes.iter().copied().any(has_route_regressed)
+            || has_route_regressed(shared.total())
     }
 
-    /// Compares with the version in service: what is wrong with both is not the target's fault. From the load trial on, nor is
-    /// what only one half of its servers shows: a few servers get most of its requests then, and one of these that fails by
-    /// itself would take a good version with it.
-    fn is_worse(&self, route: RouteEvidence, now: Millis) -> bool {
+    /// Returns whether the target fails more often or is slower than the version in service, with
+    /// which it is compared because a fault of both is not a regression.
+    ///
+    /// From the load trial on, both halves of the target's servers must show the fault. A few
+    /// servers get most of the target's requests then, and one that fails by itself would cause the
+    /// rollback of a good version.
+    fn has_route_regressed(&self, route: RouteEvidence, now: Millis) -> bool {
         let RouteEvidence { target, current } = route;
-        let always = self.policy.allowed_failed;
-        let fails =
-            |counts: Counts, alpha| self.stops(counts.tally(), current.tally(), always, alpha);
-        let has_filled = self.is_announced && self.is_past(SESSIONS_STAY_UNTIL, now);
-        let is_silent =
-            |half: Counts| half.answers() < MIN_HALF && target.answers() >= MIN_BESIDE_SILENT;
-        let in_both = |shows: &dyn Fn(Counts) -> bool| {
-            !has_filled || target.halves().into_iter().all(|half| is_silent(half) || shows(half))
+        let base_allowed = self.policy.allowed_failures;
+        let fails = |counts: AnswerCounts, alpha| {
+            self.exceeds_failure_rate(counts.tally(), current.tally(), base_allowed, alpha)
+        };
+        let has_load_trial = self.is_announced && self.is_past(SESSION_MOVES_FROM, now);
+        let is_empty = |half: AnswerCounts| {
+            half.answers() < MIN_HALF_ANSWERS && target.answers() >= MIN_ANSWERS_BESIDE_EMPTY_HALF
         };
-        let is_failing = fails(target, self.policy.alpha) && in_both(&|half| fails(half, SUSPECT));
-        let is_slow = target.is_slower(current) && in_both(&|half| half.looks_slower(current));
+        let in_both = |shows: &dyn Fn(AnswerCounts) -> bool| {
+            !has_load_trial || target.halves().into_iter().all(|half| is_empty(half) || shows(half))
+        };
+        let is_failing =
+            fails(target, self.policy.alpha) && in_both(&|half| fails(half, ELEVATED_ALPHA));
+        let is_slow = target.is_slower(current) && in_both(&|half| half.has_longer_mean(current));
         is_failing || is_slow
     }
 
-    /// Says whether failures are more than usual, though not yet beyond doubt.
-    fn is_suspect(&self, shared: &Shared) -> bool {
-        let always = self.policy.allowed_failed;
-        let is_suspect = |route: &RouteEvidence| {
-            self.stops(route.target.tally(), route.current.tally(), always, SUSPECT)
+    /// Returns whether any route has more failures than usual, at a level at which a rollback would
+    /// be too early.
+    fn is_failure_rate_elevated(&self, shared: &FleetEvidence) -> bool {
+        let base_allowed = self.policy.allowed_failures;
+        let is_failure_rate_elevated = |route: &RouteEvidence| {
+            self.exceeds_failure_rate(
+                route.target.tally(),
+                route.current.tally(),
+                base_allowed,
+                ELEVATED_ALPHA,
+            )
         };
-        shared.routes.iter().any(is_suspect)
-    }
-
-    fn stops(&self, target: Tally, current: Tally, always: PerMille, alpha: f64) -> bool {
-        let usual = current.bad * 1000 / current.rated().max(MIN_COMPARED);
-        let allowed = always.0.max((usual * 2).min(900) as u16);
+        shared.routes.iter().any(is_failure_rate_elevated)
+    }
+
+    fn exceeds_failure_rate(
+        &self,
+        target: Tally,
+        current: Tally,
+        base_allowed: PerMille,
+        alpha: f64,
+    ) -> bool {
+        let usual = current.bad * 1000 / current.rated().max(MIN_CURRENT_ANSWERS);
+        let allowed = base_allowed.0.max((usual * 2).min(900) as u16);
         let test = SequentialTest::new(PerMille(allowed), alpha);
         test.verdict(target) == TestVerdict::Stop
     }
 
-    /// Says whether a few answers under full traffic show nothing at all against the target.
-    fn looks_good(&self, target: Counts, current: Counts) -> bool {
-        let longer = |target: Times, current: Times| target.mean() - current.mean();
-        let longest = longer(target.begin, current.begin).max(longer(target.pace, current.pace));
-        target.failed <= self.policy.max_failed_due && longest <= MAX_LONGER_DUE
+    /// Returns whether the few answers under full traffic have neither failures nor a higher
+    /// latency that could point to a regression.
+    fn shows_no_regression(&self, target: AnswerCounts, current: AnswerCounts) -> bool {
+        let longer = |target: LatencySums, current: LatencySums| target.mean() - current.mean();
+        let longest = longer(target.first_byte, current.first_byte)
+            .max(longer(target.event_gap, current.event_gap));
+        target.failed <= self.policy.max_clean_failures && longest <= MAX_CLEAN_LOG_SLOWDOWN
     }
 
-    /// Says whether the old version may be given up: the deadline is near, enough was seen of the target under
-    /// full traffic, and the exposure allows it. On that word the old servers stop, and nothing can be rolled
-    /// back any more.
-    fn may_give_up(&self, shared: &Shared, now: Millis) -> bool {
+    /// Returns whether the old version may be retired: the deadline is near, the target has
+    /// answered enough requests under full traffic, and the exposure allows it. The old servers
+    /// stop after this decision, so that no rollback is possible any more.
+    fn may_retire_current(&self, shared: &FleetEvidence, now: Millis) -> bool {
         let Some((since, before)) = self.full_since else { return false };
         let span = now.since(since);
         let total = shared.total();
         let counts = total.target.since(before);
         let seen = counts.answers();
-        let is_near = self.elapsed(now) >= self.ends_at();
-        // What is late already can wait until it is sure: a service of twenty requests a second has a dozen
-        // answers under full traffic in the end of a window of ten seconds, and a version that was
-        // slow or failed under load went into service, with nothing left to go back to.
-        let (enough, longest) = match self.left(now) {
-            Millis(0) => (self.policy.min_full_late, self.policy.max_full_late),
-            _ if self.looks_good(counts, total.current) => {
-                (self.policy.min_full_due, self.policy.max_full)
+        let is_near = self.elapsed(now) >= self.retire_age();
+        // After the deadline, the decision waits for more evidence. A service of 20 requests a
+        // second has a dozen answers under full traffic at the end of a 10 s window; on these,
+        // versions that were slow or failed under load were put into service, with no version left
+        // to roll back to.
+        let (enough, longest) = match self.time_left(now) {
+            Millis(0) => (self.policy.min_overdue_answers, self.policy.max_overdue_wait),
+            _ if self.shows_no_regression(counts, total.current) => {
+                (self.policy.min_clean_answers, self.policy.max_full_wait)
             }
-            _ => (self.policy.min_full, self.policy.max_full),
+            _ => (self.policy.min_full_answers, self.policy.max_full_wait),
         };
-        let is_enough = seen >= enough && !self.is_suspect(shared);
+        let is_enough = seen >= enough && !self.is_failure_rate_elevated(shared);
         let is_seen = is_enough || span >= longest;
-        span >= SETTLE && is_near && is_seen && self.is_within_exposure(shared.sent, now)
+        span >= MIN_FULL_TRAFFIC && is_near && is_seen && self.allows_full_traffic(shared.sent, now)
     }
 }
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -1,76 +1,76 @@
-//! Decisions of a gateway: routes, backend servers, placement, repeats, cascades and roll-outs.
+//! Decisions of a gateway: routing, backend servers, placement, retries, model cascades and rollouts.
 
+mod allowed_regions;
 mod answers;
+mod baseline_latency;
 mod budget;
 mod canary;
 mod canary_policy;
 mod catalog;
 mod cold;
-mod connect_time;
+mod connect_timeout;
 mod evacuations;
 mod events;
 mod exposure;
 mod feed;
+mod feed_positions;
 mod fingerprint;
 mod health;
-mod homes;
-mod leads;
+mod idle_timeout;
+mod interrupted_runs;
 mod leaving;
 mod limits;
 mod load;
 mod members;
-mod patience;
 mod placement;
 mod quarantine;
 mod registry;
 mod retry_after;
-mod server_ends;
 mod sessions;
 mod silence;
 mod sizes;
 mod status;
 mod stream_time;
 mod turns;
-mod unreached;
+mod unreachable;
 mod urgency;
-mod usual_time;
 
-pub use answers::{AnswerSums, Counts, RouteEvidence, Shared, Times};
-pub use budget::{RepeatBudget, RepeatUse};
+pub use allowed_regions::{AllowedRegions, DomainRegions};
+pub use answers::{AnswerCounts, AnswerSums, FleetEvidence, LatencySums, RouteEvidence};
+pub use baseline_latency::{BaselineLatency, CurrentSlowdown};
+pub use budget::{ResendBudget, ResendReason};
 pub use canary::{Affinity, Arm, ArmChoice, Canary, OrderAge, Phase, RolloutOrder};
 pub use canary_policy::CanaryPolicy;
 pub use catalog::{
-    BackendId, CallLimits, Catalog, Customer, Priority, Repeat, Route, RouteName, Service,
+    BackendId, CallLimits, Catalog, Customer, Idempotency, Priority, Route, RouteName, Service,
     ServiceName, StreamRules,
 };
 pub use cold::{ColdLimit, ColdPolicy};
-pub use connect_time::ConnectTimes;
+pub use connect_timeout::ConnectTimeout;
 pub use evacuations::{EvacuationChange, Evacuations};
 pub use events::{EventId, EventSplitter, WholeEvents};
-pub use exposure::{ExposureBudget, Sent};
-pub use feed::{FeedHeard, FeedPast, FeedTold, FeedView, is_newest_shorter};
+pub use exposure::{ExposureBudget, SendCounts};
+pub use feed::{FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView, is_compacted_read_shorter};
+pub use feed_positions::FeedPositions;
 pub use fingerprint::Fingerprint;
 pub use health::{Fault, HealthPolicy, ServerHealth};
-pub use homes::{Homes, Regions};
-pub use leads::Leads;
+pub use idle_timeout::IdleTimeout;
+pub use interrupted_runs::{BrokenRun, EndedRun, InterruptedRuns};
 pub use leaving::LeavingServers;
 pub use limits::{LimitChange, LimitPolicy, ServerLimits};
 pub use load::{PeerLoad, PeerLoads, ReadRates, ServerReport};
 pub use members::Members;
-pub use patience::Patience;
 pub use placement::{Place, PlacementPolicy, Work, is_in_first_half, lead_servers, place};
 pub use quarantine::{Admission, Mark, MarkChange, Quarantine, QuarantinePolicy};
 pub use registry::{
-    BackendServer, PassedServers, PutOutcome, Registry, RegistryPolicy, ServerState,
+    BackendServer, PeerServerList, PutOutcome, Registry, RegistryPolicy, ServerState,
 };
 pub use retry_after::RetryAfterTimes;
-pub use server_ends::{Broke, EndedRun, ServerEnds};
 pub use sessions::{MovedSessions, SessionKey};
-pub use silence::{Owed, SilencePolicy, SilenceWatch};
-pub use sizes::{Larger, Pressure, Rises, SizePolicy};
-pub use status::StatusBook;
+pub use silence::{Awaited, SilencePolicy, SilenceWatch};
+pub use sizes::{ConfidenceGains, LargerModel, Pressure, SizePolicy};
+pub use status::RolloutStatuses;
 pub use stream_time::StreamTimes;
 pub use turns::SendTurns;
-pub use unreached::Unreached;
+pub use unreachable::UnreachableServers;
 pub use urgency::UrgencyPolicy;
-pub use usual_time::{PresentTime, UsualTime};
--- a/core/src/serving/quarantine/mod.rs
+++ b/core/src/serving/quarantine/mod.rs
@@ -1,115 +1,121 @@
-//! Which requests are kept from backend servers, because servers end under them.
+//! Quarantine of requests that crash backend servers.
 
+mod answered;
 mod mark;
-mod proven;
+mod pending_changes;
 mod suspect;
-mod unwritten;
 
 use std::collections::{HashMap, HashSet};
 
 pub use mark::{Mark, MarkChange};
 
 use super::catalog::BackendId;
-use super::feed::wait;
+use super::feed::random_wait;
 use super::fingerprint::Fingerprint;
-use super::server_ends::EndedRun;
+use super::interrupted_runs::EndedRun;
 use crate::ids::Millis;
-use proven::Proven;
+use answered::AnsweredRequests;
+use pending_changes::PendingChanges;
 use suspect::Suspect;
-use unwritten::Unwritten;
 
-/// When requests are kept from servers, and when they are tried once more.
+/// When a request is quarantined, and how often a quarantined request is retried.
+///
+/// An *end* of a server is an unannounced end of its process while it runs requests, such as a crash.
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantinePolicy {
-    /// Ends of servers under a request from which on it is kept from them. One end says little: all that ran on the
-    /// server look alike.
-    pub ends: usize,
-    /// Trials of such a request, over all gateways: an innocent one is let go by the first that is answered. They are for
-    /// requests of which no trial was seen to end its server; the others have fewer.
-    pub trials: u8,
-    /// Trials of a request under which more servers have ended.
-    pub trials_of_more: u8,
-    /// Time between two trials.
-    pub rest: Millis,
-    /// Time for which a trial is waited for.
-    pub trial_lasts: Millis,
-    /// Time after the last end for which it is remembered.
-    pub keep: Millis,
-    /// Time for which a first end is not written: most requests are answered by the next server meanwhile.
-    pub hold: Millis,
-    /// Requests that are remembered at most.
+    /// Number of servers that must have ended while running a request before it is quarantined. A single end does not
+    /// identify the cause, because it affects every request that ran on the server.
+    pub min_ends: usize,
+    /// Maximum number of trials of a request, over all gateways, while no more than `min_ends` servers have ended under
+    /// it. The first trial that is answered releases the request.
+    pub max_trials: u8,
+    /// Maximum number of trials of a request under which more than `min_ends` servers have ended.
+    pub max_trials_after_more_ends: u8,
+    /// Minimum time between two trials.
+    pub trial_interval: Millis,
+    /// Time after which a trial without a known result counts as lost.
+    pub trial_timeout: Millis,
+    /// Time after the last end at which the request is forgotten.
+    pub retention: Millis,
+    /// Delay before a first end is written to the store. Most requests are answered by the next server in that time, so
+    /// that nothing needs to be written.
+    pub write_delay: Millis,
+    /// Maximum number of suspect requests in the table.
     pub max_suspects: usize,
 }
 
 impl Default for QuarantinePolicy {
-    /// Two ends, and as many trials that a deadly request has three sends at most after its third end, also if nobody saw
-    /// how they ended.
+    /// The limits allow at most three sends of a poison request after its third end, even if the result of each trial
+    /// is lost.
     ///
     /// ```
     /// use redwingfold_core::QuarantinePolicy;
     /// let policy = QuarantinePolicy::default();
-    /// assert!(policy.ends + usize::from(policy.trials) <= 3 + 3);
-    /// assert!(policy.trials_of_more <= 3);
+    /// assert!(policy.min_ends + usize::from(policy.max_trials) <= 3 + 3);
+    /// assert!(policy.max_trials_after_more_ends <= 3);
     /// ```
     fn default() -> Self {
         Self {
-            ends: 2,
-            trials: 4,
-            trials_of_more: 2,
-            rest: Millis(5_000),
-            trial_lasts: Millis(2_000),
-            keep: Millis(24 * 3_600_000),
-            hold: Millis(1_000),
+            min_ends: 2,
+            max_trials: 4,
+            max_trials_after_more_ends: 2,
+            trial_interval: Millis(5_000),
+            trial_timeout: Millis(2_000),
+            retention: Millis(24 * 3_600_000),
+            write_delay: Millis(1_000),
             max_suspects: 2_048,
         }
     }
 }
 
-/// Time within which marks are written again that a store lost as it came back from an older copy.
-const RESTORED_WITHIN: Millis = Millis(1_000);
+/// Time over which the gateways of a fleet spread the rewriting of marks that the store lost in a restore.
+const RESTORE_SPREAD: Millis = Millis(1_000);
 
-/// Time between withdrawals of marks that keep nothing from servers: what ran on a server when it ended is mostly answered
-/// by another within seconds, at times that all differ, and is withdrawn together.
-const WITHDRAWN_EVERY: Millis = Millis(3_000);
+/// Interval between withdrawals of marks of requests that are not quarantined. Requests from an ended server are mostly
+/// answered elsewhere within seconds, at different times; their marks are withdrawn in one batch.
+const WITHDRAWAL_INTERVAL: Millis = Millis(3_000);
 
-/// Returns the next time for such withdrawals.
-fn next_turn(now: Millis) -> Millis {
-    Millis((now.0 / WITHDRAWN_EVERY.0 + 1) * WITHDRAWN_EVERY.0)
+/// Returns the time of the next such batch.
+fn next_withdrawal(now: Millis) -> Millis {
+    Millis((now.0 / WITHDRAWAL_INTERVAL.0 + 1) * WITHDRAWAL_INTERVAL.0)
 }
 
-/// What may be done with a request.
+/// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It is sent on.
-    Free,
-    /// It is refused; the time until it may be tried again.
+    /// The request is not quarantined and may be sent.
+    Allowed,
+    /// The request is refused; holds the time until the next trial or until the request is forgotten.
     Refused(Millis),
-    /// It may be sent to one server, by the gateway that gets to write the mark of the trial with this number.
+    /// The request may be sent to one server as the trial with this number, by the gateway that writes the mark of the
+    /// trial first.
     Trial(u8),
 }
 
-/// What one gateway knows of requests under which servers ended.
+/// The suspect requests that one gateway has on record, and the marks that it has yet to write.
 ///
-/// Load pattern: one request ends each server that runs it, and comes again under new ids, at any gateway, often or
-/// rarely. Each id is sent to as many servers as its route allows: of twelve servers ten were down at a time, and a
-/// third of all callers were refused or failed. Here a second end makes the request known, and what is known is in
-/// the store, so that neither lost messages nor lost gateways bring it back: beyond the runs that are under way
-/// by then it reaches a few servers more, and they only to let go of a request that was not to blame.
+/// Failure: a poison request ends every server that runs it. Its caller sends it again under new request ids, through
+/// any gateway, and each id is retried on as many servers as its route allows. Ten of twelve servers were down at a
+/// time, and a third of all callers were refused or failed. The quarantine identifies requests by a fingerprint of
+/// their content. From the second end on, the request is sent only as a trial. The marks are kept in the store, so that
+/// neither lost messages nor restarts of gateways release the request. Beyond the runs that are in flight at that time,
+/// it reaches only the few servers of its trials, which exist to release innocent requests.
 ///
-/// A request that ran beside a deadly one is known by what that one never has, an answer. Each whole answer clears the
-/// request at all gateways, and one that was answered of late is not suspected for single ends of servers.
+/// An innocent request that ran beside a poison request is recognized by its answers, because a poison request is never
+/// answered. Each complete answer releases the request at all gateways, and a request that was answered recently is not
+/// suspected because of single ends.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     policy: QuarantinePolicy,
     suspects: HashMap<Fingerprint, Suspect>,
-    proven: Proven,
-    unwritten: Unwritten,
-    /// Whether the others should know at once of something that waits to be written.
+    answered: AnsweredRequests,
+    pending: PendingChanges,
+    /// Whether a pending change should be written and sent to the other gateways immediately.
     is_urgent: bool,
 }
 
 impl Quarantine {
-    /// Makes an empty quarantine.
+    /// Creates an empty quarantine.
     ///
     /// ```
     /// use redwingfold_core::{
@@ -117,223 +123,229 @@
     /// };
     /// let mut quarantine = Quarantine::new(QuarantinePolicy::default());
     /// let run = |sent_at| EndedRun { request: Fingerprint(7), sent_at: Millis(sent_at) };
-    /// quarantine.ended(&BackendId::from("e1"), run(0), Millis(50));
-    /// assert_eq!(quarantine.admission(Fingerprint(7), Millis(50)), Admission::Free);
-    /// quarantine.ended(&BackendId::from("e2"), run(60), Millis(99));
+    /// quarantine.record_end(&BackendId::from("e1"), run(0), Millis(50));
+    /// assert_eq!(quarantine.admission(Fingerprint(7), Millis(50)), Admission::Allowed);
+    /// quarantine.record_end(&BackendId::from("e2"), run(60), Millis(99));
     /// assert_eq!(quarantine.admission(Fingerprint(7), Millis(99)), Admission::Trial(1));
-    /// assert!(quarantine.completed(Fingerprint(7), Millis(200)));
-    /// assert_eq!(quarantine.admission(Fingerprint(7), Millis(200)), Admission::Free);
+    /// assert!(quarantine.record_answer(Fingerprint(7), Millis(200)));
+    /// assert_eq!(quarantine.admission(Fingerprint(7), Millis(200)), Admission::Allowed);
     /// ```
     pub fn new(policy: QuarantinePolicy) -> Self {
         Self {
             policy,
             suspects: HashMap::new(),
-            proven: Proven::default(),
-            unwritten: Unwritten::default(),
+            answered: AnsweredRequests::default(),
+            pending: PendingChanges::default(),
             is_urgent: false,
         }
     }
 
-    /// Takes that a server has ended while it ran a request; returns how many have, if this one counts.
-    pub fn ended(&mut self, server: &BackendId, run: EndedRun, now: Millis) -> Option<usize> {
-        if self.proven.bears(run, now) {
+    /// Records that a server ended while it ran a request. Returns the number of ends on record for the request, or
+    /// `None` if this end does not count.
+    pub fn record_end(&mut self, server: &BackendId, run: EndedRun, now: Millis) -> Option<usize> {
+        if self.answered.excuse_end(run, now) {
             return None;
         }
         let mark = Mark::End(server.clone());
-        let until = now.after(self.policy.keep);
-        let suspect = self.suspect(run.request, now);
+        let until = now.after(self.policy.retention);
+        let suspect = self.suspect_entry(run.request, now);
         if !suspect.add(&mark, now, until) {
             return None;
         }
         let ends = suspect.ends();
-        self.unwritten.add(run.request, mark, now.after(self.policy.hold), now);
-        if ends >= self.policy.ends {
-            self.unwritten.hurry(run.request, now);
+        self.pending.add(run.request, mark, now.after(self.policy.write_delay), now);
+        if ends >= self.policy.min_ends {
+            self.pending.expedite(run.request, now);
             self.is_urgent = true;
         }
         Some(ends)
     }
 
-    /// Takes that a request under which a server ended has run on another one for a while: its first end waits on to be
-    /// written, as it will most likely be answered.
+    /// Postpones the write of a first end, because the request has been running on another server for a while and will
+    /// most likely be answered.
     ///
-    /// Load pattern: a third of 180 servers end at once, and 103 gateways each go on elsewhere with a dozen streams of
-    /// some seconds. Written and withdrawn one by one, their marks were too many to be told, so that each gateway read the
-    /// store for each of the others.
-    pub fn runs_on(&mut self, request: Fingerprint, now: Millis) {
+    /// Load pattern: a third of 180 servers end at once, and each of 103 gateways resumes a dozen streams of some
+    /// seconds elsewhere. If their marks were written and withdrawn one by one, they would not fit into the messages
+    /// between gateways, and each gateway would read the store for the changes of each other one.
+    pub fn postpone_marks(&mut self, request: Fingerprint, now: Millis) {
         if self.is_suspect(request) {
-            self.unwritten.hold(request, now.after(self.policy.hold), now);
+            self.pending.postpone(request, now.after(self.policy.write_delay), now);
         }
     }
 
-    /// Takes that a request has ended without an answer: what is known of it is not held back any longer.
-    pub fn gave_up(&mut self, request: Fingerprint, now: Millis) {
+    /// Makes the pending marks of a request due, because the request failed and no answer will clear it.
+    pub fn expedite_marks(&mut self, request: Fingerprint, now: Millis) {
         if self.suspects.contains_key(&request) {
-            self.unwritten.hurry(request, now);
+            self.pending.expedite(request, now);
         }
     }
 
-    /// Takes that a server has answered a request to its end: it is not to blame. `true` if it was kept from servers.
-    pub fn completed(&mut self, request: Fingerprint, now: Millis) -> bool {
-        self.proven.completed(request, now);
+    /// Records a complete answer to a request and clears its marks. Returns whether the request was quarantined.
+    pub fn record_answer(&mut self, request: Fingerprint, now: Millis) -> bool {
+        self.answered.record_answer(request, now);
         let Some(suspect) = self.suspects.remove(&request) else { return false };
-        let was_kept = suspect.ends() >= self.policy.ends;
-        let due = if was_kept { now } else { next_turn(now) };
-        self.is_urgent |= was_kept;
-        self.unwritten.withdraw(request, suspect.marks(), due, now);
-        was_kept
+        let was_quarantined = suspect.ends() >= self.policy.min_ends;
+        let due = if was_quarantined { now } else { next_withdrawal(now) };
+        self.is_urgent |= was_quarantined;
+        self.pending.withdraw(request, suspect.marks(), due, now);
+        was_quarantined
     }
 
-    /// Says what may be done with a request.
+    /// Returns whether a request may be sent.
     pub fn admission(&self, request: Fingerprint, now: Millis) -> Admission {
         match self.suspects.get(&request) {
-            Some(suspect) if suspect.ends() >= self.policy.ends && now < suspect.until => {
+            Some(suspect) if suspect.ends() >= self.policy.min_ends && now < suspect.expires_at => {
                 suspect.admission(&self.policy, now)
             }
-            _ => Admission::Free,
+            _ => Admission::Allowed,
         }
     }
 
-    /// Says whether a server has ended under a request.
+    /// Returns whether a server has ended under a request.
     pub fn is_suspect(&self, request: Fingerprint) -> bool {
         self.suspects.contains_key(&request)
     }
 
-    /// Returns the number of the last trial of a request; 0 if there was none.
-    pub fn trials(&self, request: Fingerprint) -> u8 {
-        self.suspects.get(&request).map_or(0, Suspect::trials)
+    /// Returns the number of the last trial of a request, or 0 if there was none.
+    pub fn last_trial(&self, request: Fingerprint) -> u8 {
+        self.suspects.get(&request).map_or(0, Suspect::last_trial)
     }
 
-    /// Notes that this gateway asks the store for a trial, so that no other of its requests does.
-    pub fn claims(&mut self, request: Fingerprint, now: Millis) {
+    /// Records that this gateway is claiming a trial from the store, so that no other request of this gateway claims
+    /// the same one.
+    pub fn record_claim(&mut self, request: Fingerprint, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.tried_at = Some(now);
+            suspect.last_trial_at = Some(now);
         }
     }
 
-    /// Takes that the store cannot be asked for a trial; `true` if this gateway may make one by itself.
+    /// Starts a trial without a claim, because the store is unavailable. Returns whether the trial is allowed.
     ///
-    /// Load pattern: the store is away while servers end for reasons of their own. Without this, a request that met two of
-    /// them would be refused until it is back. It is one trial for each gateway, whose mark is written later.
-    pub fn tries_alone(&mut self, request: Fingerprint, trial: u8, now: Millis) -> bool {
-        let until = now.after(self.policy.keep);
+    /// Failure: the store is unavailable while servers end for unrelated reasons. A request that ran on two of them
+    /// would be refused until the store is back. Each gateway may start one such trial, and its mark is written later.
+    pub fn start_local_trial(&mut self, request: Fingerprint, trial: u8, now: Millis) -> bool {
+        let until = now.after(self.policy.retention);
         let Some(suspect) = self.suspects.get_mut(&request) else { return false };
         let mark = Mark::Trial(trial);
         let may = trial == 1 && suspect.add(&mark, now, until);
         if may {
-            self.unwritten.add(request, mark, now, now);
+            self.pending.add(request, mark, now, now);
         }
         may
     }
 
-    /// Takes that a trial was not sent to any server, so that another one may be.
-    pub fn unused(&mut self, request: Fingerprint, trial: u8, now: Millis) {
+    /// Returns a trial that was not sent to any server, so that another request may use it.
+    pub fn return_trial(&mut self, request: Fingerprint, trial: u8, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.remove(&Mark::Trial(trial));
-            suspect.tried_at = None;
-            self.unwritten.withdraw(request, vec![Mark::Trial(trial)], now, now);
+            suspect.last_trial_at = None;
+            self.pending.withdraw(request, vec![Mark::Trial(trial)], now, now);
         }
     }
 
-    /// Takes what the store says; returns the requests that are kept from servers from now on.
-    pub fn hear(&mut self, changes: &[MarkChange], now: Millis) -> Vec<Fingerprint> {
-        changes.iter().filter(|change| self.hear_one(change, now)).map(|c| c.request).collect()
+    /// Applies changes read from the store or received from another gateway. Returns the requests that are newly
+    /// quarantined.
+    pub fn apply_changes(&mut self, changes: &[MarkChange], now: Millis) -> Vec<Fingerprint> {
+        changes.iter().filter(|change| self.apply_change(change, now)).map(|c| c.request).collect()
     }
 
-    fn hear_one(&mut self, change: &MarkChange, now: Millis) -> bool {
+    fn apply_change(&mut self, change: &MarkChange, now: Millis) -> bool {
         let MarkChange { request, mark, age } = change;
         let Some(age) = age else {
             self.forget(*request, mark);
             return false;
         };
-        if !self.unwritten.is_there(*request, mark) {
+        if !self.pending.confirm_present(*request, mark) {
             return false;
         }
-        let left = self.policy.keep.since(*age);
-        if left == Millis(0) || self.proven.has(*request, now) {
-            self.unwritten.withdraw(*request, vec![mark.clone()], now, now);
+        let left = self.policy.retention.since(*age);
+        if left == Millis(0) || self.answered.contains(*request, now) {
+            self.pending.withdraw(*request, vec![mark.clone()], now, now);
             self.is_urgent = true;
             return false;
         }
-        let ends = self.policy.ends;
-        let suspect = self.suspect(*request, now);
-        let was_kept = suspect.ends() >= ends;
+        let ends = self.policy.min_ends;
+        let suspect = self.suspect_entry(*request, now);
+        let was_quarantined = suspect.ends() >= ends;
         suspect.add(mark, now.since(*age), now.after(left));
-        !was_kept && suspect.ends() >= ends
+        !was_quarantined && suspect.ends() >= ends
     }
 
-    /// Takes all that the store says; what it does not have any more was withdrawn.
-    pub fn hear_all(&mut self, marks: &[MarkChange], now: Millis) -> Vec<Fingerprint> {
-        let gone = self.not_among(marks);
+    /// Applies a snapshot of the store; marks that are not in it were withdrawn. Returns the requests that are newly
+    /// quarantined.
+    pub fn apply_snapshot(&mut self, marks: &[MarkChange], now: Millis) -> Vec<Fingerprint> {
+        let gone = self.missing_from(marks);
         gone.iter().for_each(|(request, mark)| self.forget(*request, mark));
-        self.hear(marks, now)
+        self.apply_changes(marks, now)
     }
 
-    /// Takes all that the store says after it has come back from an older copy; what that lacks is written again. Each
-    /// gateway of a fleet waits a time by `draw`, a random number, and one that has written lets the others be.
+    /// Applies a snapshot of a store that was restored from an older copy, and writes the marks again that the copy
+    /// lacks. Each gateway waits a random time, based on `draw` and the size of the fleet; when the first one has
+    /// written the marks, the others drop theirs.
     ///
-    /// Taken for withdrawn, the marks that the copy lacks would let a request go under which servers have ended.
-    pub fn hear_older_copy(
+    /// If missing marks were taken as withdrawn, requests under which servers have ended would be released.
+    pub fn apply_restored_snapshot(
         &mut self,
         marks: &[MarkChange],
         fleet: usize,
         now: Millis,
         draw: u64,
     ) -> Vec<Fingerprint> {
-        let due = now.after(wait(RESTORED_WITHIN, fleet, draw));
-        for (request, mark) in self.not_among(marks) {
-            let until = self.suspects.get(&request).map_or(now, |suspect| suspect.until);
-            let age = self.policy.keep.since(until.since(now));
-            self.unwritten.add(request, mark, due, now.since(age));
+        let due = now.after(random_wait(RESTORE_SPREAD, fleet, draw));
+        for (request, mark) in self.missing_from(marks) {
+            let until = self.suspects.get(&request).map_or(now, |suspect| suspect.expires_at);
+            let age = self.policy.retention.since(until.since(now));
+            self.pending.add(request, mark, due, now.since(age));
         }
-        self.hear(marks, now)
+        self.apply_changes(marks, now)
     }
 
-    /// Returns the marks that are known here and are not among some, but for those that wait to be written.
-    fn not_among(&self, marks: &[MarkChange]) -> Vec<(Fingerprint, Mark)> {
+    /// Returns the marks on record that are not among `marks` and have no pending change.
+    fn missing_from(&self, marks: &[MarkChange]) -> Vec<(Fingerprint, Mark)> {
         let listed: HashSet<_> = marks.iter().map(|m| (m.request, &m.mark)).collect();
         let known = self.suspects.iter().flat_map(|(request, suspect)| {
             suspect.marks().into_iter().map(|mark| (*request, mark))
         });
         let is_missing = |(request, mark): &(Fingerprint, Mark)| {
-            !listed.contains(&(*request, mark)) && !self.unwritten.has(*request, mark)
+            !listed.contains(&(*request, mark)) && !self.pending.contains(*request, mark)
         };
         known.filter(is_missing).collect()
     }
 
-    /// Returns what is to be written to the store now, at most `max` changes.
-    pub fn due(&self, now: Millis, max: usize) -> Vec<MarkChange> {
-        self.unwritten.due(now, max)
+    /// Returns the pending changes that are due, at most `max` of them.
+    pub fn due_changes(&self, now: Millis, max: usize) -> Vec<MarkChange> {
+        self.pending.due(now, max)
     }
 
-    /// Says whether the others should know at once of what waits to be written.
+    /// Returns whether a pending change should reach the other gateways immediately.
     pub fn is_urgent(&self) -> bool {
         self.is_urgent
     }
 
-    /// Takes that it is about to be written.
+    /// Returns and clears the flag of [`Self::is_urgent`], before the pending changes are written.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.is_urgent)
     }
 
-    /// Returns when something is to be written.
-    pub fn due_at(&self) -> Option<Millis> {
-        self.unwritten.due_at()
+    /// Returns the time at which the next pending change is due.
+    pub fn next_due_at(&self) -> Option<Millis> {
+        self.pending.next_due_at()
     }
 
-    /// Takes that changes were written.
-    pub fn written(&mut self, changes: &[MarkChange]) {
-        self.unwritten.written(changes);
+    /// Removes changes that were written to the store from the pending ones.
+    pub fn confirm_written(&mut self, changes: &[MarkChange]) {
+        self.pending.confirm_written(changes);
     }
 
-    /// Returns how many requests are suspected, and how many of them are kept from servers.
+    /// Returns the number of suspect requests, and how many of them are quarantined.
     pub fn counts(&self, now: Millis) -> (usize, usize) {
-        let is_kept = |request: &&Fingerprint| self.admission(**request, now) != Admission::Free;
-        (self.suspects.len(), self.suspects.keys().filter(is_kept).count())
+        let is_quarantined =
+            |request: &&Fingerprint| self.admission(**request, now) != Admission::Allowed;
+        (self.suspects.len(), self.suspects.keys().filter(is_quarantined).count())
     }
 
     fn forget(&mut self, request: Fingerprint, mark: &Mark) {
-        self.unwritten.is_gone(request, mark);
+        self.pending.confirm_withdrawn(request, mark);
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.remove(mark);
             if suspect.marks().is_empty() {
@@ -342,26 +354,26 @@
         }
     }
 
-    /// Returns what is known of a request, with room for a new one.
-    fn suspect(&mut self, request: Fingerprint, now: Millis) -> &mut Suspect {
+    /// Returns the entry of a request, and evicts another one if the table is full.
+    fn suspect_entry(&mut self, request: Fingerprint, now: Millis) -> &mut Suspect {
         if !self.suspects.contains_key(&request) {
             self.make_room(now);
         }
         self.suspects.entry(request).or_default()
     }
 
-    /// Forgets what is too old, and beyond the most that are remembered what matters least: a request that is not kept
-    /// from servers before one that is, and the oldest of these.
+    /// Removes expired entries. If the table is still full, evicts the entry that matters least: first the oldest one
+    /// that is not quarantined, then the oldest quarantined one.
     fn make_room(&mut self, now: Millis) {
-        self.suspects.retain(|_, suspect| now < suspect.until);
+        self.suspects.retain(|_, suspect| now < suspect.expires_at);
         if self.suspects.len() < self.policy.max_suspects {
             return;
         }
-        let ends = self.policy.ends;
-        let least = self.suspects.iter().min_by_key(|(_, s)| (s.ends() >= ends, s.until));
+        let ends = self.policy.min_ends;
+        let least = self.suspects.iter().min_by_key(|(_, s)| (s.ends() >= ends, s.expires_at));
         let Some(request) = least.map(|(request, _)| *request) else { return };
         if let Some(suspect) = self.suspects.remove(&request) {
-            self.unwritten.withdraw(request, suspect.marks(), now, now);
+            self.pending.withdraw(request, suspect.marks(), now, now);
         }
     }
 }
--- /dev/null
+++ b/gateway/src/discovery.rs
@@ -0,0 +1,102 @@
+//! Discovery of the other gateways.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use redwingfold_core::Millis;
+
+use crate::clock::sleep;
+use crate::gateway::Gateway;
+use crate::peer_table::PeerTable;
+
+/// Largest random delay of a starting gateway before it reads the addresses. Of gateways that start together, the first
+/// that has read them sends them to the others within about ten milliseconds.
+const START_SPREAD: Millis = Millis(300);
+
+/// Time in which all hosts of a new deployment start and write their addresses.
+const FIRST_START_WAIT: Millis = Millis(300);
+
+/// Time between two reads by a gateway without peers; a random part of up to the same length is added.
+const ALONE_RETRY_INTERVAL: Millis = Millis(3_000);
+
+/// Time between checks for live peers; a random part of up to the same length is added.
+const CHECK_INTERVAL: Millis = Millis(250);
+
+/// Time after which a write is contained in every copy from which the store may be restored.
+const IN_ALL_COPIES_AFTER: Millis = Millis(60_000);
+
+/// The calls that read and write the addresses of gateways in the store. Each returns only after it has succeeded.
+#[derive(Debug)]
+pub struct AddressStore<R, W> {
+    /// Reads the addresses of all gateways.
+    pub read: R,
+    /// Writes this gateway's own address.
+    pub write: W,
+}
+
+/// Discovers the other gateways, and repeats it whenever it has no live peers.
+///
+/// Load pattern: all gateways of a fleet lose power and restart. If each wrote its address and read all of them, as on
+/// the first start, 103 gateways would make 206 calls to the store for addresses that it has already, while callers
+/// return. So each gateway waits a random time for a message of another one, and only those that receive none read the
+/// addresses; these spread by gossip. A gateway that others have in their tables has its address in the store already.
+/// One that was cut off for so long that it has no live peers left reads again.
+///
+/// `is_first_start` is set on the first start of the deployment, when the store has no addresses yet.
+pub async fn discover_peers<R, W>(
+    gw: Rc<Gateway>,
+    peers: PeerTable,
+    is_first_start: bool,
+    mut address_store: AddressStore<R, W>,
+) where
+    R: AsyncFnMut() -> Vec<SocketAddr>,
+    W: AsyncFnMut(),
+{
+    if is_first_start {
+        (address_store.write)().await;
+        sleep(FIRST_START_WAIT).await;
+    }
+    sleep(Millis(fastrand::u64(0..START_SPREAD.0))).await;
+    let (mut logged_count, started_at, mut rewritten_after) = (0, gw.now(), None);
+    loop {
+        let restored = gw.restored_at.get().filter(|at| rewritten_after != Some(*at));
+        if let Some(at) = restored {
+            rewritten_after = Some(at);
+            // An address that was written longer ago is contained in the copy.
+            if at.since(started_at) < IN_ALL_COPIES_AFTER {
+                (address_store.write)().await;
+            }
+        }
+        if peers.live(gw.now()).is_empty() {
+            let addresses = read_addresses(&peers, &mut address_store).await;
+            if peers.add(&addresses, gw.now()) {
+                gw.gossip_due.notify(usize::MAX);
+            }
+        }
+        gw.record_peers_joined();
+        if peers.len() != logged_count {
+            logged_count = peers.len();
+            gw.telemetry.info("peers_known", &[("peers", &logged_count)]);
+        }
+        let pause = if peers.is_empty() { ALONE_RETRY_INTERVAL } else { CHECK_INTERVAL };
+        sleep(pause.after(Millis(fastrand::u64(0..pause.0)))).await;
+    }
+}
+
+/// Reads the addresses of all gateways, and writes this gateway's own if it is missing.
+async fn read_addresses<R, W>(
+    peers: &PeerTable,
+    address_store: &mut AddressStore<R, W>,
+) -> Vec<SocketAddr>
+where
+    R: AsyncFnMut() -> Vec<SocketAddr>,
+    W: AsyncFnMut(),
+{
+    let addresses = (address_store.read)().await;
+    if addresses.contains(&peers.own()) {
+        return addresses;
+    }
+    (address_store.write)().await;
+    // Read again, so that of two gateways that start at once, at least one finds the other.
+    (address_store.read)().await
+}
--- /dev/null
+++ b/gateway/src/exchange/progress.rs
@@ -0,0 +1,74 @@
+//! Positions in the feeds: this gateway's own, and those of other gateways that are ahead.
+
+use std::net::SocketAddr;
+
+use redwingfold_core::{FeedPositions, FeedUpdate, Millis};
+
+use super::snapshot::{OrderSnapshots, Record};
+use crate::feeds::{Audience, Feed};
+use crate::gateway::Gateway;
+
+impl Gateway {
+    pub(crate) fn with_orders<T>(&self, f: impl FnOnce(&mut OrderSnapshots) -> T) -> T {
+        f(&mut self.orders.borrow_mut())
+    }
+
+    /// Records this gateway's own read of the operator's topic, which started at `began` and ended at offset `next`.
+    /// `is_all` means that `records` holds the newest record of each key, rather than only new records.
+    pub fn record_orders_read(&self, records: &[Record], is_all: bool, next: u64, began: Millis) {
+        self.with_orders(|orders| orders.record_read(records, is_all, next, began));
+        self.orders_read_error.replace(None);
+        self.with_feeds(|feeds| feeds.record_orders(began, next, Audience::All));
+        self.gossip_due.notify(usize::MAX);
+    }
+
+    /// Records that the operator's topic was fetched from another gateway up to offset `next`.
+    pub fn record_orders_fetched(&self, next: u64, as_of: Millis) {
+        self.with_feeds(|feeds| feeds.record_orders(as_of, next, Audience::Few));
+        self.gossip_due.notify(usize::MAX);
+    }
+
+    /// Applies another gateway's report on its position in the operator's topic.
+    pub(crate) fn apply_orders_update(&self, from: SocketAddr, update: FeedUpdate) {
+        self.with_feeds(|feeds| feeds.apply_orders_update(update, self.now()));
+        self.record_peer_position(Feed::Orders, from, update.next);
+    }
+
+    /// Records another gateway's position in a feed.
+    pub(crate) fn record_peer_position(&self, feed: Feed, peer: SocketAddr, next: u64) {
+        self.with_positions(feed, |positions| positions.record(peer, next, self.now()));
+        if self.pick_peer_ahead(feed).is_some() {
+            self.peer_ahead.notify(usize::MAX);
+        }
+    }
+
+    /// Returns whether another gateway is ahead of this one in a feed.
+    pub fn is_behind(&self, feed: Feed) -> bool {
+        self.pick_peer_ahead(feed).is_some()
+    }
+
+    /// Picks a gateway that is ahead of this one in a feed.
+    pub(super) fn pick_peer_ahead(&self, feed: Feed) -> Option<SocketAddr> {
+        let own = self.with_feeds(|feeds| feeds.reached(feed));
+        self.with_positions(feed, |positions| {
+            positions.pick_ahead(own, fastrand::u64(..), self.now())
+        })
+    }
+
+    pub(super) fn record_peer_failure(&self, feed: Feed, peer: SocketAddr) {
+        self.with_positions(feed, |positions| positions.record_failure(peer, self.now()));
+    }
+
+    fn with_positions<T>(
+        &self,
+        feed: Feed,
+        f: impl FnOnce(&mut FeedPositions<SocketAddr>) -> T,
+    ) -> T {
+        match feed {
+            Feed::Orders => f(&mut self.orders_positions.borrow_mut()),
+            Feed::Servers => f(&mut self.servers_positions.borrow_mut()),
+            // Marks are few and short, so a gateway that missed some reads them from the store.
+            Feed::Marks => f(&mut FeedPositions::new()),
+        }
+    }
+}
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -1,7 +1,7 @@
-//! The list of backend servers, as one gateway gives it to another.
+//! The list of backend servers, as gateways send it to each other.
 
 use bytes::Bytes;
-use redwingfold_core::{BackendServer, Millis, PassedServers, Registry, ServerState};
+use redwingfold_core::{BackendServer, Millis, PeerServerList, Registry, ServerState};
 use serde::{Deserialize, Serialize};
 
 use super::delta;
@@ -9,45 +9,45 @@
 
 pub(super) const PATH: &str = "/servers";
 
-/// Returns the target by which a gateway asks that knows the list up to an offset.
-pub(super) fn target(next: Option<u64>) -> String {
+/// Returns the request target for a gateway that has the list up to an offset.
+pub(super) fn request_target(next: Option<u64>) -> String {
     format!("{PATH}?next={}", next.map_or_else(String::new, |next| next.to_string()))
 }
 
-/// All servers that a gateway believes in.
+/// All servers in a gateway's registry.
 #[derive(Debug, Deserialize, Serialize)]
-pub(super) struct List {
-    /// Offset up to which the list is known.
+pub(super) struct ServerList {
+    /// Offset in the feed up to which the list is complete.
     pub(super) next: u64,
     servers: Vec<ServerWire>,
-    /// Servers among them whose records are gone, and the milliseconds until they are taken as gone.
+    /// Servers in the list whose records were removed, and the milliseconds until they count as gone.
     ///
-    /// A removal soon after an outage of the store may only mean that the record could not be renewed, so that a
-    /// server stays for a while. Passed on as one that is there, it stayed for good where its removal had been
-    /// read already: a server that had left got requests 4.2 s later, where 4 s are allowed.
+    /// A removal soon after an outage of the store may only mean that the record could not be renewed, so the server is
+    /// kept for a while. Without this field, a receiver that had already read the removal kept the server forever: a
+    /// server that had left got requests 4.2 s later, where 4 s are allowed.
     lapsing: Vec<(String, u32)>,
-    /// Milliseconds for which the writer's lists may yet be of an older copy of the store.
+    /// Milliseconds for which lists that the sender reads may still come from an older copy of the store.
     copies_left: u32,
 }
 
-/// A list as it was written for others.
+/// An encoded server list, cached for requests of other gateways.
 ///
-/// A hundred gateways ask at once when many servers have come: writing it for each of them took some 0.1 s of a core,
-/// a second of a host that has a tenth of one.
+/// A hundred gateways request the list at once after many servers have registered. Encoding it for each of them took
+/// about 0.1 s of a core, which is a second on a host with a tenth of a core.
 #[derive(Clone, Debug)]
-pub(crate) struct Written {
+pub(crate) struct EncodedServerList {
     next: u64,
     bytes: Bytes,
 }
 
-impl Written {
-    /// Returns it for a gateway that knows the list up to the same offset.
-    pub(super) fn of(&self, next: u64) -> Option<Bytes> {
+impl EncodedServerList {
+    /// Returns the bytes if the list is of offset `next`.
+    pub(super) fn bytes_at(&self, next: u64) -> Option<Bytes> {
         (self.next == next).then(|| self.bytes.clone())
     }
 }
 
-impl List {
+impl ServerList {
     /// Lists the servers in a registry.
     ///
     /// Servers that are leaving are listed as draining, as the reader may have missed the announcement.
@@ -68,34 +68,34 @@
             }
         });
         let servers = servers.collect();
-        let lapsing = registry.lapsing(now).map(|(id, left)| (id.to_string(), left.0 as u32));
-        let copies_left = registry.copies_left(now).0 as u32;
+        let lapsing = registry.expiring(now).map(|(id, left)| (id.to_string(), left.0 as u32));
+        let copies_left = registry.stale_for(now).0 as u32;
         Self { next, servers, lapsing: lapsing.collect(), copies_left }
     }
 
-    /// Writes it, with its length before it.
-    pub(super) fn write(&self) -> Option<Written> {
+    /// Encodes the list: its uncompressed length, then its compressed bytes.
+    pub(super) fn encode(&self) -> Option<EncodedServerList> {
         let bytes = postcard::to_stdvec(self).ok()?;
-        let short = Bytes::from(delta::write(&bytes, &[]).ok()?);
-        let written = postcard::to_stdvec(&(bytes.len(), short)).ok()?;
-        Some(Written { next: self.next, bytes: written.into() })
+        let compressed = Bytes::from(delta::encode(&bytes, &[]).ok()?);
+        let encoded = postcard::to_stdvec(&(bytes.len(), compressed)).ok()?;
+        Some(EncodedServerList { next: self.next, bytes: encoded.into() })
     }
 
-    /// Reads one of at most `max` bytes.
-    pub(super) fn read(bytes: &[u8], max: usize) -> eyre::Result<Self> {
-        let (len, short): (usize, Bytes) = postcard::from_bytes(bytes)?;
-        eyre::ensure!(len <= max, "it has {len} bytes");
-        Ok(postcard::from_bytes(&delta::read(&short, &[], len)?)?)
+    /// Decodes a list of at most `max` uncompressed bytes.
+    pub(super) fn decode(bytes: &[u8], max: usize) -> eyre::Result<Self> {
+        let (len, compressed): (usize, Bytes) = postcard::from_bytes(bytes)?;
+        eyre::ensure!(len <= max, "the server list has {len} bytes, more than the limit");
+        Ok(postcard::from_bytes(&delta::decode(&compressed, &[], len)?)?)
     }
 
-    pub(super) fn servers(self) -> Result<PassedServers, String> {
+    pub(super) fn into_passed(self) -> Result<PeerServerList, String> {
         let servers = self.servers.into_iter().map(|s| s.try_into().map_err(|e| format!("{e}")));
         let lapsing = self.lapsing.into_iter();
         let lapsing = lapsing.map(|(id, left)| (id.as_str().into(), Millis(u64::from(left))));
-        Ok(PassedServers {
+        Ok(PeerServerList {
             servers: servers.collect::<Result<_, _>>()?,
-            lapsing: lapsing.collect(),
-            copies_left: Millis(u64::from(self.copies_left)),
+            expiring: lapsing.collect(),
+            stale_for: Millis(u64::from(self.copies_left)),
         })
     }
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,65 +1,68 @@
-//! Answers HTTP requests from backend servers that it chooses, watches and goes on from.
+//! HTTP gateway that forwards requests to backend servers, monitors these, and resumes broken streams.
 //!
-//! One pipeline: caller, request facts, route and customer, choice of version, model and server,
-//! attempt, relay, caller. What a deployment says on its wire comes in through a [`Dialect`], and
-//! what it believes through [`Gateway`]'s methods; decisions are made in `redwingfold-core`.
+//! A request passes these steps: decoding of its metadata, lookup of route and customer, choice of version, model and
+//! server, attempt, and relay of the response. The headers of a deployment are converted by a [`HeaderCodec`], and its state
+//! is applied through the methods of [`Gateway`]. Decisions are made in `redwingfold-core`.
 
-mod answer;
 mod attempt;
 mod availability;
-mod choice;
 mod clock;
 mod cold;
-mod ends;
+mod discovery;
 mod evacuation;
 mod exchange;
-mod facts;
 mod feeds;
 mod fingerprint;
-mod flight_log;
 mod gateway;
-mod head_watch;
+mod gossip;
+mod header_timer;
 mod limits;
 mod load;
-mod meeting;
+mod metadata;
 mod model_choice;
 mod net;
 mod peer_message;
 mod peer_table;
-mod peers;
 mod pipeline;
 mod quarantine;
 mod relay;
 mod request;
+mod request_log;
+mod response;
 #[cfg(test)]
 mod restored_rollouts_tests;
 mod rollout_choice;
-mod rollout_news;
-mod rollout_turns;
+mod rollout_control;
+mod rollout_report;
 mod rollouts;
 mod serve;
+mod server_choice;
 mod server_list;
+mod server_probe;
 mod session_keepers;
 mod settings;
 mod turns;
 mod upstream;
 
-pub use answer::{Answer, AnswerBody, text_answer};
 pub use clock::Clock;
-pub use exchange::{Fetched, Record, feed_pages, fetch_orders, fetch_servers, watch_orders_age};
-pub use facts::{
-    AnswerFacts, AttemptFacts, Dialect, ModelAsk, PromptPart, ReportedLoad, RequestFacts, Usage,
+pub use discovery::{AddressStore, discover_peers};
+pub use exchange::{
+    FetchedOrders, Record, feed_pages, fetch_newer_orders, fetch_newer_servers, watch_orders_age,
 };
 pub use feeds::{Feed, FeedPeriods, Feeds, ServerChange};
-pub use gateway::{ConfigSource, Gateway, Standing, StoreCopy};
-pub use meeting::{Directory, meet};
-pub use net::{bind, connect, with_timeouts};
-pub use peer_table::Peers;
-pub use peers::{hear_peers, tell_peers};
-pub use quarantine::Claim;
-pub use rollout_news::{Recorded, RolloutNews};
+pub use gateway::{ConfigSource, Gateway, Lifecycle, StoreCopy};
+pub use gossip::{receive_gossip, send_gossip};
+pub use metadata::{
+    AttemptMetadata, HeaderCodec, PromptPart, ReportedLoad, RequestMetadata, RequestedModel,
+    ResponseMetadata, Usage,
+};
+pub use net::{bind, connect, set_socket_options};
+pub use peer_table::PeerTable;
+pub use quarantine::TrialClaim;
+pub use response::{GatewayResponse, ResponseBody, text_response};
+pub use rollout_report::{RolloutReport, StoredStatus};
 pub use rollouts::{DueStatus, Rollouts};
 pub use serve::{serve_callers, serve_pages};
-pub use session_keepers::tell_keepers;
+pub use session_keepers::send_session_messages;
 pub use settings::GatewaySettings;
-pub use upstream::{CallError, Caller, Reading};
+pub use upstream::{CallError, HttpConnection, ResponseReader};
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits of backend servers, as known to this gateway.
+//! Rate limits that backend servers report in responses, shared between gateways.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::gateway::Gateway;
-use crate::load::LimitNews;
+use crate::load::LimitUpdate;
 
 /// Returns a hash of the server's id and incarnation, the same on every gateway.
 pub(crate) fn incarnation_hash(server: &BackendServer) -> u64 {
@@ -15,36 +15,36 @@
 }
 
 impl Gateway {
-    /// Records the limit in a server's answer and queues it for the peers.
+    /// Records the limit in a server's response and queues it for the peers.
     pub(crate) fn record_limit(&self, server: &BackendServer, limit: Option<RequestRate>) {
         let hash = incarnation_hash(server);
-        let news = LimitNews { limit, reported_at: self.now() };
-        let change = self.server_limits.borrow_mut().record(hash, limit, news.reported_at);
-        // Repeated with every answer, so that gateways that have just started or missed a message learn the limit.
+        let update = LimitUpdate { limit, reported_at: self.now() };
+        let change = self.server_limits.borrow_mut().record(hash, limit, update.reported_at);
+        // Repeated with every response, for gateways that have just started or missed a message.
         if self.server_limits.borrow().has(hash) {
-            self.loads.tell_limit(hash, news);
+            self.loads.queue_limit(hash, update);
         }
         self.log_limit(server, change, None);
     }
 
-    /// Records the limit in an answer that a peer received.
-    pub(crate) fn hear_limit(&self, from: SocketAddr, hash: u64, news: LimitNews) {
-        let change = self.server_limits.borrow_mut().record(hash, news.limit, news.reported_at);
+    /// Records the limit in a response that a peer received.
+    pub(crate) fn apply_peer_limit(&self, peer: SocketAddr, hash: u64, update: LimitUpdate) {
+        let change = self.server_limits.borrow_mut().record(hash, update.limit, update.reported_at);
         if change.is_none() {
             return;
         }
         let registry = self.registry.borrow();
         let found = registry.servers(self.now()).find(|s| incarnation_hash(s) == hash);
-        found.iter().for_each(|server| self.log_limit(server, change, Some(from)));
+        found.iter().for_each(|server| self.log_limit(server, change, Some(peer)));
     }
 
     fn log_limit(
         &self,
         server: &BackendServer,
         change: Option<LimitChange>,
-        told_by: Option<SocketAddr>,
+        source: Option<SocketAddr>,
     ) {
-        let told_by = told_by.map_or_else(|| "self".to_owned(), |peer| peer.to_string());
+        let source = source.map_or_else(|| "self".to_owned(), |addr| addr.to_string());
         match change {
             None => {}
             Some(LimitChange::Set(rate)) => self.telemetry.info(
@@ -53,12 +53,12 @@
                     ("server", &server.id),
                     ("service", &server.service),
                     ("per_s", &rate),
-                    ("told_by", &told_by),
+                    ("told_by", &source),
                 ],
             ),
             Some(LimitChange::Cleared) => self.telemetry.info(
                 "server_unlimited",
-                &[("server", &server.id), ("service", &server.service), ("told_by", &told_by)],
+                &[("server", &server.id), ("service", &server.service), ("told_by", &source)],
             ),
         }
     }
@@ -71,7 +71,7 @@
     }
 
     /// Updates the gauge of servers that report a limit.
-    pub fn show_limits(&self) {
+    pub fn update_limit_gauge(&self) {
         let limited = self.with_registry(|r| {
             r.servers(self.now()).filter(|server| self.limit_of(server).is_some()).count()
         });
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -1,22 +1,23 @@
-//! Whether a model's answer is kept, or a larger one is asked.
+//! Decision whether to forward a model's answer or to retry with a larger model.
 
-use redwingfold_core::{Larger, Millis, RepeatUse};
+use redwingfold_core::{LargerModel, Millis, ResendReason};
 
-use crate::request::Flight;
+use crate::request::InFlightRequest;
 
-impl Flight {
-    /// Says whether an answer is kept with a model's confidence in it; if not, a larger model is next.
-    pub(crate) fn is_sure_enough(&mut self, size: usize, confidence: u8) -> bool {
-        match self.opinion.replace((size, confidence)) {
+impl InFlightRequest {
+    /// Returns whether an answer is accepted with the model's confidence in it. If not, takes a retry from the budget and
+    /// selects a larger model for it.
+    pub(crate) fn accept_confidence(&mut self, size: usize, confidence: u8) -> bool {
+        match self.last_confidence.replace((size, confidence)) {
             Some(smaller) if smaller.0 < size => {
-                self.gw.rises.borrow_mut().learn(&self.service, smaller, (size, confidence));
+                self.gw.rises.borrow_mut().record(&self.service, smaller, (size, confidence));
             }
             _ => {}
         }
         let may = self.sends < self.route.max_attempts && !self.is_quarantined();
-        match self.larger(size, confidence).filter(|_| may) {
-            Some(larger) if self.gw.try_repeat(&self.service, RepeatUse::Quality) => {
-                self.log_larger(size, confidence, larger);
+        match self.choose_larger(size, confidence).filter(|_| may) {
+            Some(larger) if self.gw.try_repeat(&self.service, ResendReason::Quality) => {
+                self.log_larger_model(size, confidence, larger);
                 self.size = Some(larger);
                 false
             }
@@ -24,28 +25,27 @@
         }
     }
 
-    /// Says whether a model's answer is expected to end while its caller still waits.
+    /// Returns whether a model's answer is expected to complete before the deadline.
     ///
-    /// Load pattern: all gateways were lost, and callers come back in one wave when their patience with the
-    /// silent stream has ended, some with a second left. What a larger model begins for these is cut, and it
-    /// keeps the servers from those who can still be served in time.
-    fn ends_in_time(&self, size: usize) -> bool {
-        let usage = self.facts.usage;
+    /// After the loss of all gateways, callers resume their broken streams in one wave, some with only a second left. A
+    /// larger model could not complete these in time, and would occupy servers that can still serve others in time.
+    fn is_expected_in_time(&self, size: usize) -> bool {
+        let usage = self.metadata.usage;
         let whole = self.gw.stream_times.borrow().estimate(&self.service, usage.max_output);
-        // Who comes back has some of the answer: a half, where nothing tells.
-        let rest = if self.facts.resume_after.is_some() { Millis(whole.0 / 2) } else { whole };
-        self.reading_time(size).after(rest) <= self.left()
+        // A caller that resumes already has an unknown part of the answer; assumes half.
+        let rest = if self.metadata.resume_after.is_some() { Millis(whole.0 / 2) } else { whole };
+        self.prefill_time(size).after(rest) <= self.time_left()
     }
 
-    /// Chooses the model that should answer instead, if any.
-    fn larger(&self, size: usize, confidence: u8) -> Option<usize> {
-        let spent = self.gw.now().since(self.begun);
+    /// Selects a larger model for a retry, if one is worth it.
+    fn choose_larger(&self, size: usize, confidence: u8) -> Option<usize> {
+        let spent = self.gw.now().since(self.received_at);
         let larger: Vec<_> = (size + 1..self.route.sizes.len())
-            .filter(|larger| self.ends_in_time(*larger))
-            .map(|larger| Larger {
+            .filter(|larger| self.is_expected_in_time(*larger))
+            .map(|larger| LargerModel {
                 size: larger,
-                rise: self.gw.rises.borrow().expected(&self.service, size, larger),
-                in_time: spent.after(self.reading_time(larger)) < self.route.aim,
+                gain: self.gw.rises.borrow().expected(&self.service, size, larger),
+                in_time: spent.after(self.prefill_time(larger)) < self.route.latency_target,
             })
             .collect();
         self.gw.settings.sizes.larger(confidence, self.gw.pressure(), &larger)
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -1,35 +1,35 @@
-//! The messages that gateways send each other, as they stand in a datagram.
+//! Wire format of the messages between gateways.
 
 use std::net::SocketAddr;
 
 use redwingfold_core::{
-    AnswerSums, BackendServer, Counts, FeedTold, Fingerprint, Incarnation, Mark, MarkChange,
-    Millis, ParseIdError, Phase, RequestRate, RouteEvidence, Sent, ServerReport, ServerState,
-    Times,
+    AnswerCounts, AnswerSums, BackendServer, FeedUpdate, Fingerprint, Incarnation, LatencySums,
+    Mark, MarkChange, Millis, ParseIdError, Phase, RequestRate, RouteEvidence, SendCounts,
+    ServerReport, ServerState,
 };
 use serde::{Deserialize, Serialize};
 
 use crate::feeds::ServerChange;
-use crate::load::{LimitNews, LoadNews};
-use crate::rollout_news::{Recorded, RolloutNews};
+use crate::load::{LimitUpdate, LoadUpdate};
+use crate::rollout_report::{RolloutReport, StoredStatus};
 use crate::session_keepers::SessionMessage;
 
-/// One gateway's message.
+/// A message from one gateway to another. Servers are identified by hashes.
 #[derive(Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct PeerMessage {
-    /// Server, and the milliseconds that a prompt sent there takes.
+    /// Prompts sent: server, and the milliseconds that processing takes there.
     pub(crate) sent: Vec<(u32, u16)>,
-    /// Server, requests that run, and that wait.
+    /// Reported loads: server, running requests, waiting requests.
     pub(crate) reports: Vec<(u32, u16, u16)>,
     /// Servers to which no connection could be made.
     pub(crate) unreached: Vec<u32>,
-    /// Servers that have answered, though somebody could not reach them.
+    /// Servers that have answered, although another gateway could not connect to them.
     pub(crate) answered: Vec<u32>,
     pub(crate) orders: Option<FeedWire>,
-    pub(crate) servers: Option<(FeedWire, Vec<ChangeWire>)>,
+    pub(crate) servers: Option<(FeedWire, Vec<ServerChangeWire>)>,
     pub(crate) marks: Option<(FeedWire, Vec<MarkWire>)>,
     pub(crate) rollouts: Vec<RolloutWire>,
-    /// Where other gateways are.
+    /// Addresses of other gateways.
     pub(crate) gateways: Vec<SocketAddr>,
     pub(crate) limits: Vec<LimitWire>,
     /// Incarnation hashes of servers that are leaving.
@@ -42,18 +42,18 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct LimitWire(u64, Option<f64>, u16);
 
-/// How far a feed was read: from, next, age in milliseconds.
+/// Position in a feed: offset from which changes are included, next offset, age in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct FeedWire(u64, u64, u32);
 
 /// A change in the list of backend servers.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-pub(crate) enum ChangeWire {
-    Gone(String),
+pub(crate) enum ServerChangeWire {
+    Removed(String),
     Put(Box<ServerWire>),
 }
 
-/// A mark of a request: its fingerprint, what happened, and the milliseconds since, unless it is withdrawn.
+/// A mark of a request: fingerprint, kind, and age in milliseconds (`None` if it was withdrawn).
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct MarkWire(u64, MarkKindWire, Option<u32>);
 
@@ -74,35 +74,35 @@
     is_draining: bool,
     models: Vec<String>,
     born: Option<u64>,
-    /// Milliseconds for which it is still cold.
+    /// Milliseconds for which the server is still cold.
     cold_left: u32,
 }
 
-/// Good, failed; number, sum and sum of squares of times to the first byte, and of pauses.
+/// Good answers, failed answers; number, sum and sum of squares of times to the first byte, and of gaps between events.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct SumsWire(u64, u64, (u64, f32, f32), (u64, f32, f32));
 
-/// All answers, and those of one half of the servers if there are any.
+/// Sums over all answers, and over those of the first half of the servers if there are any.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct CountsWire(SumsWire, Option<SumsWire>);
 
-/// Requests that a gateway has sent in a roll-out, those to the target, and its requests a second.
+/// Requests that a gateway has sent in a rollout, those to the target, and its requests per second.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 struct SentWire(u64, u64, f32);
 
-impl From<Sent> for SentWire {
-    fn from(sent: Sent) -> Self {
+impl From<SendCounts> for SentWire {
+    fn from(sent: SendCounts) -> Self {
         Self(sent.all, sent.target, sent.per_s as f32)
     }
 }
 
-impl From<SentWire> for Sent {
+impl From<SentWire> for SendCounts {
     fn from(message: SentWire) -> Self {
         Self { all: message.0, target: message.1, per_s: f64::from(message.2) }
     }
 }
 
-/// What a gateway saw of a roll-out.
+/// One gateway's report on a rollout.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RolloutWire {
     service: String,
@@ -110,50 +110,50 @@
     elapsed_ms: u64,
     is_age_known: bool,
     is_announced: bool,
-    /// Route; counts of the target, and of the version in service.
+    /// Hash of the route; counts of the target, and of the current version.
     routes: Vec<(u32, [CountsWire; 2])>,
     sent: SentWire,
     is_rolled_back: bool,
-    recorded: RecordedWire,
-    era: u64,
+    stored_status: StoredStatusWire,
+    store_era: u64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-enum RecordedWire {
+enum StoredStatusWire {
     Unknown,
     Running,
     Done,
     RolledBack,
 }
 
-impl From<FeedTold> for FeedWire {
-    fn from(told: FeedTold) -> Self {
-        Self(told.from, told.next, told.age.0.min(u64::from(u32::MAX)) as u32)
+impl From<FeedUpdate> for FeedWire {
+    fn from(position: FeedUpdate) -> Self {
+        Self(position.from, position.next, position.age.0.min(u64::from(u32::MAX)) as u32)
     }
 }
 
-impl From<FeedWire> for FeedTold {
+impl From<FeedWire> for FeedUpdate {
     fn from(message: FeedWire) -> Self {
         Self { from: message.0, next: message.1, age: Millis(u64::from(message.2)) }
     }
 }
 
-impl From<&ServerChange> for ChangeWire {
+impl From<&ServerChange> for ServerChangeWire {
     fn from(change: &ServerChange) -> Self {
         match change {
-            ServerChange::Gone(id) => Self::Gone(id.to_string()),
+            ServerChange::Removed(id) => Self::Removed(id.to_string()),
             ServerChange::Put(server) => Self::Put(Box::new(server.into())),
         }
     }
 }
 
-impl TryFrom<ChangeWire> for ServerChange {
+impl TryFrom<ServerChangeWire> for ServerChange {
     type Error = ParseIdError;
 
-    fn try_from(message: ChangeWire) -> Result<Self, Self::Error> {
+    fn try_from(message: ServerChangeWire) -> Result<Self, Self::Error> {
         match message {
-            ChangeWire::Gone(id) => Ok(Self::Gone(id.as_str().into())),
-            ChangeWire::Put(server) => (*server).try_into().map(Self::Put),
+            ServerChangeWire::Removed(id) => Ok(Self::Removed(id.as_str().into())),
+            ServerChangeWire::Put(server) => (*server).try_into().map(Self::Put),
         }
     }
 }
@@ -217,86 +217,91 @@
     }
 }
 
-impl From<&RolloutNews> for RolloutWire {
-    fn from(news: &RolloutNews) -> Self {
+impl From<&RolloutReport> for RolloutWire {
+    fn from(report: &RolloutReport) -> Self {
         Self {
-            service: news.service.to_string(),
-            target: news.target.to_string(),
-            elapsed_ms: news.elapsed.0,
-            is_age_known: news.is_age_known,
-            is_announced: news.is_announced,
-            routes: news.routes.iter().map(|(route, e)| (*route, messages(e))).collect(),
-            sent: news.sent.into(),
-            is_rolled_back: news.is_rolled_back,
-            recorded: news.recorded.into(),
-            era: news.era,
+            service: report.service.to_string(),
+            target: report.target.to_string(),
+            elapsed_ms: report.elapsed.0,
+            is_age_known: report.is_age_known,
+            is_announced: report.is_announced,
+            routes: report.routes.iter().map(|(route, e)| (*route, evidence_to_wire(e))).collect(),
+            sent: report.sent.into(),
+            is_rolled_back: report.is_rolled_back,
+            stored_status: report.stored_status.into(),
+            store_era: report.store_era,
         }
     }
 }
 
-impl From<Recorded> for RecordedWire {
-    fn from(recorded: Recorded) -> Self {
+impl From<StoredStatus> for StoredStatusWire {
+    fn from(recorded: StoredStatus) -> Self {
         match recorded {
-            Recorded::Unknown => Self::Unknown,
-            Recorded::Ended(Phase::Done) => Self::Done,
-            Recorded::Ended(Phase::RolledBack) => Self::RolledBack,
-            Recorded::Running | Recorded::Ended(_) => Self::Running,
+            StoredStatus::Unknown => Self::Unknown,
+            StoredStatus::Ended(Phase::Done) => Self::Done,
+            StoredStatus::Ended(Phase::RolledBack) => Self::RolledBack,
+            StoredStatus::Running | StoredStatus::Ended(_) => Self::Running,
         }
     }
 }
 
-impl From<RecordedWire> for Recorded {
-    fn from(message: RecordedWire) -> Self {
+impl From<StoredStatusWire> for StoredStatus {
+    fn from(message: StoredStatusWire) -> Self {
         match message {
-            RecordedWire::Unknown => Self::Unknown,
-            RecordedWire::Running => Self::Running,
-            RecordedWire::Done => Self::Ended(Phase::Done),
-            RecordedWire::RolledBack => Self::Ended(Phase::RolledBack),
+            StoredStatusWire::Unknown => Self::Unknown,
+            StoredStatusWire::Running => Self::Running,
+            StoredStatusWire::Done => Self::Ended(Phase::Done),
+            StoredStatusWire::RolledBack => Self::Ended(Phase::RolledBack),
         }
     }
 }
 
 impl From<AnswerSums> for SumsWire {
     fn from(sums: AnswerSums) -> Self {
-        let times = |t: Times| (t.n, t.sum as f32, t.squares as f32);
-        Self(sums.good, sums.failed, times(sums.begin), times(sums.pace))
+        let times = |t: LatencySums| (t.count, t.log_sum as f32, t.log_square_sum as f32);
+        Self(sums.good, sums.failed, times(sums.first_byte), times(sums.event_gap))
     }
 }
 
 impl From<SumsWire> for AnswerSums {
     fn from(message: SumsWire) -> Self {
-        let times = |(n, sum, squares): (u64, f32, f32)| Times {
-            n,
-            sum: f64::from(sum),
-            squares: f64::from(squares),
+        let times = |(n, sum, squares): (u64, f32, f32)| LatencySums {
+            count: n,
+            log_sum: f64::from(sum),
+            log_square_sum: f64::from(squares),
         };
-        Self { good: message.0, failed: message.1, begin: times(message.2), pace: times(message.3) }
+        Self {
+            good: message.0,
+            failed: message.1,
+            first_byte: times(message.2),
+            event_gap: times(message.3),
+        }
     }
 }
 
-impl From<Counts> for CountsWire {
-    fn from(counts: Counts) -> Self {
+impl From<AnswerCounts> for CountsWire {
+    fn from(counts: AnswerCounts) -> Self {
         let half = (counts.half != AnswerSums::default()).then(|| counts.half.into());
         Self(counts.sums().into(), half)
     }
 }
 
-impl From<CountsWire> for Counts {
+impl From<CountsWire> for AnswerCounts {
     fn from(message: CountsWire) -> Self {
         let half = message.1.map(AnswerSums::from).unwrap_or_default();
         Self { half, ..AnswerSums::from(message.0).into() }
     }
 }
 
-fn messages(evidence: &RouteEvidence) -> [CountsWire; 2] {
+fn evidence_to_wire(evidence: &RouteEvidence) -> [CountsWire; 2] {
     [evidence.target.into(), evidence.current.into()]
 }
 
-fn evidence([target, current]: [CountsWire; 2]) -> RouteEvidence {
+fn evidence_from_wire([target, current]: [CountsWire; 2]) -> RouteEvidence {
     RouteEvidence { target: target.into(), current: current.into() }
 }
 
-impl TryFrom<RolloutWire> for RolloutNews {
+impl TryFrom<RolloutWire> for RolloutReport {
     type Error = ParseIdError;
 
     fn try_from(message: RolloutWire) -> Result<Self, Self::Error> {
@@ -306,65 +311,70 @@
             elapsed: Millis(message.elapsed_ms),
             is_age_known: message.is_age_known,
             is_announced: message.is_announced,
-            routes: message.routes.into_iter().map(|(route, n)| (route, evidence(n))).collect(),
+            routes: message
+                .routes
+                .into_iter()
+                .map(|(route, n)| (route, evidence_from_wire(n)))
+                .collect(),
             sent: message.sent.into(),
             is_rolled_back: message.is_rolled_back,
-            recorded: message.recorded.into(),
-            era: message.era,
+            stored_status: message.stored_status.into(),
+            store_era: message.store_era,
         })
     }
 }
 
 impl LimitWire {
     /// Returns the server's incarnation hash and limit, or `None` if the rate is invalid.
-    fn to_news(self, now: Millis) -> Option<(u64, LimitNews)> {
+    fn into_limit_update(self, now: Millis) -> Option<(u64, LimitUpdate)> {
         let Self(server, per_second, age) = self;
         let limit = match per_second {
             Some(per_second) => Some(RequestRate::new(per_second)?),
             None => None,
         };
-        Some((server, LimitNews { limit, reported_at: Millis(now.0.saturating_sub(age.into())) }))
+        Some((server, LimitUpdate { limit, reported_at: Millis(now.0.saturating_sub(age.into())) }))
     }
 }
 
 impl PeerMessage {
-    /// Says whether it tells nothing but that its sender lives.
+    /// Returns whether the message is empty, which makes it a heartbeat.
     pub(crate) fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Adds what is told of loads.
-    pub(crate) fn add_loads(&mut self, news: LoadNews, now: Millis) {
+    /// Sets the fields on loads.
+    pub(crate) fn set_loads(&mut self, update: LoadUpdate, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
-        self.sent = news.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
+        self.sent =
+            update.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
         let report = |(server, r): (u32, ServerReport)| {
             (server, short(u64::from(r.running)), short(u64::from(r.waiting)))
         };
-        self.reports = news.reports.into_iter().map(report).collect();
-        self.unreached = news.unreached.into_iter().collect();
-        self.answered = news.answered.into_iter().collect();
-        let limit = |(server, news): (u64, LimitNews)| {
-            let age = short(now.since(news.reported_at).0);
-            LimitWire(server, news.limit.map(RequestRate::per_second), age)
+        self.reports = update.reports.into_iter().map(report).collect();
+        self.unreached = update.unreached.into_iter().collect();
+        self.answered = update.answered.into_iter().collect();
+        let limit = |(server, update): (u64, LimitUpdate)| {
+            let age = short(now.since(update.reported_at).0);
+            LimitWire(server, update.limit.map(RequestRate::per_second), age)
         };
-        self.limits = news.limits.into_iter().map(limit).collect();
-        self.leaving = news.leaving.into_iter().collect();
+        self.limits = update.limits.into_iter().map(limit).collect();
+        self.leaving = update.leaving.into_iter().collect();
     }
 
-    /// Takes out what is told of loads.
-    pub(crate) fn take_loads(&mut self, now: Millis) -> LoadNews {
+    /// Takes the fields on loads out of the message.
+    pub(crate) fn take_loads(&mut self, now: Millis) -> LoadUpdate {
         let sent = std::mem::take(&mut self.sent);
         let reports = std::mem::take(&mut self.reports);
         let limits = std::mem::take(&mut self.limits);
         let report = |(server, running, waiting): (u32, u16, u16)| {
             (server, ServerReport { running: running.into(), waiting: waiting.into() })
         };
-        LoadNews {
+        LoadUpdate {
             sent: sent.into_iter().map(|(s, ms)| (s, Millis(ms.into()))).collect(),
             reports: reports.into_iter().map(report).collect(),
             unreached: std::mem::take(&mut self.unreached).into_iter().collect(),
             answered: std::mem::take(&mut self.answered).into_iter().collect(),
-            limits: limits.into_iter().filter_map(|limit| limit.to_news(now)).collect(),
+            limits: limits.into_iter().filter_map(|limit| limit.into_limit_update(now)).collect(),
             leaving: std::mem::take(&mut self.leaving).into_iter().collect(),
         }
     }
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other gateways, as all tasks of this one share them.
+//! The table of the other gateways, shared by all tasks of this one.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -6,17 +6,17 @@
 
 use redwingfold_core::{Members, Millis};
 
-/// The other gateways.
+/// The other gateways, by address.
 #[derive(Clone, Debug)]
-pub struct Peers(Rc<RefCell<Members<SocketAddr>>>);
+pub struct PeerTable(Rc<RefCell<Members<SocketAddr>>>);
 
-impl Peers {
-    /// Makes the table of a gateway at `own` that knows nobody.
+impl PeerTable {
+    /// Makes an empty table for the gateway at `own`.
     ///
     /// ```
     /// use redwingfold_core::Millis;
-    /// let peers = redwingfold_gateway::Peers::new("127.0.0.1:7000".parse()?);
-    /// peers.learn(&["127.0.0.1:7001".parse()?], Millis(0));
+    /// let peers = redwingfold_gateway::PeerTable::new("127.0.0.1:7000".parse()?);
+    /// peers.add(&["127.0.0.1:7001".parse()?], Millis(0));
     /// assert_eq!(peers.len(), 1);
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
@@ -24,9 +24,9 @@
         Self(Rc::new(RefCell::new(Members::new(own))))
     }
 
-    /// Adds peers that somebody named; `true` if one of them is new.
-    pub fn learn(&self, named: &[SocketAddr], now: Millis) -> bool {
-        self.0.borrow_mut().learn(named, now)
+    /// Adds peers by address; returns `true` if one of them is new.
+    pub fn add(&self, named: &[SocketAddr], now: Millis) -> bool {
+        self.0.borrow_mut().add(named, now)
     }
 
     /// Returns the number of peers.
@@ -34,7 +34,7 @@
         self.0.borrow().len()
     }
 
-    /// Says whether there is none.
+    /// Returns whether there are no peers.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
@@ -48,8 +48,8 @@
         f(&mut self.0.borrow_mut())
     }
 
-    /// Returns those that were heard of late.
-    pub(crate) fn present(&self, now: Millis) -> Vec<SocketAddr> {
-        self.with(|members| members.present(now))
+    /// Returns the peers that sent a message or were added recently.
+    pub(crate) fn live(&self, now: Millis) -> Vec<SocketAddr> {
+        self.with(|members| members.live(now))
     }
 }
--- a/gateway/src/rollout_choice.rs
+++ b/gateway/src/rollout_choice.rs
@@ -1,4 +1,4 @@
-//! Which version a request goes to in a roll-out, and what decides it.
+//! Choice between the current version and the target of a rollout for a request, and the reason for it.
 
 use std::fmt;
 
@@ -6,30 +6,30 @@
 
 use crate::rollouts::Rollouts;
 
-/// What may bind a request to a version.
+/// What the choice of a request's version depends on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bound {
-    /// The version that it was sent to before.
+pub(crate) struct BindingInputs {
+    /// The arm that earlier sends of the request reached.
     pub(crate) reached: Option<Arm>,
-    /// Its session.
+    /// The session of the request.
     pub(crate) session: Option<SessionKey>,
-    /// Decides for a request without a session.
+    /// Number that decides the share of the rollout for a request without a session.
     pub(crate) draw: u64,
 }
 
-/// What decided which version a request was sent to.
+/// Why a request was sent to its version.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum BoundBy {
-    /// The share of the roll-out, or no roll-out at all.
+pub(crate) enum BindingReason {
+    /// The share of the rollout, or there is no rollout.
     #[default]
     Nothing,
-    /// A version that the request itself had reached.
+    /// The request itself had reached the version.
     Request,
-    /// A version that its session was on.
+    /// The session of the request was on the version.
     Session,
 }
 
-impl fmt::Display for BoundBy {
+impl fmt::Display for BindingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Nothing => "nothing",
@@ -40,30 +40,35 @@
 }
 
 impl Rollouts {
-    /// Chooses between the version in service and the one that is rolled out for a request.
-    pub(crate) fn arm(&self, service: &ServiceName, bound: Bound, now: Millis) -> ArmChoice {
+    /// Chooses between the current version and the target of the rollout for a request.
+    pub(crate) fn arm(
+        &self,
+        service: &ServiceName,
+        inputs: BindingInputs,
+        now: Millis,
+    ) -> ArmChoice {
         match self.canary(service) {
             Some(canary) => {
-                let draw = bound.session.map_or(bound.draw, |session| session.0);
-                canary.arm(self.affinity(bound, now), draw, now)
+                let draw = inputs.session.map_or(inputs.draw, |session| session.0);
+                canary.choose_arm(self.affinity(inputs, now), draw, now)
             }
             None => ArmChoice::Arm(Arm::Current),
         }
     }
 
-    /// Returns what binds a request to a version that it, or one of its session, has had before.
-    pub(crate) fn bound_by(&self, bound: Bound, now: Millis) -> BoundBy {
-        match bound {
-            Bound { reached: Some(_), .. } => BoundBy::Request,
-            Bound { session: Some(s), .. } if self.moved_sessions.contains(s, now) => {
-                BoundBy::Session
+    /// Returns why a request is bound to a version: it was sent there before, or its session has moved there.
+    pub(crate) fn binding_reason(&self, inputs: BindingInputs, now: Millis) -> BindingReason {
+        match inputs {
+            BindingInputs { reached: Some(_), .. } => BindingReason::Request,
+            BindingInputs { session: Some(s), .. } if self.moved_sessions.contains(s, now) => {
+                BindingReason::Session
             }
-            _ => BoundBy::Nothing,
+            _ => BindingReason::Nothing,
         }
     }
 
-    fn affinity(&self, bound: Bound, now: Millis) -> Affinity {
-        let Bound { reached, session, .. } = bound;
+    fn affinity(&self, inputs: BindingInputs, now: Millis) -> Affinity {
+        let BindingInputs { reached, session, .. } = inputs;
         match (reached, session) {
             (_, Some(s)) if self.moved_sessions.contains(s, now) => Affinity::Bound(Arm::Target),
             (Some(arm), _) => Affinity::Bound(arm),
@@ -72,7 +77,7 @@
         }
     }
 
-    /// Returns the key of a session of a service whose roll-out is under way or has just ended.
+    /// Returns the key of a session for the latest rollout of its service; `None` if there was no rollout.
     pub(crate) fn session_key(&self, service: &ServiceName, session: &str) -> Option<SessionKey> {
         let target = &self.canary(service)?.order().target;
         Some(SessionKey::new(service, target, session))
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -1,20 +1,20 @@
-//! The list of backend servers, as it comes from the store and from other gateways.
+//! Updates of the list of backend servers from the store and from other gateways.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use redwingfold_core::{BackendId, BackendServer, Millis, PassedServers, PutOutcome};
+use redwingfold_core::{BackendId, BackendServer, Millis, PeerServerList, PutOutcome};
 
 use crate::feeds::ServerChange;
 use crate::gateway::{Gateway, StoreCopy};
-use crate::load::short_id;
+use crate::load::id_hash;
 
 impl Gateway {
-    /// Takes a backend server's record.
+    /// Adds or updates a backend server.
     pub fn put_server(&self, server: BackendServer) {
         let now = self.now();
         let known = self.registry.borrow().get(&server.id).cloned();
-        self.rollouts.borrow_mut().saw(&server.service, &server.version, false, now);
+        self.rollouts.borrow_mut().add_version(&server.service, &server.version, false, now);
         if known.as_ref().map(|k| (k.state, k.addr)) != Some((server.state, server.addr)) {
             let state = format!("{:?}", server.state).to_lowercase();
             self.telemetry.info(
@@ -30,41 +30,41 @@
         }
         let id = server.id.clone();
         if self.registry.borrow_mut().put(server, now) == PutOutcome::Restarted {
-            self.started_again(&id);
+            self.reset_restarted_server(&id);
         }
     }
 
-    /// Forgets what is believed of a server's earlier start.
-    fn started_again(&self, id: &BackendId) {
+    /// Discards the load and health of a server's previous incarnation, and records that it ended.
+    fn reset_restarted_server(&self, id: &BackendId) {
         self.loads.forget(id);
-        self.server_ended(id);
+        self.record_server_end(id);
         self.telemetry.info("server_restarted", &[("server", id)]);
     }
 
-    /// Takes the removal of a backend server's record.
+    /// Removes a backend server whose record was removed.
     pub fn remove_server(&self, id: &BackendId) {
         self.telemetry.info("server_removed", &[("server", id)]);
-        self.server_lapsed(id);
+        self.record_server_lapse(id);
         self.registry.borrow_mut().remove(id, self.now());
     }
 
-    /// Takes changes in the list of backend servers.
-    pub fn take_changes(&self, changes: Vec<ServerChange>) {
+    /// Applies changes in the list of backend servers.
+    pub fn apply_server_changes(&self, changes: Vec<ServerChange>) {
         for change in changes {
             match change {
-                ServerChange::Gone(id) => self.remove_server(&id),
+                ServerChange::Removed(id) => self.remove_server(&id),
                 ServerChange::Put(server) => self.put_server(server),
             }
         }
     }
 
-    /// Returns what of some records is new to this gateway.
-    pub fn new_changes(&self, changes: Vec<ServerChange>) -> Vec<ServerChange> {
+    /// Returns those of the changes that this gateway has not applied yet.
+    pub fn retain_new_changes(&self, changes: Vec<ServerChange>) -> Vec<ServerChange> {
         let (registry, now) = (self.registry.borrow(), self.now());
-        // A server that lapsed and registered again is known as it was, but its removal comes first.
+        // A server that was removed and registered again with the same record must be kept, as its removal is applied first.
         let mut changed = HashSet::new();
         let is_new = |change: &ServerChange| match change {
-            ServerChange::Gone(id) => {
+            ServerChange::Removed(id) => {
                 changed.insert(id.clone());
                 true
             }
@@ -79,45 +79,45 @@
         changes.into_iter().filter(is_new).collect()
     }
 
-    /// Takes the whole list of backend servers, as the store knows it.
+    /// Replaces the list of backend servers with that of the store.
     pub fn replace_servers(&self, servers: Vec<BackendServer>, copy: StoreCopy) {
         let now = self.now();
-        self.saw_list(&servers);
+        self.record_listed_versions(&servers);
         let restarted = match copy {
-            StoreCopy::Present => self.registry.borrow_mut().replace(servers, now),
-            StoreCopy::Older => self.registry.borrow_mut().replace_by_copy(servers, now),
+            StoreCopy::Current => self.registry.borrow_mut().replace(servers, now),
+            StoreCopy::Older => self.registry.borrow_mut().replace_by_restored(servers, now),
         };
-        self.took_list(&restarted);
+        self.finish_list_update(&restarted);
     }
 
-    /// Takes the list of backend servers that another gateway passes on, as of a time.
-    pub(crate) fn replace_servers_by_passed(&self, list: PassedServers, as_of: Millis) {
-        self.saw_list(&list.servers);
-        let restarted = self.registry.borrow_mut().replace_by_passed(list, as_of, self.now());
-        self.took_list(&restarted);
+    /// Replaces the list of backend servers with that of another gateway, as of `as_of`.
+    pub(crate) fn replace_servers_from_peer(&self, list: PeerServerList, as_of: Millis) {
+        self.record_listed_versions(&list.servers);
+        let restarted = self.registry.borrow_mut().replace_by_peer_list(list, as_of, self.now());
+        self.finish_list_update(&restarted);
     }
 
-    fn saw_list(&self, servers: &[BackendServer]) {
+    fn record_listed_versions(&self, servers: &[BackendServer]) {
         let is_first = !self.is_registry_known.get();
         for server in servers {
             let mut rollouts = self.rollouts.borrow_mut();
-            rollouts.saw(&server.service, &server.version, is_first, self.now());
+            rollouts.add_version(&server.service, &server.version, is_first, self.now());
         }
         self.telemetry.info("servers_listed", &[("servers", &servers.len())]);
     }
 
-    fn took_list(&self, restarted: &[BackendId]) {
-        restarted.iter().for_each(|id| self.started_again(id));
+    fn finish_list_update(&self, restarted: &[BackendId]) {
+        restarted.iter().for_each(|id| self.reset_restarted_server(id));
         self.is_registry_known.set(true);
-        self.moved.notify(usize::MAX);
+        self.state_changed.notify(usize::MAX);
     }
 
-    /// Notes that the store that lists the servers was in trouble.
-    pub fn store_was_away(&self) {
-        self.registry.borrow_mut().store_was_away(self.now());
+    /// Records that the store was unavailable or restored until now, so that records of running servers may have expired.
+    pub fn record_store_outage(&self) {
+        self.registry.borrow_mut().record_outage(self.now());
     }
 
-    /// Forgets servers whose grace has ended.
+    /// Removes servers whose grace period has expired.
     pub fn expire_servers(&self) {
         for id in self.registry.borrow_mut().expire(self.now()) {
             self.loads.forget(&id);
@@ -125,16 +125,17 @@
         }
     }
 
-    /// Logs that a server is left out because gateways could not reach it, this one the last or another.
-    pub(crate) fn left_out_unreached(&self, server: u32, told_by: Option<SocketAddr>) {
+    /// Logs that a server is excluded because gateways failed to connect to it; `source` is the peer that reported the last
+    /// failure, or `None` for this gateway.
+    pub(crate) fn log_unreachable_server(&self, server: u32, source: Option<SocketAddr>) {
         self.telemetry.count("servers.unreached", 1);
         let registry = self.registry.borrow();
-        let found = registry.servers(self.now()).find(|s| short_id(&s.id) == server);
+        let found = registry.servers(self.now()).find(|s| id_hash(&s.id) == server);
         let Some(server) = found else { return };
-        let told_by = told_by.map_or_else(|| "self".to_owned(), |peer| peer.to_string());
+        let source = source.map_or_else(|| "self".to_owned(), |addr| addr.to_string());
         self.telemetry.info(
             "server_unreached",
-            &[("server", &server.id), ("addr", &server.addr), ("told_by", &told_by)],
+            &[("server", &server.id), ("addr", &server.addr), ("told_by", &source)],
         );
     }
 }
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -7,72 +7,73 @@
 
 use crate::feeds::FeedPeriods;
 
-/// What a gateway is told at its start.
+/// Settings of a gateway, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Connections from callers at a time.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Bytes of request bodies that are held at a time.
-    pub max_held_bytes: usize,
-    /// Second sends for each request.
-    pub repeat_ratio: f64,
-    /// Second sends for each request that may go to larger models.
-    pub quality_ratio: f64,
-    /// Second sends that are allowed without requests.
-    pub repeat_slack: f64,
-    /// Window of the budget of second sends.
-    pub repeat_window: Millis,
-    /// How long a session's version is remembered after its last request.
-    pub session_keep: Millis,
-    /// Longest time within which a connection to a backend server must stand.
+    /// Maximum total size of request bodies in memory, in bytes.
+    pub max_request_body_bytes: usize,
+    /// Maximum ratio of retries to requests.
+    pub retry_ratio: f64,
+    /// Maximum ratio of retries to requests up to which retries may be used for larger models.
+    pub larger_model_ratio: f64,
+    /// Number of retries that are allowed in addition to the ratio.
+    pub retry_reserve: f64,
+    /// Time window of the retry budget.
+    pub retry_window: Millis,
+    /// Time for which a session's version is retained after its last request.
+    pub session_retention: Millis,
+    /// Maximum timeout of connecting to a backend server.
     pub connect_timeout: Millis,
-    /// Bytes of a whole answer that are held back until it is complete.
-    pub max_whole_answer: usize,
-    /// How roll-outs go on.
+    /// Maximum size of a response that is buffered before it is forwarded, in bytes; the limit on request bodies applies if
+    /// it is larger.
+    pub max_buffered_response_bytes: usize,
+    /// Policy of rollouts.
     pub canary: CanaryPolicy,
-    /// When servers are left out.
+    /// Policy for excluding unhealthy servers.
     pub health: HealthPolicy,
-    /// How servers are chosen.
+    /// Policy for choosing servers.
     pub placement: PlacementPolicy,
-    /// When requests are kept from servers that end under them.
+    /// Policy for quarantining requests that terminate servers.
     pub quarantine: QuarantinePolicy,
-    /// When silent servers are given up.
+    /// Policy for giving up silent servers.
     pub silence: SilencePolicy,
-    /// When larger models are asked.
+    /// Policy for retries with larger models.
     pub sizes: SizePolicy,
-    /// How requests are ranked at servers.
+    /// Policy for the priority of requests at servers.
     pub urgency: UrgencyPolicy,
-    /// How much cold servers get.
+    /// Policy for the request rate of cold servers.
     pub cold: ColdPolicy,
-    /// Bounds on requests to servers that report a limit.
+    /// Policy for the request rate of servers that report a limit.
     pub limits: LimitPolicy,
-    /// How often the store's feeds are read.
+    /// Periods of reading the store's feeds.
     pub feeds: FeedPeriods,
-    /// Bytes of the operator's newest records that are taken from another gateway.
-    pub max_orders: usize,
+    /// Maximum size of the operator's records fetched from another gateway, in bytes.
+    pub max_orders_bytes: usize,
 }
 
 impl Default for GatewaySettings {
-    /// Figures for where the platform names none.
+    /// Returns the defaults for settings that the platform does not set.
     ///
     /// ```
     /// use redwingfold_gateway::GatewaySettings;
     /// let settings = GatewaySettings::default();
-    /// assert!(settings.quality_ratio < settings.repeat_ratio);
+    /// assert!(settings.larger_model_ratio < settings.retry_ratio);
     /// ```
     fn default() -> Self {
         Self {
             max_connections: 1_500,
-            max_held_bytes: 16 * 1024 * 1024,
-            repeat_ratio: 0.8,
-            quality_ratio: 0.6,
-            repeat_slack: 2.0,
-            repeat_window: Millis(10_000),
-            session_keep: Millis(10_000),
-            // Round trips within a region take a few milliseconds; a lost first packet comes again
-            // after a second, which is too long for most calls.
+            max_request_body_bytes: 16 * 1024 * 1024,
+            retry_ratio: 0.8,
+            larger_model_ratio: 0.6,
+            retry_reserve: 2.0,
+            retry_window: Millis(10_000),
+            session_retention: Millis(10_000),
+            // Round trips within a region take a few milliseconds. The kernel retransmits a lost SYN only after a
+            // second, which is too long for most calls.
             connect_timeout: Millis(250),
-            max_whole_answer: 256 * 1024,
+            max_buffered_response_bytes: 256 * 1024,
             canary: CanaryPolicy::default(),
             health: HealthPolicy::default(),
             placement: PlacementPolicy::default(),
@@ -83,7 +84,7 @@
             cold: ColdPolicy::default(),
             limits: LimitPolicy::default(),
             feeds: FeedPeriods::default(),
-            max_orders: 16 * 1024 * 1024,
+            max_orders_bytes: 16 * 1024 * 1024,
         }
     }
 }
--- a/http/src/body.rs
+++ b/http/src/body.rs
@@ -1,4 +1,4 @@
-//! A response body that is fed chunk by chunk.
+//! A streaming response body with chunks from a channel.
 
 use std::io;
 use std::pin::Pin;
@@ -8,10 +8,12 @@
 use http_types::Body;
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Chunks that wait between the feeder and the connection; a slow reader holds the feeder back.
-const CHUNKS_IN_FLIGHT: usize = 16;
+/// Chunks buffered between the sender and the connection; when it is full, the sender waits for the
+/// reader (backpressure).
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// The feeding end of a body. Dropping it ends the body; [`BodySender::abort`] breaks it off.
+/// The sending half of a body. Dropping it ends the body normally; [`BodySender::abort`] truncates
+/// it.
 #[derive(Debug)]
 pub struct BodySender(Sender<io::Result<Vec<u8>>>);
 
@@ -20,12 +22,12 @@
     ///
     /// # Errors
     ///
-    /// Returns the chunk if the reader is gone.
+    /// Returns the chunk if the reader was dropped.
     pub async fn send(&self, chunk: Vec<u8>) -> Result<(), Vec<u8>> {
         self.0.send(Ok(chunk)).await.map_err(|e| e.into_inner().unwrap_or_default())
     }
 
-    /// Breaks the body off, so that the reader sees it cut and not ended.
+    /// Aborts the body with an error, so that the reader can tell it from a complete one.
     pub async fn abort(self, why: &str) {
         self.0
             .send(Err(io::Error::new(io::ErrorKind::ConnectionAborted, why.to_owned())))
@@ -33,40 +35,40 @@
             .ok();
     }
 
-    /// Waits until the reader is gone.
+    /// Waits until the reader is dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// Makes a body and its feeding end.
+/// Creates a body and its sending half.
 pub fn channel_body() -> (BodySender, Body) {
-    let (tx, rx) = bounded(CHUNKS_IN_FLIGHT);
-    let reader = ChannelReader { rx: Box::pin(rx), chunk: Vec::new(), at: 0 };
+    let (tx, rx) = bounded(MAX_BUFFERED_CHUNKS);
+    let reader = ChannelReader { rx: Box::pin(rx), chunk: Vec::new(), offset: 0 };
     (BodySender(tx), Body::from_reader(reader, None))
 }
 
 struct ChannelReader {
     rx: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
     chunk: Vec<u8>,
-    at: usize,
+    offset: usize,
 }
 
 impl AsyncBufRead for ChannelReader {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.at == this.chunk.len() {
+        while this.offset == this.chunk.len() {
             match ready!(this.rx.as_mut().poll_next(cx)) {
-                Some(Ok(chunk)) => (this.chunk, this.at) = (chunk, 0),
+                Some(Ok(chunk)) => (this.chunk, this.offset) = (chunk, 0),
                 Some(Err(e)) => return Poll::Ready(Err(e)),
                 None => return Poll::Ready(Ok(&[])),
             }
         }
-        Poll::Ready(Ok(&this.chunk[this.at..]))
+        Poll::Ready(Ok(&this.chunk[this.offset..]))
     }
 
     fn consume(self: Pin<&mut Self>, n: usize) {
-        self.get_mut().at += n;
+        self.get_mut().offset += n;
     }
 }
 
--- a/http/src/client.rs
+++ b/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling HTTP/1.1 servers by IP number, with timeouts and connections that are used again.
+//! HTTP/1.1 client for servers given by socket address, with timeouts and connection reuse.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,48 +12,48 @@
 use smol::Timer;
 use smol::net::TcpStream;
 
-/// Idle connections kept for one server.
-const MAX_IDLE: usize = 64;
+/// Idle connections kept per server.
+const MAX_IDLE_PER_SERVER: usize = 64;
 
-/// Bytes of a body that are read at a time.
-const READ_BYTES: usize = 16 * 1024;
+/// Buffer size for reading a body, in bytes.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A whole answer.
+/// A response with its whole body in memory.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// HTTP status.
     pub status: u16,
     /// Body.
     pub body: Vec<u8>,
-    /// Value of `Retry-After`, in seconds, if there was one.
+    /// Value of `Retry-After` in seconds, if the header was present and a whole number.
     pub retry_after: Option<u64>,
 }
 
-/// How long a call may take.
+/// Timeout of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Bound {
-    /// So long without a byte, and as long as the bytes need.
-    Silence(Duration),
-    /// So long in all.
-    Whole(Duration),
+pub enum CallTimeout {
+    /// Maximum time without receiving a byte; the total time is unlimited.
+    Idle(Duration),
+    /// Maximum total time.
+    Total(Duration),
 }
 
-impl Bound {
-    fn span(self) -> Duration {
+impl CallTimeout {
+    fn duration(self) -> Duration {
         match self {
-            Self::Silence(span) | Self::Whole(span) => span,
+            Self::Idle(duration) | Self::Total(duration) => duration,
         }
     }
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallError {
     /// The body is larger than allowed.
     TooLarge,
-    /// The server may have received the call, but its answer is not known.
+    /// The server may have received the call, but its response is unknown.
     Unknown(String),
-    /// No connection could be made, so the server has not received the call.
+    /// No connection could be opened, so the server has not received the call.
     Unreachable(String),
 }
 
@@ -69,45 +69,48 @@
 
 impl std::error::Error for CallError {}
 
-impl Answer {
-    /// Says whether the status is 2xx.
+impl BufferedResponse {
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// What does not fit.
+    /// If the body isn't valid JSON for `T`.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
-/// Connects with the small-write delay switched off.
+/// Opens a TCP connection with `TCP_NODELAY` set.
 ///
 /// # Errors
 ///
-/// [`CallError::Unreachable`] if there is no connection after `timeout`.
+/// [`CallError::Unreachable`] if the connection fails or isn't open after `timeout`.
 pub(crate) async fn connect(addr: SocketAddr, timeout: Duration) -> Result<TcpStream, CallError> {
     let unreachable = |why: String| CallError::Unreachable(format!("{addr}: {why}"));
     let connected =
         async { TcpStream::connect(addr).await.map_err(|e| unreachable(e.to_string())) };
-    let late = async {
+    let timed_out = async {
         Timer::after(timeout).await;
         Err(unreachable("connect timeout".to_owned()))
     };
-    let stream = connected.or(late).await?;
+    let stream = connected.or(timed_out).await?;
     stream.set_nodelay(true).ok();
     Ok(stream)
 }
 
-/// Sends a request on a connection of its own and returns the answer's head, its body unread.
+/// Sends a request on a new connection and returns the response with its body unread.
+///
+/// `timeout` applies to connecting only.
 ///
 /// # Errors
 ///
-/// [`CallError::Unreachable`] if nothing was sent, [`CallError::Unknown`] otherwise.
+/// [`CallError::Unreachable`] if no connection was opened and so nothing was sent,
+/// [`CallError::Unknown`] otherwise.
 pub async fn open_stream(
     addr: SocketAddr,
     req: Request,
@@ -117,16 +120,16 @@
     async_h1::connect(stream, req).await.map_err(|e| CallError::Unknown(e.to_string()))
 }
 
-/// A client that keeps idle connections.
+/// A client that reuses idle connections.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<TcpStream>>>>,
 }
 
 impl Client {
-    /// Calls a server and reads the whole answer.
+    /// Calls a server and reads the whole response.
     ///
-    /// `target` is the path and query, and a body is JSON.
+    /// `target` is the path and query. A body is sent as JSON.
     ///
     /// # Errors
     ///
@@ -137,9 +140,9 @@
         addr: SocketAddr,
         target: &str,
         body: Option<Vec<u8>>,
-        bound: Bound,
+        timeout: CallTimeout,
         max_body: usize,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let url = Url::parse(&format!("http://{addr}{target}"))
             .map_err(|e| CallError::Unreachable(format!("{target}: {e}")))?;
         let mut req = Request::new(method, url);
@@ -147,13 +150,13 @@
             req.set_body(body);
             req.insert_header(headers::CONTENT_TYPE, "application/json");
         }
-        self.send(addr, req, bound, max_body).await
+        self.send(addr, req, timeout, max_body).await
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     ///
-    /// A call that fails on a connection that was used before is not repeated here: the server may
-    /// have received it.
+    /// A call that fails on a reused connection is not retried here, as the server may have
+    /// received it.
     ///
     /// # Errors
     ///
@@ -162,33 +165,33 @@
         &self,
         addr: SocketAddr,
         req: Request,
-        bound: Bound,
+        timeout: CallTimeout,
         max_body: usize,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let stream = match self.take_idle(addr) {
             Some(stream) => stream,
-            None => connect(addr, bound.span()).await?,
+            None => connect(addr, timeout.duration()).await?,
         };
-        let exchanged = exchange(stream.clone(), req, max_body, bound);
-        let (answer, reusable) = match bound {
-            Bound::Silence(_) => exchanged.await?,
-            Bound::Whole(span) => exchanged.or(late(span)).await?,
+        let pending_exchange = exchange(stream.clone(), req, max_body, timeout);
+        let (response, is_reusable) = match timeout {
+            CallTimeout::Idle(_) => pending_exchange.await?,
+            CallTimeout::Total(duration) => pending_exchange.or(timed_out(duration)).await?,
         };
-        if reusable {
+        if is_reusable {
             self.put_idle(addr, stream);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Takes an idle connection on which nothing has arrived: one that the server closed in the
-    /// meantime would make the call fail with its fate unknown.
+    /// Takes an idle connection that has nothing to read. One that the server has closed in the
+    /// meantime is discarded: a call on it would fail with an unknown outcome.
     fn take_idle(&self, addr: SocketAddr) -> Option<TcpStream> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let streams = idle.get_mut(&addr)?;
         while let Some(stream) = streams.pop() {
             let mut buf = [0; 1];
-            let quiet = smol::future::block_on(smol::future::poll_once(stream.peek(&mut buf)));
-            if quiet.is_none() {
+            let peeked = smol::future::block_on(smol::future::poll_once(stream.peek(&mut buf)));
+            if peeked.is_none() {
                 return Some(stream);
             }
         }
@@ -198,14 +201,14 @@
     fn put_idle(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let streams = idle.entry(addr).or_default();
-        if streams.len() < MAX_IDLE {
+        if streams.len() < MAX_IDLE_PER_SERVER {
             streams.push(stream);
         }
     }
 }
 
-async fn late<T>(span: Duration) -> Result<T, CallError> {
-    Timer::after(span).await;
+async fn timed_out<T>(duration: Duration) -> Result<T, CallError> {
+    Timer::after(duration).await;
     Err(CallError::Unknown("timeout".to_owned()))
 }
 
@@ -213,30 +216,35 @@
     stream: TcpStream,
     req: Request,
     max_body: usize,
-    bound: Bound,
-) -> Result<(Answer, bool), CallError> {
+    timeout: CallTimeout,
+) -> Result<(BufferedResponse, bool), CallError> {
     let unknown = |e: String| CallError::Unknown(e);
-    let begun = async { async_h1::connect(stream, req).await.map_err(|e| unknown(e.to_string())) };
-    let mut res = begun.or(late(bound.span())).await?;
-    let length = res.header(headers::CONTENT_LENGTH).and_then(|v| v.as_str().parse::<usize>().ok());
-    let closes = res.header(headers::CONNECTION).is_some_and(|v| v.as_str() == "close");
+    let head_received =
+        async { async_h1::connect(stream, req).await.map_err(|e| unknown(e.to_string())) };
+    let mut res = head_received.or(timed_out(timeout.duration())).await?;
+    let content_length =
+        res.header(headers::CONTENT_LENGTH).and_then(|v| v.as_str().parse::<usize>().ok());
+    let is_closing = res.header(headers::CONNECTION).is_some_and(|v| v.as_str() == "close");
     let retry_after = res.header(headers::RETRY_AFTER).and_then(|v| v.as_str().parse().ok());
     let limit = max_body as u64 + 1;
     let mut reader = res.take_body().into_reader().take(limit);
     let mut body = Vec::new();
-    let mut buf = vec![0; READ_BYTES];
+    let mut buf = vec![0; READ_BUFFER_BYTES];
     loop {
-        let more = async { reader.read(&mut buf).await.map_err(|e| unknown(e.to_string())) };
-        match more.or(late(bound.span())).await? {
+        let chunk_received =
+            async { reader.read(&mut buf).await.map_err(|e| unknown(e.to_string())) };
+        match chunk_received.or(timed_out(timeout.duration())).await? {
             0 => break,
             len => body.extend_from_slice(&buf[..len]),
         }
     }
-    match length {
+    match content_length {
         _ if body.len() > max_body => return Err(CallError::TooLarge),
-        Some(length) if length != body.len() => return Err(unknown("answer was cut".to_owned())),
+        Some(content_length) if content_length != body.len() => {
+            return Err(unknown("answer was cut".to_owned()));
+        }
         _ => {}
     }
-    let answer = Answer { status: u16::from(res.status()), body, retry_after };
-    Ok((answer, length.is_some() && !closes))
+    let response = BufferedResponse { status: u16::from(res.status()), body, retry_after };
+    Ok((response, content_length.is_some() && !is_closing))
 }
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 serving and calling with limits, on async-h1 and smol.
+//! HTTP/1.1 server and client with size and time limits, on async-h1 and smol.
 
 mod body;
 mod client;
@@ -6,8 +6,8 @@
 mod server;
 
 pub use body::{BodySender, channel_body};
-pub use client::{Answer, Bound, CallError, Client, open_stream};
+pub use client::{BufferedResponse, CallError, CallTimeout, Client, open_stream};
 pub use conn::Peer;
-pub use server::{Drain, Limits, Refusal, refusal, serve};
+pub use server::{Drain, Limits, Refusal, refusal_response, serve};
 
 pub use http_types::{Body, Method, Request, Response, StatusCode, Url};
