--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -93,7 +93,7 @@
     ) -> AttemptOutcome {
         let gw = self.gw.clone();
         gw.record_send_turn(server);
-        let limit = gw.connect_times.get().timeout().min(self.time_left());
+        let limit = gw.connect_timeout.get().timeout().min(self.time_left());
         let connecting_at = gw.now();
         gw.loads.record_connect_attempt(server, connecting_at);
         let connected = HttpConnection::connect(&gw.executor, server.addr, limit).await;
@@ -121,7 +121,8 @@
         let prefill_time = self.prefill_time(self.size.unwrap_or(0));
         let expected = prefill_wait.after(prefill_time).after(self.prefill_work(self.size).shared);
         let run = EndedRun { request: self.fingerprint, sent_at };
-        let mut in_flight = gw.loads.record_send(server, prefill_time, run, gw.ends.clone());
+        let mut in_flight =
+            gw.loads.record_send(server, prefill_time, run, gw.interrupted_runs.clone());
         self.run_state = redwingfold_core::RunState::MayHaveRun;
         self.sends += 1;
         let answered = self.wait_for_head(connection.send(req), server, expected).await;
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -83,13 +83,13 @@
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<OrderSnapshots>,
     /// Runs and servers that ended.
-    pub(crate) ends: Rc<RefCell<InterruptedRuns>>,
+    pub(crate) interrupted_runs: Rc<RefCell<InterruptedRuns>>,
     /// Notified when a server whose runs broke off was checked.
     pub(crate) server_checked: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
-    pub(crate) claims: RefCell<VecDeque<TrialClaim>>,
+    pub(crate) trial_claims: RefCell<VecDeque<TrialClaim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
-    pub(crate) regions: RefCell<DomainRegions>,
+    pub(crate) domain_regions: RefCell<DomainRegions>,
     pub(crate) send_turns: RefCell<SendTurns>,
     pub(crate) turn_waiters: TurnWaiters,
     pub(crate) server_limits: RefCell<ServerLimits>,
@@ -109,10 +109,10 @@
     pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
     /// Notified when another gateway is ahead in one of these feeds.
     pub(crate) peer_ahead: Event,
-    budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
-    pub(crate) connect_times: Cell<ConnectTimeout>,
-    pub(crate) rates: RefCell<ReadRates>,
-    pub(crate) rises: RefCell<ConfidenceGains>,
+    resend_budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
+    pub(crate) connect_timeout: Cell<ConnectTimeout>,
+    pub(crate) read_rates: RefCell<ReadRates>,
+    pub(crate) confidence_gains: RefCell<ConfidenceGains>,
     pub(crate) stream_times: RefCell<StreamTimes>,
     pressure: Cell<Pressure>,
     lifecycle: Cell<Lifecycle>,
@@ -139,7 +139,7 @@
     ) -> Self {
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
-        let connect_times = ConnectTimeout::new(settings.connect_timeout);
+        let connect_timeout = ConnectTimeout::new(settings.connect_timeout);
         // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
         let write_delay = settings.quarantine.write_delay;
         let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
@@ -162,12 +162,12 @@
             session_keepers: SessionKeepers::default(),
             feeds: RefCell::new(feeds),
             orders: RefCell::default(),
-            ends: Rc::default(),
+            interrupted_runs: Rc::default(),
             server_checked: Event::new(),
             quarantine: RefCell::new(quarantine),
-            claims: RefCell::default(),
+            trial_claims: RefCell::default(),
             evacuations: RefCell::default(),
-            regions: RefCell::default(),
+            domain_regions: RefCell::default(),
             send_turns: RefCell::default(),
             turn_waiters: TurnWaiters::default(),
             server_limits: RefCell::default(),
@@ -180,10 +180,10 @@
             servers_positions: RefCell::default(),
             encoded_servers: RefCell::default(),
             peer_ahead: Event::new(),
-            budgets: RefCell::default(),
-            connect_times: Cell::new(connect_times),
-            rates: RefCell::default(),
-            rises: RefCell::default(),
+            resend_budgets: RefCell::default(),
+            connect_timeout: Cell::new(connect_timeout),
+            read_rates: RefCell::default(),
+            confidence_gains: RefCell::default(),
             stream_times: RefCell::default(),
             pressure: Cell::default(),
             lifecycle: Cell::default(),
@@ -205,7 +205,7 @@
 
     /// Sets the regions of failure domains.
     pub fn set_regions(&self, regions: DomainRegions) {
-        *self.regions.borrow_mut() = regions;
+        *self.domain_regions.borrow_mut() = regions;
     }
 
     /// Returns the configuration in force.
@@ -280,30 +280,34 @@
         f(&mut self.registry.borrow_mut())
     }
 
-    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut ResendBudget) -> T) -> T {
+    fn with_resend_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut ResendBudget) -> T,
+    ) -> T {
         let s = &self.settings;
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.resend_budgets.borrow_mut();
         f(budgets.entry(service.clone()).or_insert_with(|| {
             ResendBudget::new(s.retry_window, s.retry_ratio, s.larger_model_ratio, s.retry_reserve)
         }))
     }
 
     pub(crate) fn count_request(&self, service: &ServiceName) {
-        self.with_budget(service, |budget| budget.record_request(self.now()));
+        self.with_resend_budget(service, |budget| budget.record_request(self.now()));
     }
 
-    pub(crate) fn try_repeat(&self, service: &ServiceName, what: ResendReason) -> bool {
-        self.with_budget(service, |budget| budget.try_take(what, self.now()))
+    pub(crate) fn try_take_resend(&self, service: &ServiceName, what: ResendReason) -> bool {
+        self.with_resend_budget(service, |budget| budget.try_take(what, self.now()))
     }
 
     /// Records how long connecting to a server took; `None` if it timed out.
     pub(crate) fn record_connect_time(&self, took: Option<Millis>) {
-        let mut times = self.connect_times.get();
+        let mut times = self.connect_timeout.get();
         match took {
             Some(took) => times.record_connected(took),
             None => times.record_timeout(),
         }
-        self.connect_times.set(times);
+        self.connect_timeout.set(times);
     }
 
     /// Records the time to the first byte of a request's first attempt, and the target for it.
--- a/gateway/src/model_choice.rs
+++ b/gateway/src/model_choice.rs
@@ -10,13 +10,17 @@
     pub(crate) fn accept_confidence(&mut self, size: usize, confidence: u8) -> bool {
         match self.last_confidence.replace((size, confidence)) {
             Some(smaller) if smaller.0 < size => {
-                self.gw.rises.borrow_mut().record(&self.service, smaller, (size, confidence));
+                self.gw.confidence_gains.borrow_mut().record(
+                    &self.service,
+                    smaller,
+                    (size, confidence),
+                );
             }
             _ => {}
         }
         let may = self.sends < self.route.max_attempts && !self.is_quarantined();
         match self.choose_larger(size, confidence).filter(|_| may) {
-            Some(larger) if self.gw.try_repeat(&self.service, ResendReason::Quality) => {
+            Some(larger) if self.gw.try_take_resend(&self.service, ResendReason::Quality) => {
                 self.log_larger_model(size, confidence, larger);
                 self.size = Some(larger);
                 false
@@ -44,7 +48,7 @@
             .filter(|larger| self.is_expected_in_time(*larger))
             .map(|larger| LargerModel {
                 size: larger,
-                gain: self.gw.rises.borrow().expected(&self.service, size, larger),
+                gain: self.gw.confidence_gains.borrow().expected(&self.service, size, larger),
                 in_time: spent.after(self.prefill_time(larger)) < self.route.latency_target,
             })
             .collect();
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -75,7 +75,7 @@
 
     /// Removes and returns the oldest pending claim.
     pub fn next_claim(&self) -> Option<TrialClaim> {
-        self.claims.borrow_mut().pop_front()
+        self.trial_claims.borrow_mut().pop_front()
     }
 
     /// Returns whether marks are due to be read or written, or claims are pending.
@@ -83,13 +83,13 @@
         let now = self.now();
         let is_write_due = self.with_quarantine(|q| q.next_due_at()).is_some_and(|at| at <= now);
         let is_read_due = self.with_feeds(|feeds| feeds.is_due(Feed::Marks, now));
-        is_write_due || is_read_due || !self.claims.borrow().is_empty()
+        is_write_due || is_read_due || !self.trial_claims.borrow().is_empty()
     }
 
     /// Waits until a claim is pending or marks are to be written, at most for `limit`.
     pub async fn wait_for_mark_work(&self, limit: Millis) {
         let changed = self.marks_changed.listen();
-        if self.claims.borrow().is_empty() {
+        if self.trial_claims.borrow().is_empty() {
             within(limit, changed).await;
         }
     }
@@ -98,7 +98,7 @@
     /// at about the same time into one write, and lets a gateway that missed many messages catch up with one read.
     pub async fn wait_for_next_mark_sync(&self) {
         let until = self.now().after(self.settings.feeds.marks);
-        while self.claims.borrow().is_empty()
+        while self.trial_claims.borrow().is_empty()
             && !self.with_quarantine(|q| q.is_urgent())
             && self.now() < until
         {
@@ -177,12 +177,12 @@
 
     /// Queues a claim to a trial and waits for its result; the store grants each trial to one gateway.
     async fn claim_trial(&self, request: Fingerprint, trial: u8, time_left: Millis) -> bool {
-        if self.claims.borrow().len() >= MAX_PENDING_CLAIMS {
+        if self.trial_claims.borrow().len() >= MAX_PENDING_CLAIMS {
             return false;
         }
         let (result_tx, result_rx): (_, Receiver<bool>) = bounded(1);
         self.with_quarantine(|q| q.record_claim(request, self.now()));
-        self.claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
+        self.trial_claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
         self.marks_changed.notify(usize::MAX);
         let is_granted =
             matches!(within(CLAIM_TIMEOUT.min(time_left), result_rx.recv()).await, Some(Ok(true)));
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -264,7 +264,12 @@
             self.gw.record_first_attempt(response.time_to_first_byte, self.route.latency_target);
         }
         let own = self.unshared_tokens();
-        self.gw.rates.borrow_mut().record(&self.service, size, own, response.time_to_first_byte);
+        self.gw.read_rates.borrow_mut().record(
+            &self.service,
+            size,
+            own,
+            response.time_to_first_byte,
+        );
         match response.metadata.confidence {
             Some(confidence) => self.accept_confidence(size, confidence),
             None => true,
@@ -273,7 +278,7 @@
 
     /// Estimates the prefill time of the prompt, without its shared parts, which are mostly cached.
     pub(crate) fn prefill_time(&self, size: usize) -> Millis {
-        self.gw.rates.borrow().estimate(&self.service, size, self.unshared_tokens())
+        self.gw.read_rates.borrow().estimate(&self.service, size, self.unshared_tokens())
     }
 
     /// Returns the number of prompt tokens that are not shared with other requests.
@@ -288,7 +293,7 @@
         let size = size.unwrap_or(0);
         Work {
             shared_prompt: shared.last().map(|part| part.id),
-            shared: self.gw.rates.borrow().estimate(&self.service, size, tokens),
+            shared: self.gw.read_rates.borrow().estimate(&self.service, size, tokens),
             shared_tokens: tokens,
         }
     }
@@ -368,7 +373,7 @@
     }
 
     fn take_retry_budget(&mut self) -> bool {
-        self.gw.try_repeat(&self.service, ResendReason::Failure)
+        self.gw.try_take_resend(&self.service, ResendReason::Failure)
     }
 
     fn record_unreachable(
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -279,7 +279,8 @@
         let has_model = |s: &BackendServer| {
             s.models.is_empty() || model.is_none_or(|model| s.models.contains(model))
         };
-        let (evacuations, regions) = (self.gw.evacuations.borrow(), self.gw.regions.borrow());
+        let (evacuations, regions) =
+            (self.gw.evacuations.borrow(), self.gw.domain_regions.borrow());
         let customer_homes = self.customer.as_ref().map(|customer| &customer.allowed_regions);
         let homes: Vec<_> =
             customer_homes.into_iter().chain([&self.route.allowed_regions]).collect();
--- a/gateway/src/server_probe.rs
+++ b/gateway/src/server_probe.rs
@@ -27,7 +27,7 @@
             return;
         }
         let is_suspect = self.with_quarantine(|q| q.is_suspect(run.request));
-        let broke = self.ends.borrow_mut().record_broken(&server.id, run, self.now());
+        let broke = self.interrupted_runs.borrow_mut().record_broken(&server.id, run, self.now());
         match broke {
             BrokenRun::ProbeServer => self.spawn(probe_server(self.clone(), server.clone())),
             BrokenRun::ServerEnded => self.record_ended_runs(&server.id, &[run]),
@@ -42,7 +42,7 @@
     async fn wait_for_probe(&self, id: &BackendId) {
         loop {
             let probed = self.server_checked.listen();
-            if !self.ends.borrow().awaits_probe(id) {
+            if !self.interrupted_runs.borrow().awaits_probe(id) {
                 return;
             }
             probed.await;
@@ -51,7 +51,7 @@
 
     /// Records that a server terminated: it refuses connections, or has restarted.
     pub(crate) fn record_server_end(&self, id: &BackendId) {
-        let runs = self.ends.borrow_mut().record_end(id, self.now());
+        let runs = self.interrupted_runs.borrow_mut().record_end(id, self.now());
         self.record_ended_runs(id, &runs);
     }
 
@@ -70,7 +70,7 @@
     /// Records that a server's record was removed, for example because its heartbeats stopped.
     pub(crate) fn record_server_lapse(&self, id: &BackendId) {
         if self.is_ready_server(id) {
-            let runs = self.ends.borrow_mut().record_expiry(id, self.now());
+            let runs = self.interrupted_runs.borrow_mut().record_expiry(id, self.now());
             self.record_ended_runs(id, &runs);
         }
     }
@@ -87,7 +87,7 @@
         if is_refused {
             gw.record_server_end(&server.id);
         }
-        gw.ends.borrow_mut().record_probe(&server.id);
+        gw.interrupted_runs.borrow_mut().record_probe(&server.id);
         gw.server_checked.notify(usize::MAX);
         if is_refused {
             return;
