--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -82,7 +82,7 @@
     pub(crate) session_keepers: SessionKeepers,
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<OrderSnapshots>,
-    /// Runs and servers that ended.
+    /// Runs whose connections broke off, and the servers that ended.
     pub(crate) interrupted_runs: Rc<RefCell<InterruptedRuns>>,
     /// Notified when a server whose runs broke off was checked.
     pub(crate) server_checked: Event,
