--- a/core/tests/members.rs
+++ b/core/tests/members.rs
@@ -1,24 +1,24 @@
-//! Gateways that find each other, in virtual time.
+//! Gateways that discover each other, in virtual time.
 
 use redwingfold_core::{Members, Millis};
 
-/// Time that a message takes.
+/// Delay of a message.
 const WAY: u64 = 3;
-/// Time that a read of the store takes.
+/// Duration of a read of the store.
 const READ: u64 = 12;
-/// Time over which gateways are spread before one of them reads.
+/// Time over which the first reads of the gateways are spread.
 const SPREAD: u64 = 300;
-/// Time between two messages of a gateway that has nothing to tell but that it lives; one other hears of all then.
+/// Interval between keepalive messages of a gateway; one of them, to a random gateway, contains the member list.
 const LIVES: u64 = 2_000;
 
-/// What goes wrong.
+/// The faults of a simulation.
 #[derive(Clone, Copy)]
 struct Faults {
-    /// Messages that get lost.
+    /// Share of messages that are lost.
     lost: f64,
-    /// Time over which the gateways come up.
+    /// Time over which the gateways start.
     up_within: u64,
-    /// Whether those that hear a newcomer tell it of the others.
+    /// Whether gateways send the member list to new ones.
     tells_newcomers: bool,
 }
 
@@ -34,13 +34,13 @@
     reads: usize,
     /// Addresses in messages.
     addresses: usize,
-    /// What each gateway knows in the end.
+    /// Number of members on the list of each gateway at the end.
     known: Vec<usize>,
 }
 
 type Message = (u64, usize, usize, Vec<usize>);
 
-/// Lets `n` gateways come up that the store knows already, for some time.
+/// Starts `n` gateways whose addresses are in the store, and simulates them for `span` ms.
 fn come_back(n: usize, faults: Faults, span: u64, seed: u64) -> Played {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> = (0..n)
@@ -104,9 +104,9 @@
 
 const CALM: Faults = Faults { lost: 0.02, up_within: 400, tells_newcomers: true };
 
-/// Load pattern: 24, 103 and 330 gateways come back within 0.4 s and callers with them. All of them must know all
-/// others within four seconds, or loads and what was read in the store reach some of them never; few may read the
-/// store for it, and what they tell each other must fit their links.
+/// Load pattern: 24, 103 and 330 gateways start within 0.4 s. Within four seconds, each of them must have all others on
+/// its list, or load reports and changes read from the store do not reach some of them. Few may read the store for it,
+/// and their messages must fit their links.
 #[test]
 fn all_that_come_back_know_all_others() {
     for n in [24, 103, 330] {
@@ -115,14 +115,15 @@
             let fewest = played.known.iter().min();
             assert_eq!(fewest, Some(&(n - 1)), "{n} gateways, seed {seed}: {fewest:?} known");
             assert!(played.reads <= n / 3, "{n} gateways, seed {seed}: {} reads", played.reads);
-            // Eight bytes each, a tenth of a second of links of 10 Mbit/s.
+            // Eight bytes per address; the limit is a tenth of a second of a 10 Mbit/s link.
             let bytes = played.addresses * 8 / n;
             assert!(bytes < 125_000, "{n} gateways, seed {seed}: {bytes} bytes each");
         }
     }
 }
 
-/// The same while three messages in ten are lost: it takes longer, as each tells one other of all now and then.
+/// With three in ten messages lost, completion only takes longer, because each gateway regularly sends the member list
+/// to one other.
 #[test]
 fn lost_messages_delay_it_only() {
     for n in [24, 103] {
@@ -133,8 +134,8 @@
     }
 }
 
-/// The checks above find what they should: if nobody tells newcomers, more of those that came up after the first word
-/// have not heard of each other a second and a half later.
+/// Guards against checks that cannot fail: if gateways do not send the list to new ones, more pairs of gateways that
+/// started after the first messages lack each other after 1.5 s.
 #[test]
 fn untold_newcomers_do_not_know_each_other() {
     let missing = |tells_newcomers| {
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers end, and others that run beside them, before fleets in virtual time.
+//! Poison requests, and innocent ones that run beside them, in simulated fleets in virtual time.
 
 mod quarantine_fleet;
 
@@ -8,7 +8,7 @@
     QuarantinePolicy,
 };
 
-/// Sends of a deadly request that may reach servers once all must know of it.
+/// Maximum number of sends of a poison request once all gateways must have its marks.
 const MAX_LATER: usize = 3;
 
 const CALM: Load = Load {
@@ -34,9 +34,9 @@
     }
 }
 
-/// A deadly request comes five times a second, once in two seconds, once in twenty, or forty at once, at any gateway
-/// of three to 330. Two servers end under it at each gateway that has not heard yet; what the first has written, the
-/// others read within a second, also where no message between them arrives. From then on few trials are left.
+/// Guards against a poison request that reaches more servers than its trials allow, at any rate of arrival and in
+/// fleets of three to 330 gateways. Two servers end under it at each gateway that has no marks yet; the marks of the
+/// first gateway are read by the others within a second, even if all messages between them are lost.
 #[test]
 fn deadly_request_reaches_few_servers_however_it_comes() {
     for (gateways, servers, until, n) in
@@ -52,8 +52,8 @@
     }
 }
 
-/// Gateways start anew with empty hands, one every second and a half or all every seven, while the deadly request goes
-/// on coming. What they knew is in the store, and what they learn is never older than two reads.
+/// Guards against gateways that restart without any state, one every 1.5 s or all every 7 s, and release a poison
+/// request that keeps arriving. Its marks are in the store, and no gateway is more than two reads behind.
 #[test]
 fn deadly_request_stays_known_while_gateways_start_anew() {
     for (restart_every, restart_all_every) in [(1_500, 0), (0, 7_000), (1_500, 7_000)] {
@@ -64,8 +64,8 @@
     }
 }
 
-/// The store is away while servers end under the request, for a moment or for ten seconds, also twice. What gateways
-/// saw meanwhile is written once it is back, before the time for contact has passed.
+/// Guards against marks that are lost while the store is unavailable, for a moment, for ten seconds, or twice. Marks
+/// made in an outage are written within `CONTACT` after it.
 #[test]
 fn deadly_request_is_known_once_the_store_is_back() {
     for store_away in
@@ -79,8 +79,8 @@
     }
 }
 
-/// The store comes back from copies that lack the last seconds, also in series, and with them marks that all have read. They
-/// are written again before the time for contact has passed, so that gateways which start anew know of them.
+/// Guards against marks that are lost in restores of the store from copies that lack the last seconds, also in series.
+/// They are written again within `CONTACT`, so that restarted gateways read them.
 #[test]
 fn deadly_request_stays_known_while_the_store_comes_back_from_copies() {
     for (gateways, servers, until, n) in
@@ -108,8 +108,8 @@
     }
 }
 
-/// A popular request runs on most servers at any time, and so on most that end under a deadly one. It is answered as well,
-/// which the deadly one never is: it is not refused.
+/// Guards against the quarantine of a popular request, which runs on most servers at any time and so on most that end
+/// under a poison request. Unlike that one, it is answered as well.
 #[test]
 fn popular_request_beside_a_deadly_one_goes_on_being_served() {
     for (gateways, servers) in [(3, 12), (24, 50), (103, 180)] {
@@ -130,8 +130,8 @@
     }
 }
 
-/// A third of the servers end every two seconds, or all of them every ten, for reasons of their own: nobody is refused
-/// for that.
+/// Guards against requests that are refused because servers end for unrelated reasons: a third of them every two
+/// seconds, or all every ten.
 #[test]
 fn requests_on_servers_that_end_by_themselves_go_on_being_served() {
     for own_ends in [(2_000, 0.33), (10_000, 1.0), (500, 0.1)] {
@@ -149,7 +149,8 @@
     }
 }
 
-/// What is remembered is bounded, in a gateway and in the store, however many requests servers end under.
+/// Guards against tables that grow without limit, in a gateway or in the store, however many requests servers end
+/// under.
 #[test]
 fn marks_are_bounded() {
     let max_suspects = 50;
@@ -173,8 +174,8 @@
     }
 }
 
-/// A third server has ended under a request, and both trials are used up: it is refused until it is forgotten, a day after
-/// its last end.
+/// Once a third server has ended under a request and both trials are used up, the request is refused until it is
+/// forgotten, a day after its last end.
 #[test]
 fn request_is_tried_twice_and_forgotten_after_a_day() {
     let policy = QuarantinePolicy::default();
@@ -202,8 +203,8 @@
     assert_eq!(quarantine.admission(request, policy.retention.after(later)), Admission::Allowed);
 }
 
-/// Two servers have ended under an innocent request, and its trials are lost one after the other, with gateways that are
-/// killed and on ways that are cut. It has four of them, as no server was seen to end under any; with a third end it has
+/// Guards against an innocent request that is refused for a day because its trials are lost one after the other, as
+/// gateways are killed or links fail. It has four trials while no server has ended under any; after a third end it has
 /// none left.
 #[test]
 fn trials_of_which_nothing_is_known_leave_others() {
@@ -226,8 +227,8 @@
     assert!(matches!(quarantine.admission(request, now), Admission::Refused(_)));
 }
 
-/// A server ends under a stream that goes on elsewhere for seconds and is answered: nothing is written of it. If the
-/// next server ends under it as well, both ends are written at once.
+/// A first end is not written while the stream runs on another server and is answered in the end. If the next server
+/// ends under it as well, both ends are written immediately.
 #[test]
 fn first_end_of_a_stream_that_runs_on_waits_to_be_written() {
     for is_answered in [true, false] {
--- a/core/tests/quarantine_fleet/mod.rs
+++ b/core/tests/quarantine_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of gateways before servers that end under some requests, in virtual time.
+//! Simulation, in virtual time, of a fleet of gateways whose servers end under some requests.
 
 use redwingfold_core::{
     Admission, BackendId, EndedRun, FeedHistory, FeedUpdate, FeedUpdateOutcome, FeedView,
@@ -6,67 +6,67 @@
 };
 
 const STEP: u64 = 10;
-/// Time after which what one gateway learns must be known to all that reach the store.
+/// Time after which a change at one gateway must have reached all that can call the store.
 pub const CONTACT: u64 = 3_000;
-/// A period of reads.
+/// Interval between reads of the store.
 const PERIOD: u64 = 600;
-/// Pause after a round of calls of the store.
+/// Pause after a round of calls to the store.
 const REST: u64 = 600;
-/// Between a message's sending and its being heard.
+/// Delay of a message.
 const ON_THE_WAY: u64 = 20;
-/// Time until a server that ended is back, as another one.
+/// Time until a server that ended is replaced by another incarnation.
 const BACK_AFTER: u64 = 3_000;
-/// Time from the end of a server until a gateway has looked whether it still listens.
+/// Time from the end of a server until a gateway has probed it.
 const LOOK: u64 = 10;
-/// Bits of a position that hold the offset; the era stands above.
+/// Bits of a position that hold the offset; the bits above hold the era.
 const OFFSET_BITS: u32 = 44;
 const MAX_SENDS: u32 = 3;
 const MAX_TOLD: usize = 24;
 
-/// The request under which each server ends that runs it.
+/// The poison request: each server that runs it ends.
 pub const DEADLY: Fingerprint = Fingerprint(1);
-/// A request that many send.
+/// A request that many callers send.
 pub const POPULAR: Fingerprint = Fingerprint(2);
 
-/// What a fleet has to bear.
+/// The load and the faults of a simulation.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub gateways: usize,
     pub servers: usize,
-    /// Time between two comings of the deadly request, and how many come at once, at gateways that are drawn.
+    /// Interval between arrivals of the poison request, and how many arrive at once, at random gateways.
     pub deadly_every: u64,
     pub deadly_at_once: usize,
-    /// Time between two popular requests, and between two that come once.
+    /// Interval between popular requests, and between requests that are sent once.
     pub popular_every: u64,
     pub single_every: u64,
-    /// Part of the messages between gateways that are lost.
+    /// Share of the messages between gateways that are lost.
     pub loss: f64,
-    /// Time between two restarts of a gateway that is drawn, and of all.
+    /// Interval between restarts of a random gateway, and of all.
     pub restart_every: u64,
     pub restart_all_every: u64,
-    /// Outages of the store: from and until.
+    /// Outages of the store: start and end.
     pub store_away: Vec<(u64, u64)>,
-    /// When the store comes back from a copy, and how old that is.
+    /// Times of restores of the store, and the age of the copies.
     pub restores: Vec<(u64, u64)>,
-    /// Time between ends of this part of the servers, for reasons of their own.
+    /// Interval between unrelated ends of servers, and the share of the servers that end.
     pub own_ends: Option<(u64, f64)>,
     pub until: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Played {
-    /// Sends of the deadly request by gateways in touch, later than the time for contact after the third end.
+    /// Sends of the poison request by gateways that can reach the store, later than `CONTACT` after the third end.
     pub deadly_later: usize,
     pub deadly_ends: usize,
     pub deadly_refused: usize,
     pub popular_sent: usize,
     pub popular_refused: usize,
-    /// The longest time in which every popular request was refused.
+    /// The longest time in which all popular requests were refused.
     pub popular_gap: u64,
     pub single_sent: usize,
     pub single_refused: usize,
-    /// Calls of the store, and marks that it has in the end.
+    /// Calls to the store, and marks in it at the end.
     pub calls: usize,
     pub marks: usize,
 }
@@ -76,7 +76,7 @@
     view: FeedView,
     past: FeedHistory<MarkChange>,
     up_since: u64,
-    /// When it may call the store again, and until when it rests unless something is urgent.
+    /// Time of the next possible call to the store, and end of the pause that applies unless something is urgent.
     not_before: u64,
     rests_until: u64,
     claims: Vec<(Flight, u8)>,
@@ -85,14 +85,14 @@
 #[derive(Clone, Debug)]
 struct Flight {
     gateway: usize,
-    /// The gateway's start.
+    /// Start time of the gateway.
     since: u64,
     request: Fingerprint,
     sends: u32,
     is_trial: bool,
 }
 
-/// A run at a server.
+/// A request in flight on a server.
 struct Run {
     flight: Flight,
     server: usize,
@@ -121,9 +121,9 @@
     servers: Vec<Server>,
     runs: Vec<Run>,
     told: Vec<Told>,
-    /// Runs that broke, and when it is known that their server ended.
+    /// Broken runs, and the times when the end of their server is detected.
     broken: Vec<(u64, Run, BackendId)>,
-    /// When each mark was made, and when it was written.
+    /// Time when each mark was made, time when it was written, and the mark.
     log: Vec<(u64, u64, MarkChange)>,
     era: u64,
     third_end: Option<u64>,
@@ -146,7 +146,7 @@
     }
 }
 
-/// Plays a load with a seed.
+/// Runs a simulation.
 pub fn play(load: Load, seed: u64) -> Played {
     let mut world = World {
         gateways: (0..load.gateways).map(|_| gateway(0, load.gateways)).collect(),
@@ -227,7 +227,7 @@
         calm && self.gateways[g].up_since <= since
     }
 
-    /// Requests come.
+    /// Lets requests arrive.
     fn come(&mut self, now: u64) {
         if every(now, self.load.deadly_every) {
             (0..self.load.deadly_at_once).for_each(|_| self.arrive(DEADLY, now));
@@ -316,7 +316,7 @@
         }
     }
 
-    /// A server ends, and all its runs break.
+    /// Ends a server, which breaks all its runs.
     fn end(&mut self, server: usize, now: u64) {
         let id = format!("s{server}-{}", self.servers[server].incarnation);
         self.servers[server].incarnation += 1;
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Gateways learn of ends, and send what broke once more.
+    /// Lets gateways detect ends and retry the broken runs.
     fn learn(&mut self, now: u64) {
         let known: Vec<_> = self.broken.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, run, server) in known {
--- a/core/tests/restored_servers.rs
+++ b/core/tests/restored_servers.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers, through restores of the store.
+//! The registry of backend servers through restores of the store, in virtual time.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,20 +7,20 @@
     ServerState,
 };
 
-/// Longest time between two reads of a gateway, as where a server that leaves must be left within four seconds, and
+/// Maximum interval between reads of a gateway, where a server that leaves must be out of use within four seconds, and
 /// within two.
 const READ_EVERY: u64 = 1_000;
 const READ_EVERY_SOONER: u64 = 500;
 
-/// Time between two heartbeats of a server, and the time without any after which the store drops its record.
+/// Heartbeat interval of a server, and time without a heartbeat after which the store drops its record.
 const HEARTBEAT: u64 = 1_200;
 const LAPSE: u64 = 3_000;
 
-/// Time for which what is played goes on, and in which gateways settle afterwards.
+/// Simulated time with faults, and time for the gateways to settle afterwards.
 const SPAN: u64 = 40_000;
 const SETTLE: u64 = 15_000;
 
-/// Time after a cut for which a gateway may lack servers that live.
+/// Time after a gateway was cut off for which it may lack running servers.
 const CUT_EXCUSED: u64 = 4_000;
 
 const STEP: u64 = 50;
@@ -29,7 +29,7 @@
 
 type Id = usize;
 
-/// The servers' topic: each record names a server that lives, or one that has gone.
+/// The topic of the servers: each record is a registration or a removal.
 #[derive(Clone, Default)]
 struct Topic {
     records: Vec<(Id, bool)>,
@@ -61,7 +61,7 @@
     next: Option<(u32, usize)>,
     reads_at: u64,
     cut_until: u64,
-    /// Servers that it has known, and of these, those that it has seen go after they had left.
+    /// Servers that were in its registry, and those of them that were removed from it after they had left.
     known: HashSet<Id>,
     seen_gone: HashSet<Id>,
 }
@@ -82,7 +82,7 @@
         self.registry.get(id).is_some()
     }
 
-    /// Reads what the store says, from where it stopped or as a whole.
+    /// Reads the topic from the last position, or completely.
     fn read(&mut self, topic: &Topic, is_whole: bool, now: Millis) {
         let next = (topic.era, topic.records.len());
         match self.next {
@@ -107,7 +107,7 @@
         self.next = Some(next);
     }
 
-    /// Returns its list as it passes it on, with the servers that it will soon take as gone.
+    /// Returns the list that it sends to others, with the servers that it will remove soon.
     fn list(&self, now: Millis) -> PeerServerList {
         let expiring = self.registry.expiring(now).map(|(id, left)| (id.clone(), left));
         PeerServerList {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes the list that another gateway passes on.
+    /// Applies the list of another gateway.
     fn hear(&mut self, other: &Self, now: Millis) {
         self.registry.replace_by_peer_list(other.list(now), now, now);
         self.next = other.next;
@@ -143,29 +143,29 @@
     }
 }
 
-/// How often gateways believed what they should not.
+/// Number of errors in the registries of the gateways.
 #[derive(Debug, Default, Eq, PartialEq)]
 struct Wrong {
-    /// Took back a server that they had seen go.
+    /// Added a server again that had left and was removed.
     taken_back: usize,
-    /// Lacked one that they had known and that lives.
+    /// Lacked a running server that was in the registry before.
     lacked: usize,
-    /// In the end, when all is calm, believed something else than the store has.
+    /// Differed from the store at the end of the settling time.
     unsettled: usize,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 struct Play {
     gateways: usize,
-    /// Longest time between two reads of a gateway.
+    /// Maximum interval between reads of a gateway.
     read_every: u64,
     has_restores: bool,
-    /// Whether a copy's list is taken as any other: the planted fault.
+    /// Whether the list of a restored copy is treated as any other: the injected fault.
     forgets: bool,
 }
 
-/// Lets servers come and go before gateways that read late, are cut off, start anew and pass their lists on.
+/// Simulates servers that start and stop while gateways read late, are cut off, restart and exchange their lists.
 fn play(play: Play, seed: u64) -> Wrong {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> =
@@ -178,7 +178,7 @@
         let (now, is_calm) = (Millis(at), at >= SPAN);
         if !is_calm && servers.len() < MAX_SERVERS && (servers.len() < 10 || rng.u32(..75) == 0) {
             let leaves_at = at + rng.u64(5_000..60_000);
-            // In the end all stay, so that all gateways can know the same.
+            // At the end no server leaves, so that all gateways can reach the same state.
             let leaves_at = if leaves_at < SPAN { leaves_at } else { u64::MAX };
             servers.push(Server { beats_at: at, leaves_at, has_left: false });
         }
@@ -203,7 +203,7 @@
             copy = topic.clone();
         }
         if play.has_restores && !is_calm && rng.u32(..160) == 0 {
-            // Records that the copy has begin to lapse as it comes back.
+            // Records in the copy start to expire at the restore.
             let listed = copy.listed.keys().map(|id| (*id, at)).collect();
             topic = Topic { records: copy.records.clone(), listed, era: topic.era + 1 };
         }
@@ -255,13 +255,14 @@
     }
 }
 
-/// A gateway sends to a server that it has seen go, or refuses although servers live, as the store comes back from a copy.
+/// Guards against gateways that send requests to a server that has left, or refuse requests although servers are
+/// running, after the store is restored from a copy.
 #[test]
 fn servers_hold_through_cuts_restarts_and_restores() {
     check(READ_EVERY);
 }
 
-/// The same where gateways read twice as often.
+/// The same with reads at twice the rate.
 #[test]
 fn servers_hold_through_restores_where_gateways_read_sooner() {
     check(READ_EVERY_SOONER);
@@ -279,7 +280,8 @@
     }
 }
 
-/// The check above finds nothing: gateways that take a copy's list for the present take servers back, or lose some.
+/// Guards against a check that cannot fail: gateways that treat the list of a copy as current add servers again that
+/// have left, or lose some.
 #[test]
 fn server_that_comes_back_with_a_copy_is_caught() {
     let wrong = |seed| {
--- a/core/tests/roaming_sessions.rs
+++ b/core/tests/roaming_sessions.rs
@@ -1,20 +1,20 @@
-//! Sessions whose requests reach a random gateway each, in the middle of a roll-out.
+//! Sessions whose requests each reach a random gateway, during a rollout.
 
 mod rollout_fleet;
 
 use redwingfold_core::Phase;
 use rollout_fleet::{BadAnswerRate, FaultKind, Fleet, Outcome, SessionLookup, WINDOW};
 
-/// Gateways, with requests a second.
+/// Number of gateways, and requests per second.
 const FLEETS: [(usize, u64); 3] = [(3, 150), (27, 300), (103, 800)];
 
-/// Shares of a service's requests that operators allow.
+/// Exposure limits: shares of a service's requests that may go to the target version.
 const EXPOSURES: [f64; 2] = [0.15, 0.0975];
 
-/// Requests beyond the share that operators allow.
+/// Requests allowed beyond the exposure limit.
 const EXPOSURE_SLACK: u64 = 30;
 
-/// Parts of the requests that follow another one of their session.
+/// Shares of requests that follow another one of their session.
 const FOLLOWING: [f64; 2] = [0.1, 0.5];
 
 const GOOD: BadAnswerRate = |_, _, _| 0.0;
@@ -24,7 +24,7 @@
     per_s: u64,
     exposure: f64,
     following: f64,
-    /// Part of the window, in percent, from which on there are so many times as many requests.
+    /// Position in the window, in percent, from which the request rate is multiplied, and the factor.
     burst: (u64, f64),
 }
 
@@ -67,7 +67,8 @@
     assert!(played.to_target <= load.allowed(played), "{what}");
 }
 
-/// A session changes its version as it must not, as gateways that have not served it decide anew.
+/// Guards against sessions that change their version because gateways that have not served them decide independently,
+/// and against an exposure above its limit in bursts.
 #[test]
 fn roaming_sessions_keep_their_version_and_the_exposure_holds_in_bursts() {
     let bursts = [(0, 1.0), (80, 1.7), (88, 1.7), (92, 1.7), (88, 3.0), (91, 3.0), (94, 3.0)];
@@ -77,7 +78,8 @@
     });
 }
 
-/// A good version is not done in time, as sessions are tried later than other requests.
+/// Guards against a good version whose rollout misses its deadline because sessions are sent to the target later than
+/// other requests.
 #[test]
 fn good_version_of_sessions_is_done_in_time() {
     for_each_load(&[(0, 1.0), (88, 1.7), (85, 0.4)], |load, seed| {
@@ -88,7 +90,7 @@
     });
 }
 
-/// A session that has moved is not known any more, as gateways that kept it start anew.
+/// Guards against moved sessions that are lost because their keepers restart.
 #[test]
 fn roaming_sessions_keep_their_version_while_gateways_start_anew() {
     for percent in [60, 86, 93] {
@@ -100,7 +102,7 @@
     }
 }
 
-/// A session that has moved is not known any more, as all gateways that keep it now were added since.
+/// Guards against moved sessions that are lost because all of their keepers joined after the move.
 #[test]
 fn roaming_sessions_keep_their_version_while_gateways_are_added() {
     for percent in [92, 93, 94] {
@@ -112,7 +114,7 @@
     }
 }
 
-/// A session moves too early or back, as gateways read the order at different times.
+/// Guards against sessions that move too early or back because gateways read the order at different times.
 #[test]
 fn roaming_sessions_keep_their_version_though_gateways_read_the_order_apart() {
     for_each_load(&[(0, 1.0)], |load, seed| {
@@ -121,8 +123,8 @@
     });
 }
 
-/// The checks above see nothing: where only gateways that have served a session know it, sessions go back; where all
-/// are taken to have moved, a burst brings the target more than is allowed.
+/// Guards against checks that cannot fail: if only gateways that have served a session have it on record, sessions move
+/// back; if all sessions count as moved, a burst sends more requests to the target than allowed.
 #[test]
 fn checks_find_both_faults_where_sessions_have_no_keepers() {
     let load =
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Decisions of a gateway, each under the load or failure that it is for.
+//! Decisions of a gateway, each under the load or the failure that it is designed for.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// The longest prefix decides, the host's case and port do not.
+/// The route with the longest matching prefix is chosen; the case and the port of the host are ignored.
 #[test]
 fn longest_prefix_decides() {
     let routes = [route("short", "/a/"), route("long", "/a/b/"), route("other", "/c/")];
@@ -60,7 +60,7 @@
     assert!(catalog.customer("key").is_some() && catalog.customer("KEY").is_none());
 }
 
-/// Weights share the requests of a route out.
+/// Requests of a route are distributed by weight.
 #[test]
 fn weights_share_requests_out() {
     let route = route("r", "/");
@@ -72,8 +72,8 @@
     assert!((850..1_150).contains(&counts[&ServiceName::from("other")]));
 }
 
-/// Whatever the pieces in which bytes arrive, the same whole events come out, none twice, and the
-/// rest of an event that was cut is never passed on.
+/// However the bytes are split, the same complete events are emitted, none twice, and an incomplete event is never
+/// forwarded.
 #[test]
 fn events_survive_any_cut() {
     bolero::check!().with_type::<(Vec<u8>, u8)>().for_each(|(cuts, events)| {
@@ -89,7 +89,7 @@
         let whole = text[..from].rfind("\r\n\r\n").map_or(0, |at| at + 4);
         assert_eq!(out, &text.as_bytes()[..whole]);
         assert_eq!(splitter.has_partial(), whole < from);
-        // Another server goes on, and repeats the last two events.
+        // Another server resumes and repeats the last two events.
         splitter.discard_partial();
         let last = splitter.last();
         let again = last.map_or(0, |id| id.0.saturating_sub(1));
@@ -101,7 +101,7 @@
     });
 }
 
-/// No bytes make the splitter fail or pass on more than it got.
+/// No input makes the splitter panic or emit more bytes than it received.
 #[test]
 fn any_bytes_are_events_or_held_back() {
     bolero::check!().with_type::<Vec<Vec<u8>>>().for_each(|pieces| {
@@ -111,8 +111,8 @@
     });
 }
 
-/// In any ten seconds there are never more second sends than the share of the requests of those
-/// ten seconds and the slack; the larger models' part leaves room for failures.
+/// Guards against retries that amplify an overload: in any ten seconds there are at most the configured share of the
+/// requests plus the slack. The limit for larger models leaves room for retries after failures.
 #[test]
 fn budget_holds_in_every_window() {
     const WINDOW: u64 = 10_000;
@@ -131,7 +131,7 @@
                 repeats.push(now);
                 let within = |at: &&u64| **at + WINDOW > now;
                 let sent = repeats.iter().filter(within).count() as f64;
-                // A slice more than the window is counted: never less.
+                // The budget counts one slice more than the window, never less.
                 let known = requests.iter().filter(|at| **at + WINDOW + 1_000 > now).count() as f64;
                 assert!(sent <= known * 0.8 + 2.0, "seed {seed} at {now}: {sent} of {known}");
             }
@@ -139,16 +139,16 @@
     }
 }
 
-/// Random histories of a store that is down, forgets and comes back, while servers renew their
-/// records, drain and leave. Whatever happens: a server that was seen draining never takes work
-/// again; one that lives is known two seconds after the store's return; one that left is not.
+/// Random histories of a store that fails, loses records and returns, while servers renew their records, drain and
+/// leave. A server that was draining never gets new requests; a running one is in the registry two seconds after the
+/// return of the store; one that left is not.
 #[test]
 fn registry_survives_outages() {
     const GRACE: u64 = 2_000;
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut registry = Registry::new(RegistryPolicy { return_grace: Millis(GRACE) });
-        // The truth: what servers are, and what the store holds.
+        // Actual states of the servers.
         let mut alive: BTreeMap<String, ServerState> = BTreeMap::new();
         let mut drained: Vec<String> = Vec::new();
         let (mut is_down, mut back_at) = (false, 0_u64);
@@ -176,7 +176,7 @@
                 registry.expire(Millis(now));
                 continue;
             }
-            // Records that lapsed come back one after the other within the grace.
+            // Expired records are registered again one after the other within the grace period.
             let is_back = |i: usize| now >= back_at + (i as u64 + 1) * 300 || back_at == 0;
             let listed: Vec<_> = alive
                 .iter()
@@ -209,8 +209,8 @@
     }
 }
 
-/// A server's record lapsed while the store was away, and comes back unchanged: it must not be
-/// taken as gone when the grace ends. It was, as the record brought nothing new.
+/// Guards against the removal of a running server at the end of the grace period: its record expired while the store
+/// was unavailable and is registered again unchanged.
 #[test]
 fn returned_record_ends_the_grace() {
     let mut registry = Registry::default();
@@ -223,8 +223,9 @@
     assert!(registry.has(&server("a", ServerState::Ready), Millis(9_000)));
 }
 
-/// A server has left, and the store comes back from a copy that lists it. A gateway that has just started knows only the copy
-/// and passes it on: the server was taken back, and got work while it stopped. It is taken back with its next heartbeat.
+/// Guards against a server that has left and gets requests again. The store is restored from a copy that lists it, and
+/// a gateway that has just started sends the list of the copy around. The server is accepted only with its next
+/// heartbeat.
 #[test]
 fn server_that_has_left_does_not_come_back_with_a_copy_that_is_passed_on() {
     let mut registry = Registry::default();
@@ -241,8 +242,8 @@
     assert_eq!(registry.servers(Millis(21_000)).count(), 2);
 }
 
-/// A server says in its record how much longer it is cold, and later in answers. A record that was written before, and one
-/// of the same time that is read later, change nothing and are nothing new; a longer time is.
+/// A server announces the remaining cold time in its record, and later in answers. A record that was written before, or
+/// a later read of the same time, changes nothing; a longer time does.
 #[test]
 fn server_stays_cold_as_long_as_it_ever_said() {
     let cold = |left| BackendServer { cold_left: Millis(left), ..server("a", ServerState::Ready) };
@@ -257,9 +258,8 @@
     assert!(registry.has_cold(Millis(5_299)) && !registry.has_cold(Millis(5_300)));
 }
 
-/// A server that fails two in five of its answers while its health is good is left out within
-/// about twenty answers; one that fails one in seven, as some calls do by themselves, stays in
-/// nearly always.
+/// A server that fails two in five of its answers while its health checks pass is excluded within about twenty answers.
+/// One that fails one in seven, as some requests do on any server, is almost never excluded.
 #[test]
 fn failing_server_is_told_from_failing_calls() {
     let policy = HealthPolicy::default();
@@ -295,9 +295,9 @@
         .collect()
 }
 
-/// Load pattern: one prompt in fifty takes two seconds to read, all others thirty milliseconds, at
-/// 70% of what the servers can read. Servers read one prompt after the other. Placed by the number
-/// of requests, a short one in ten waits behind a long one; by what is left to read, few do.
+/// Load pattern: one prompt in fifty takes two seconds of prefill, all others thirty milliseconds, at 70% of the
+/// capacity of the servers, which read one prompt after the other. Placed by the number of requests, one short prompt
+/// in ten waits behind a long one; placed by backlog, few do.
 #[test]
 fn short_prompts_do_not_wait_behind_long_ones() {
     let p99 = |by_time: bool| {
@@ -331,8 +331,8 @@
     assert!(by_time * 5 / 2 < by_count, "{by_time} ms against {by_count} ms");
 }
 
-/// Requests with the same shared prompt meet at one server while it is idle, spread when it is
-/// loaded, and only the prompts of a server that leaves move.
+/// Requests with the same shared prompt go to one server while it is idle and spread when it is loaded, and only the
+/// prompts of a server that leaves move.
 #[test]
 fn shared_prompts_meet_and_spread() {
     let policy = PlacementPolicy::default();
@@ -352,8 +352,8 @@
     assert_ne!(home(&loaded, 0), homes[0]);
 }
 
-/// Load pattern: a third of the engines leaves. As first tries wait longer, the bar falls, and it
-/// comes back with the calm; it never gains above its setting.
+/// Load pattern: a third of the engines leaves. As the latency of first sends rises, the required confidence falls; it
+/// recovers with the latency and never exceeds its setting.
 #[test]
 fn bar_of_confidence_follows_the_pressure() {
     let policy = SizePolicy::default();
@@ -366,7 +366,7 @@
     assert!(bars[0] == policy.min_confidence && bars[1] == 0.0 && bars[2] > 45.0, "{bars:?}");
 }
 
-/// Others' prompts count until the server has read them, without anybody saying so.
+/// The prompts of other gateways count until the server has read them, without a message about it.
 #[test]
 fn backlog_of_others_runs_off() {
     let mut peers = PeerLoads::default();
@@ -382,9 +382,8 @@
     }
 }
 
-/// A server ends while it drains and starts again under its id. Placement would pass it over for good,
-/// since a server that drains stays so; a later start is another server. A heartbeat of the start before
-/// that was written late must not bring that one back.
+/// Guards against a server that is never used again because it was draining before it restarted under the same id. A
+/// late heartbeat of the earlier process must not restore its state.
 #[test]
 fn later_start_ends_what_was_believed() {
     let start = |born, state| BackendServer { born: Some(Incarnation(born)), ..server("a", state) };
@@ -401,9 +400,9 @@
     assert_eq!(registry.replace(list, Millis(0)), vec![BackendId::from("a")]);
 }
 
-/// A configuration has grown to thousands of routes, among them some that differ by an ending only. The
-/// longest prefix decides as among few, also for a path of nothing but slashes and for one that names the
-/// prefix without its last slash; of two routes with the same prefix the first stands.
+/// With thousands of routes, some of which differ only in their ending, the longest matching prefix is chosen. This
+/// includes paths of only slashes and paths without the trailing slash of the prefix; of two routes with the same
+/// prefix the first is used.
 #[test]
 fn longest_prefix_decides_among_thousands() {
     let mut rng = fastrand::Rng::with_seed(11);
--- a/core/tests/silence.rs
+++ b/core/tests/silence.rs
@@ -1,20 +1,21 @@
-//! When a server's silence towards a request is worth a second send.
+//! Second sends of requests whose server sends no data.
 
 use redwingfold_core::{Awaited, Millis, SilencePolicy, SilenceWatch};
 
 const AIM: Millis = Millis(2_000);
 const POLL: Millis = Millis(200);
 
-/// How requests fared.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Second sends for requests whose answer was under way.
+    /// Share of second sends for requests whose answer was in transit.
     needless: f64,
-    /// Requests of which the first answer was lost, and the second began within the aim.
+    /// Share of lost answers whose second send began to answer within the target latency.
     saved: f64,
 }
 
-/// Plays requests whose first byte takes `mean` ms, exponentially spread, and one answer in thirty is lost.
+/// Simulates requests whose first byte takes `mean` ms on average, exponentially distributed; one answer in thirty is
+/// lost.
 fn play(mean: f64, pressure: f64, seed: u64) -> Outcome {
     let policy = SilencePolicy::default();
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -25,7 +26,7 @@
         let is_lost = rng.u32(..30) == 0;
         let mut watch = SilenceWatch::new(Millis(0), POLL);
         let given_up = (1..100).map(|look| look * POLL.0).find(|now| {
-            // The server answers others all the while.
+            // The server sends data to other requests all the time.
             watch.poll(Millis(*now), Millis(*now));
             let is_answered = !is_lost && takes <= *now;
             is_answered || watch.is_over(&policy, Awaited::Head(Millis(50)), AIM, pressure)
@@ -43,9 +44,8 @@
     Outcome { needless: f64::from(needless) / f64::from(n), saved: saved as f64 / f64::from(lost) }
 }
 
-/// A server runs requests, and one answer in thirty gets lost on its way. Its callers see nothing, and
-/// their patience is hardly longer than the aim; asked elsewhere after half of it they are answered in
-/// time, since first bytes usually take a tenth.
+/// Guards against lost answers that are noticed too late: one in thirty is lost on its way, and callers time out soon
+/// after the target latency. First bytes usually take a tenth of it, so a second send after half of it is in time.
 #[test]
 fn lost_answers_are_had_again_in_time() {
     for seed in 0..5 {
@@ -54,9 +54,9 @@
     }
 }
 
-/// Load pattern: servers are so full that first bytes take a quarter of the aim on average, then all of it.
-/// A second send for each that waits would double the queue; the wait grows with the pressure, and at the
-/// worst nothing is sent twice.
+/// Load pattern: servers are so loaded that first bytes take a quarter of the target latency on average, then all of
+/// it. A second send for each waiting request would double the queue; the timeout grows with the pressure, and at the
+/// highest pressure nothing is sent twice.
 #[test]
 fn queues_do_not_double_themselves() {
     let (busy, full) = (play(500.0, 0.25, 3), play(2_000.0, 1.0, 3));
@@ -64,8 +64,8 @@
     assert!(full.needless == 0.0 && full.saved == 0.0, "{full:?}");
 }
 
-/// The process stands still for five seconds while thirty streams run. What servers sent meanwhile waits
-/// unread in its sockets, so that all of them look silent; none is sent once more for that.
+/// Guards against second sends after the process was stopped for five seconds. The data that servers sent in that time
+/// waits unread in its sockets, so that all of them seem to have sent nothing.
 #[test]
 fn standstill_of_the_process_is_no_silence() {
     let policy = SilencePolicy::default();
@@ -79,8 +79,8 @@
     assert!(watch.is_over(&policy, Awaited::Event(Millis(1_000)), AIM, 0.0));
 }
 
-/// A server hangs and says nothing to anyone: it is given up also at a pressure at which the silence
-/// towards one request says nothing.
+/// A server that sends nothing to any request is abandoned even at a pressure at which missing data on one request has
+/// no effect.
 #[test]
 fn hanging_server_is_given_up_under_pressure() {
     let policy = SilencePolicy::default();
--- a/core/tests/sizes.rs
+++ b/core/tests/sizes.rs
@@ -1,15 +1,15 @@
-//! Which model answers, where models of three sizes stand to choose from.
+//! Selection among models of three sizes.
 
 use redwingfold_core::{ConfidenceGains, LargerModel, ServiceName, SizePolicy};
 
-/// Share of requests that each model is up to, the smallest first.
+/// Share of requests that each model answers correctly, the smallest first.
 const POWER: [f64; 3] = [0.56, 0.65, 1.0];
 
-/// Time in which each reads a prompt, and its price, as parts of the largest one's.
+/// Prefill time and price of each model, relative to the largest one.
 const TIME: [f64; 3] = [0.1, 0.27, 1.0];
 const PRICE: [f64; 3] = [0.07, 0.5, 1.0];
 
-/// Confidence that a model gains by a request that is easier by one tenth of all, and its error.
+/// Increase of confidence when a request is easier by a tenth of all, and its standard deviation.
 const SLOPE: f64 = 185.0;
 const ERROR: f64 = 12.0;
 
@@ -26,12 +26,12 @@
     (50.0 + (power - difficulty) * SLOPE + error * ERROR).clamp(0.0, 100.0) as u8
 }
 
-/// Plays requests of even difficulty through a cascade of the models `may` names after the smallest.
+/// Simulates requests of evenly distributed difficulty in a cascade of the smallest model and those in `may`.
 fn play(power: [f64; 3], may: &[usize], seed: u64) -> Spent {
     let (policy, service) = (SizePolicy::default(), ServiceName::from("slips"));
     let (mut gains, mut spent, n) = (ConfidenceGains::default(), Spent::default(), 4_000_u32);
     for request in 0..n {
-        // The same requests, whatever is asked for those before them.
+        // The requests are the same for each cascade.
         let mut rng = fastrand::Rng::with_seed(seed << 32 | u64::from(request));
         let difficulty = rng.f64();
         let (mut size, mut before) = (0, None);
@@ -62,9 +62,8 @@
     spent
 }
 
-/// Load pattern: requests of all difficulties. Those that are just beyond the smallest model are within
-/// the middle one's power; asked before the largest, it takes a twentieth of the engines' time off and lowers
-/// the price, and hardly an answer gets worse.
+/// Load pattern: requests of all difficulties. The middle model can answer those just beyond the smallest one. Using it
+/// before the largest reduces engine time by a twentieth and lowers the price, and hardly any answer gets worse.
 #[test]
 fn middle_model_answers_what_is_just_beyond_the_smallest() {
     for seed in 0..5 {
@@ -75,15 +74,15 @@
     }
 }
 
-/// A middle model that is no better than the smallest: what it says of the first requests shows so, and it
-/// is asked no more.
+/// A middle model that is no better than the smallest is no longer used once the first samples of its confidence show
+/// so.
 #[test]
 fn useless_middle_model_is_given_up() {
     let spent = play([0.56, 0.56, 1.0], &[1, 2], 1);
     assert!(spent.middle < 0.02, "{spent:?}");
 }
 
-/// Nothing larger reaches its first byte in time: only what is almost surely wrong goes on, late.
+/// If no larger model can answer in time, only requests whose answer is almost certainly wrong are escalated.
 #[test]
 fn late_answers_are_had_only_where_the_one_in_hand_is_wrong() {
     let policy = SizePolicy::default();
--- a/core/tests/status.rs
+++ b/core/tests/status.rs
@@ -1,39 +1,39 @@
-//! The word on a roll-out's end, written by one of many gateways.
+//! The status of a rollout in the store, written by one of many gateways.
 
 use redwingfold_core::{Millis, Phase, RolloutStatuses, ServiceName, VersionName};
 
-/// When the roll-out ends, as the first gateway sees it; the others see it up to a second later.
+/// Time when the first gateway detects the end of the rollout; the others do so up to a second later.
 const ENDS_AT: u64 = 5_000;
 
-/// Steps of a gateway, in milliseconds.
+/// Interval between steps of a gateway, in milliseconds.
 const STEP: u64 = 300;
 
-/// A gateway: what it knows of the store, and as of which record.
+/// A gateway, with the statuses it has read.
 struct Gateway {
     book: RolloutStatuses,
-    /// What it makes of the roll-out itself, and from when on.
+    /// Its own result of the rollout, and when it has it.
     end: (Phase, u64),
-    /// A write on its way: when it arrives, on which number of records it depends, and its word.
+    /// A write in transit: arrival time, number of records that it is conditional on, and status.
     write: Option<(u64, usize, Option<Phase>)>,
     frozen_until: u64,
 }
 
-/// What goes wrong.
+/// The faults of a simulation.
 #[derive(Clone, Copy)]
 struct Faults {
-    /// Answers of the store that get lost, its work being done.
+    /// Share of answers of the store that are lost after the call took effect.
     lost: f64,
-    /// Words between gateways that get lost.
+    /// Share of messages between gateways that are lost.
     unheard: f64,
-    /// Freezes and restarts, each second and fleet.
+    /// Freezes and restarts in the fleet per second.
     stops: f64,
-    /// Gateways that come to the other end than most.
+    /// Share of gateways with a result that differs from that of the others.
     dissent: f64,
-    /// Whether the store heeds the condition of a write.
+    /// Whether the store applies the condition of a write.
     is_conditional: bool,
 }
 
-/// Time from a read to the arrival of the write that it leads to.
+/// Time from a read to the arrival of the write that follows it.
 const WRITE_TAKES: u64 = 40;
 
 struct Played {
@@ -71,13 +71,13 @@
             arrive(gw, &mut played, faults, ms, &mut rng);
         }
         for g in 0..n {
-            // Gateways step out of step with each other.
+            // The steps of the gateways are not synchronized.
             if !(ms + 10 * g as u64).is_multiple_of(STEP) || gateways[g].frozen_until > ms {
                 continue;
             }
             let gw = &mut gateways[g];
             let phase = if ms >= gw.end.1 { gw.end.0 } else { Phase::Trial };
-            // An end that the store has gone before what this gateway makes of it.
+            // An end in the store takes precedence over the own result.
             let phase = gw.book.outcome(&service, &target).unwrap_or(phase);
             let draw = rng.u64(..);
             let due = gw.book.write_due_in(&service, &target, phase, n, Millis(ms), draw);
@@ -90,7 +90,7 @@
     played
 }
 
-/// Reads the status, and sends off the write of what it lacks.
+/// Reads the status, and sends a write if it is missing.
 fn step(
     gw: &mut Gateway,
     played: &mut Played,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Lets a write arrive at the store; its answer may get lost.
+/// Applies a write to the store; the answer may be lost.
 fn arrive(gw: &mut Gateway, played: &mut Played, faults: Faults, ms: u64, rng: &mut fastrand::Rng) {
     let (service, target) = names();
     let Some((_, at, word)) = gw.write.take_if(|(arrives, _, _)| *arrives <= ms) else { return };
@@ -127,7 +127,7 @@
     }
 }
 
-/// Tells the others what the store says.
+/// Sends the statuses in the store to the other gateways.
 fn tell(g: usize, gateways: &mut [Gateway], faults: Faults, ms: u64, rng: &mut fastrand::Rng) {
     let (service, target) = names();
     let teller = &gateways[g].book;
@@ -147,9 +147,9 @@
 const FAULTS: Faults =
     Faults { lost: 0.3, unheard: 0.5, stops: 0.8, dissent: 0.3, is_conditional: true };
 
-/// Answers of the store and words between gateways get lost, gateways freeze and start anew, and some
-/// come to another end than most. The operator acts on the first end that it reads: servers stop. So
-/// the status says that the roll-out runs, then how it ended, and nothing after that.
+/// Guards against a status with two ends, on the first of which the operator acts by stopping servers. Answers of the
+/// store and messages between gateways are lost, gateways freeze and restart, and some have a different result. The
+/// status must be running, then one end, and nothing after that.
 #[test]
 fn status_ends_once_and_for_good() {
     for n in [1, 3, 4, 28] {
@@ -162,8 +162,8 @@
     }
 }
 
-/// The check above finds what it should: with a store that writes without the condition, two gateways
-/// that come together record two ends.
+/// Guards against a check that cannot fail: with a store that ignores the condition, two gateways that write at once
+/// record two ends.
 #[test]
 fn writes_without_a_condition_end_twice() {
     let unconditional = Faults { is_conditional: false, ..FAULTS };
@@ -171,8 +171,8 @@
     assert!((0..60).any(|seed| ends(seed) > 1));
 }
 
-/// Load pattern: 28 gateways come to the end of a roll-out within a second. With a read and a write of
-/// each for both words they make 112 calls.
+/// Load pattern: 28 gateways reach the end of a rollout within a second. With a read and a write of each for both
+/// statuses they would make 112 calls.
 #[test]
 fn few_gateways_write() {
     let calm = Faults { lost: 0.0, unheard: 0.02, stops: 0.0, dissent: 0.0, is_conditional: true };
@@ -182,9 +182,8 @@
     }
 }
 
-/// Load pattern: 103 gateways see the end of a roll-out within 30 ms, as all do by the clock or when the same
-/// answers have made them sure. Each read the status and wrote it, where one can tell the others: calls for
-/// which the operator pays, at the moment when that one should get through.
+/// Load pattern: 103 gateways detect the end of a rollout within 30 ms, as happens at a deadline or when the same
+/// answers decide it. If each read and wrote the status, the calls would delay the operator's at that moment.
 #[test]
 fn few_write_an_end_that_all_see_at_once() {
     const GATEWAYS: usize = 103;
--- a/core/tests/turn_fleet/mod.rs
+++ b/core/tests/turn_fleet/mod.rs
@@ -8,61 +8,61 @@
 use redwingfold_core::{BackendId, Millis, RequestRate, SendTurns};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Longest time until a gateway has heard of a new server.
+/// Maximum time until a gateway receives the record of a new server.
 const NEWS: u64 = 600;
 
-/// Longest time until a gateway has heard that a server which it knows is cold again.
+/// Maximum time until a gateway learns that a known server is cold again.
 const LATE_NEWS: u64 = 2_000;
 
-/// What a common clock shows at the begin, in milliseconds.
+/// Initial value of a common clock, in milliseconds.
 const CLOCK_BEGAN: i64 = 10_000_000;
 
-/// Time between looks of requests that wait for a turn.
+/// Poll interval of requests that wait for a turn.
 const LOOK_EVERY: u64 = 10;
 
-/// Time over which gateways start anew, and in which each hears of all others.
+/// Time over which gateways restart, and in which each receives messages from all others.
 const UP_WITHIN: u64 = 400;
 const HEARS_ALL: u64 = 4_000;
 
-/// A way to share what a cold server bears.
+/// A way to share the rate that a cold server accepts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Way {
-    /// Turns at drawn moments, lost if not used: the one that stands.
+    /// Turns at random times that expire if unused; the way in use.
     Turns,
-    /// A part of the rate for each gateway, saved up to one request.
+    /// A share of the rate for each gateway, accumulated up to one request.
     Saved,
-    /// One gateway for each server, by rendezvous hashing among those that are known, with the whole rate.
+    /// One gateway per server with the whole rate, selected by rendezvous hashing among the known gateways.
     Owner,
-    /// Slots of a common clock, in the order of the known gateways.
+    /// Time slots of a common clock, in the order of the known gateways.
     Slots,
-    /// No bound.
+    /// No limit.
     Free,
 }
 
-/// What gateways believe wrongly.
+/// Errors in the state of the gateways.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Belief {
-    /// Nothing.
+    /// No error.
     Right,
-    /// Each knows a half of the others.
+    /// Each knows half of the others.
     Half,
-    /// All have just started, and know nobody at first.
+    /// All have just started and know no others at first.
     Anew,
-    /// Clocks are up to half a second apart.
+    /// Clocks differ by up to half a second.
     Clocks,
     /// A third of the others are dead.
     Dead,
-    /// Servers became cold again under their ids, which is heard late.
+    /// Servers became cold again under the same ids, which gateways learn late.
     Late,
 }
 
-/// What is played.
+/// The load of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub gateways: usize,
     pub cold: usize,
     pub warm: usize,
-    /// Requests a second, over all gateways.
+    /// Requests per second at all gateways combined.
     pub per_s: f64,
     /// Limit of each cold server, in requests per second.
     pub limit: f64,
@@ -72,36 +72,36 @@
     pub duration: Millis,
     /// Sliding window over which requests are counted.
     pub window: Millis,
-    /// Time at which all callers press at once, with ten times as many requests for 0.1 s.
+    /// Time of a burst of ten times as many requests for 0.1 s.
     pub burst_at: Option<u64>,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Played {
     /// Maximum number of requests that a server got within any window.
     pub most: usize,
-    /// Requests a second that a cold server got on average.
+    /// Mean requests per second at a cold server.
     pub mean: f64,
-    /// Requests a second that the one got that got fewest.
+    /// Lowest requests per second at any cold server.
     pub least: f64,
 }
 
 struct Gateway {
-    /// Itself, and the others that it knows in the end.
+    /// Itself and the others that it knows at the end.
     knows: Vec<usize>,
     ids: Rc<[BackendId]>,
     up_at: u64,
     clock: i64,
     turns: SendTurns,
-    /// Server; when this gateway last sent there, or saved up first.
+    /// By server: time of the last send of this gateway, or start of its accumulation.
     sent_at: HashMap<usize, f64>,
     hears_at: Vec<u64>,
     pending: u32,
 }
 
 impl Gateway {
-    /// Returns the gateways that it knows at a time, itself included.
+    /// Returns the gateways that it knows at a time, including itself.
     fn known(&self, at: u64, belief: Belief) -> &[usize] {
         let part = match belief {
             Belief::Anew => (at.saturating_sub(self.up_at) as f64 / HEARS_ALL as f64).min(1.0),
@@ -147,10 +147,10 @@
     }
 }
 
-/// Lets callers press on while servers are cold.
+/// Simulates requests while servers are cold.
 fn play(way: Way, belief: Belief, load: Load, seed: u64) -> Played {
     let mut rng = fastrand::Rng::with_seed(seed);
-    // Gateways that run have met long before the servers come.
+    // Running gateways know each other long before the servers start.
     let began = if belief == Belief::Anew { 0 } else { 20_000 };
     let n = load.gateways;
     let ids: Rc<[BackendId]> =
@@ -166,7 +166,7 @@
         let per_ms = load.per_s / 1000.0 * if in_burst { 10.0 } else { 1.0 };
         let came = per_ms as u32 + u32::from(rng.f64() < per_ms.fract());
         for _ in 0..came {
-            // Some gateways get three times as many callers as others.
+            // Some gateways get three times as many requests as others.
             let drawn = rng.usize(..n);
             let own = if drawn.is_multiple_of(3) || rng.bool() { drawn } else { drawn / 3 * 3 };
             gateways[own].pending += 1;
@@ -218,7 +218,7 @@
     }
 }
 
-/// Chooses a cold server for a request, as the idle ones are taken first; `None` for a warm one.
+/// Chooses a cold server for a request, since idle servers are preferred; `None` for a warm one.
 fn choose(
     gateway: &mut Gateway,
     way: Way,
@@ -229,7 +229,7 @@
 ) -> Option<usize> {
     let heard = |gateway: &Gateway, server: usize| at >= gateway.hears_at[server];
     if belief == Belief::Late {
-        // What is not known to be cold gets its part like all others.
+        // A server that is not known to be cold gets its share like all others.
         let any = rng.usize(..load.cold + load.warm);
         if any < load.cold && !heard(gateway, any) {
             return Some(any);
@@ -249,7 +249,7 @@
     arrivals.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
-/// Plays each seed; returns the highest `most`, and `mean` and `least` averaged over the seeds.
+/// Simulates each seed; returns the highest `most`, and `mean` and `least` averaged over the seeds.
 pub fn worst(way: Way, belief: Belief, load: Load, seeds: u64) -> Played {
     let plays = (0..seeds).map(|seed| play(way, belief, load, seed));
     plays.fold(Played::default(), |a, b| Played {
--- a/core/tests/unreached.rs
+++ b/core/tests/unreached.rs
@@ -1,40 +1,41 @@
-//! Servers that cannot be reached, before gateways that tell each other, in virtual time.
+//! Unreachable servers and gateways that report them to each other, in virtual time.
 
 use redwingfold_core::{Millis, UnreachableServers};
 
-/// Time after which a connection that does not come is given up, where others take a few milliseconds.
+/// Timeout of a connection attempt; successful ones take a few milliseconds.
 const CONNECT: u64 = 60;
-/// Time between two messages of a gateway.
+/// Interval between messages of a gateway.
 const TURN: u64 = 100;
 
-/// What fails, and for whom.
+/// The faults of a simulation.
 #[derive(Clone, Copy)]
 struct Load {
     gateways: usize,
     servers: usize,
     per_s: u64,
-    /// Servers that are dark for all from `from` to `until`.
+    /// Number of servers that are unreachable for all gateways from `from` to `until`.
     dark: usize,
     from: u64,
     until: u64,
-    /// Gateways that reach no server then.
+    /// Number of gateways that reach no server in that time.
     cut_off: usize,
-    /// Whether gateways tell each other.
+    /// Whether gateways exchange reports.
     is_told: bool,
 }
 
 #[derive(Default)]
 struct Played {
-    /// Tries at servers that were dark.
+    /// Connection attempts to unreachable servers.
     in_vain: usize,
-    /// Choices of gateways that are not cut off, and servers that were wrongly left out, summed over these.
+    /// Choices made by gateways that are not cut off, and the sum over these of the reachable servers that were
+    /// excluded.
     choices: usize,
     wrongly_out: usize,
-    /// Time after the end of the dark until the last of the servers has answered.
+    /// Time from the end of the outage until the last of the servers has answered.
     back_after: u64,
 }
 
-/// Words that come to all others at a time: who tells them, which server, and whether it has answered.
+/// A report in transit to all other gateways: arrival time, sender, server, and whether the server has answered.
 type Word = (u64, usize, u32, bool);
 
 fn play(load: Load, seed: u64) -> Played {
@@ -76,7 +77,7 @@
                 played.wrongly_out += out.iter().filter(|server| !is_dark(**server)).count();
             }
             let two = [rng.choice(&pool), rng.choice(&pool)];
-            // Nobody hears of work at a dark server: of two it looks the idler.
+            // No work on an unreachable server is reported, so of two candidates it looks less loaded.
             let Some(&server) = two.into_iter().flatten().min_by_key(|s| !is_dark(**s)) else {
                 continue;
             };
@@ -114,10 +115,10 @@
     is_told: true,
 };
 
-/// A rack of 54 servers goes dark before 103 gateways. Callers wait 0.25 s for each dark server that their request
-/// meets; a log showed 12,162 such tries in 4.3 s, as no gateway meets one server more than once in 18 s and so
-/// none leaves it out. With what each found out told to all, at most a quarter of the tries is made, and
-/// the servers have work again three seconds after they are back.
+/// Guards against gateways that each have to find out on their own that servers are unreachable: a rack of 54 servers
+/// loses power in front of 103 gateways, and no gateway uses the same server more than once in 18 s. With reports, at
+/// most a quarter of the connection attempts to these servers is made, and all of them answer requests within five
+/// seconds after the outage.
 #[test]
 fn dark_servers_are_left_by_all_gateways() {
     for seed in 0..3 {
@@ -129,7 +130,7 @@
     }
 }
 
-/// A small fleet: two gateways are enough to find it out.
+/// In a small fleet, reports of two gateways are enough to exclude a server.
 #[test]
 fn two_gateways_are_enough() {
     let small = Load { gateways: 3, servers: 12, per_s: 60, dark: 4, ..RACK };
@@ -140,8 +141,8 @@
     }
 }
 
-/// A third of the gateways is cut off from all servers, and tells the others that it cannot reach them. The servers
-/// answer everybody else: of what the others could choose from, one in fifty at most is left out.
+/// Guards against false reports: a third of the gateways is cut off from all servers and reports them. The servers
+/// answer all other gateways, so that at most one in fifty is excluded there.
 #[test]
 fn gateways_that_are_cut_off_put_no_good_server_out() {
     for seed in 0..3 {
--- a/core/tests/urgency.rs
+++ b/core/tests/urgency.rs
@@ -1,11 +1,11 @@
-//! How long prompts wait at a server that reads them by rank.
+//! Wait of prompts at a server that reads them by rank.
 
 use redwingfold_core::{Priority, UrgencyPolicy};
 
-/// Tokens that the server reads in a millisecond: the largest model of a common engine.
+/// Tokens that the server reads per millisecond with the largest model of a common engine.
 const TOKENS_PER_MS: f64 = 28.0;
 
-/// Tokens that are read at a time; a prompt that comes meanwhile waits for their end.
+/// Tokens read at a time; a prompt that arrives in the meantime waits.
 const CHUNK: u64 = 1_024;
 
 #[derive(Clone, Copy)]
@@ -14,11 +14,11 @@
     tokens: u64,
     left: u64,
     rank: Priority,
-    /// Time until it was read.
+    /// Time from arrival until it was read.
     waited: Option<f64>,
 }
 
-/// Draws a minute of prompts: four in five are short, the others up to fifty thousand tokens.
+/// Returns one minute of random prompts: four in five are short, the others have up to fifty thousand tokens.
 fn minute(load: f64, seed: u64) -> Vec<Prompt> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let draw = |rng: &mut fastrand::Rng| match rng.f64() {
@@ -36,7 +36,7 @@
     prompts
 }
 
-/// Reads the prompts chunk by chunk, the smallest rank first and within it the earliest.
+/// Reads the prompts in chunks, lowest rank first and in order of arrival within a rank.
 fn read(mut prompts: Vec<Prompt>) -> Vec<Prompt> {
     let mut now = 0.0;
     loop {
@@ -66,10 +66,10 @@
     waits[(waits.len() as f64 * quantile) as usize]
 }
 
-/// Load pattern: a server at 0.75 of what it can read, four short prompts to each long one, and
-/// gateways that know nothing of each other's. In the order of arrival one short prompt in ten waits for
-/// most of a second. Ranked, 99 in 100 wait for less than a quarter of one. The long ones pay: of them
-/// one in ten takes up to two and a half times as long as before.
+/// Load pattern: a server at 75% of its prefill capacity gets four short prompts for each long one, from gateways
+/// without data on the prompts of the others. In order of arrival, one short prompt in ten waits for most of a second.
+/// Ranked, 99 in 100 wait for less than a quarter of a second, while one long prompt in ten takes up to 2.5 times as
+/// long as before.
 #[test]
 fn short_prompts_do_not_wait_for_long_ones() {
     let policy = UrgencyPolicy::default();
@@ -90,7 +90,7 @@
     }
 }
 
-/// However the ranks fall, all prompts are read: none of a minute is still waiting at the end.
+/// Guards against starvation: all prompts of a minute are read in the end, whatever their ranks.
 #[test]
 fn nothing_starves() {
     let policy = UrgencyPolicy::default();
