--- a/core/tests/cold.rs
+++ b/core/tests/cold.rs
@@ -3,7 +3,7 @@
 mod turn_fleet;
 
 use redwingfold_core::{ColdLimit, ColdPolicy, Millis};
-use turn_fleet::{Belief, Load, Way, worst};
+use turn_fleet::{Fault, Load, Sharing, worst};
 
 /// What a cold server can take.
 const LIMIT: ColdLimit = ColdLimit { duration: Millis(3_000), requests_per_s: 12.0 };
@@ -42,17 +42,19 @@
 #[test]
 fn herd_does_not_end_cold_servers() {
     for gateways in [3, 27, 103] {
-        for belief in [Belief::Right, Belief::Half, Belief::Anew, Belief::Clocks, Belief::Dead] {
+        for fault in
+            [Fault::None, Fault::HalfKnown, Fault::Restarted, Fault::ClockSkew, Fault::DeadGateways]
+        {
             let seeds = if gateways > 100 { 1 } else { SEEDS };
-            let played = worst(Way::Turns, belief, third_cold(gateways), seeds);
+            let played = worst(Sharing::Turns, fault, third_cold(gateways), seeds);
             assert!(
                 played.most <= max_per_second(),
-                "{gateways} gateways, {belief:?}: {}",
+                "{gateways} gateways, {fault:?}: {}",
                 played.most
             );
         }
     }
-    let played = worst(Way::Turns, Belief::Half, third_cold(330), 1);
+    let played = worst(Sharing::Turns, Fault::HalfKnown, third_cold(330), 1);
     assert!(played.most <= max_per_second(), "330 gateways: {}", played.most);
 }
 
@@ -63,7 +65,7 @@
     for gateways in [27, 103] {
         let base = third_cold(gateways);
         let load = Load { per_s: base.per_s / 2.0, burst_at: Some(2_000), ..base };
-        let played = worst(Way::Turns, Belief::Right, load, 2);
+        let played = worst(Sharing::Turns, Fault::None, load, 2);
         assert!(played.most <= max_per_second(), "{gateways} gateways: {}", played.most);
     }
 }
@@ -73,12 +75,12 @@
 #[test]
 fn cold_servers_alone_bear_the_press() {
     for gateways in [3, 27, 103] {
-        for belief in [Belief::Right, Belief::Half, Belief::Anew] {
+        for fault in [Fault::None, Fault::HalfKnown, Fault::Restarted] {
             let load = Load { warm: 0, ..third_cold(gateways) };
-            let played = worst(Way::Turns, belief, load, 3);
+            let played = worst(Sharing::Turns, fault, load, 3);
             assert!(
                 played.most <= max_per_second(),
-                "{gateways} gateways, {belief:?}: {}",
+                "{gateways} gateways, {fault:?}: {}",
                 played.most
             );
         }
@@ -92,7 +94,7 @@
     for gateways in [3, 27, 103] {
         let base = third_cold(gateways);
         let load = Load { per_s: base.per_s * 1.5, ..base };
-        let played = worst(Way::Turns, Belief::Right, load, 3);
+        let played = worst(Sharing::Turns, Fault::None, load, 3);
         let rate = policy().rate(LIMIT).per_second();
         assert!(
             played.mean >= 0.8 * rate * 0.8,
@@ -106,11 +108,11 @@
 /// that accumulate, servers get too much.
 #[test]
 fn herd_is_caught() {
-    let free = worst(Way::Free, Belief::Right, third_cold(27), 1);
+    let free = worst(Sharing::Unlimited, Fault::None, third_cold(27), 1);
     assert!(free.most > max_per_second(), "{}", free.most);
     let base = third_cold(103);
     let load = Load { per_s: base.per_s / 2.0, burst_at: Some(2_000), ..base };
-    let saved = worst(Way::Saved, Belief::Right, load, 3);
+    let saved = worst(Sharing::TokenBucket, Fault::None, load, 3);
     assert!(saved.most > max_per_second(), "{}", saved.most);
 }
 
@@ -118,20 +120,24 @@
 #[test]
 fn ways_are_compared() {
     for gateways in [3, 27] {
-        for way in [Way::Turns, Way::Saved, Way::Owner, Way::Slots] {
+        for sharing in [Sharing::Turns, Sharing::TokenBucket, Sharing::Owner, Sharing::TimeSlots] {
             let cells = [
-                Belief::Right,
-                Belief::Half,
-                Belief::Anew,
-                Belief::Clocks,
-                Belief::Late,
-                Belief::Dead,
+                Fault::None,
+                Fault::HalfKnown,
+                Fault::Restarted,
+                Fault::ClockSkew,
+                Fault::LateRecords,
+                Fault::DeadGateways,
             ];
-            let cells = cells.map(|belief| {
-                let played = worst(way, belief, third_cold(gateways), SEEDS);
+            let cells = cells.map(|fault| {
+                let played = worst(sharing, fault, third_cold(gateways), SEEDS);
                 format!("{:>3} {:>4.1} {:>4.1}", played.most, played.mean, played.least)
             });
-            println!("{gateways:>3} {way:>6} {}", cells.join("  "), way = format!("{way:?}"));
+            println!(
+                "{gateways:>3} {sharing:>6} {}",
+                cells.join("  "),
+                sharing = format!("{sharing:?}")
+            );
         }
     }
 }
--- a/core/tests/quarantine.rs
+++ b/core/tests/quarantine.rs
@@ -2,35 +2,35 @@
 
 mod quarantine_fleet;
 
-use quarantine_fleet::{Load, Played, play};
+use quarantine_fleet::{Load, Outcome, simulate};
 use redwingfold_core::{
     Admission, BackendId, EndedRun, Fingerprint, Mark, MarkChange, Millis, Quarantine,
     QuarantinePolicy,
 };
 
 /// Maximum number of sends of a poison request once all gateways must have its marks.
-const MAX_LATER: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 
-const CALM: Load = Load {
+const BASE: Load = Load {
     gateways: 3,
     servers: 12,
-    deadly_every: 0,
-    deadly_at_once: 1,
+    poison_every: 0,
+    poison_at_once: 1,
     popular_every: 100,
     single_every: 20,
-    loss: 0.02,
+    message_loss: 0.02,
     restart_every: 0,
     restart_all_every: 0,
-    store_away: Vec::new(),
+    store_outages: Vec::new(),
     restores: Vec::new(),
-    own_ends: None,
+    unrelated_ends: None,
     until: 60_000,
 };
 
-fn seeds(load: &Load, seeds: u64, holds: impl Fn(&Played) -> bool) {
+fn assert_for_seeds(load: &Load, seeds: u64, holds: impl Fn(&Outcome) -> bool) {
     for seed in 0..seeds {
-        let played = play(load.clone(), seed);
-        assert!(holds(&played), "seed {seed}: {load:?}: {played:?}");
+        let outcome = simulate(load.clone(), seed);
+        assert!(holds(&outcome), "seed {seed}: {load:?}: {outcome:?}");
     }
 }
 
@@ -42,11 +42,18 @@
     for (gateways, servers, until, n) in
         [(3, 12, 60_000, 6), (24, 50, 60_000, 3), (103, 180, 30_000, 2), (330, 400, 15_000, 1)]
     {
-        for (deadly_every, deadly_at_once) in [(200, 1), (2_000, 1), (20_000, 1), (5_000, 40)] {
-            for loss in [0.02, 1.0] {
-                let load =
-                    Load { gateways, servers, deadly_every, deadly_at_once, loss, until, ..CALM };
-                seeds(&load, n, |played| played.deadly_later <= MAX_LATER);
+        for (poison_every, poison_at_once) in [(200, 1), (2_000, 1), (20_000, 1), (5_000, 40)] {
+            for message_loss in [0.02, 1.0] {
+                let load = Load {
+                    gateways,
+                    servers,
+                    poison_every,
+                    poison_at_once,
+                    message_loss,
+                    until,
+                    ..BASE
+                };
+                assert_for_seeds(&load, n, |outcome| outcome.poison_late_sends <= MAX_LATE_SENDS);
             }
         }
     }
@@ -57,36 +64,37 @@
 #[test]
 fn deadly_request_stays_known_while_gateways_start_anew() {
     for (restart_every, restart_all_every) in [(1_500, 0), (0, 7_000), (1_500, 7_000)] {
-        for (deadly_every, loss) in [(200, 0.02), (4_000, 1.0), (10_000, 0.02)] {
-            let load = Load { deadly_every, restart_every, restart_all_every, loss, ..CALM };
-            seeds(&load, 20, |played| played.deadly_later <= MAX_LATER);
+        for (poison_every, message_loss) in [(200, 0.02), (4_000, 1.0), (10_000, 0.02)] {
+            let load =
+                Load { poison_every, restart_every, restart_all_every, message_loss, ..BASE };
+            assert_for_seeds(&load, 20, |outcome| outcome.poison_late_sends <= MAX_LATE_SENDS);
         }
     }
 }
 
 /// Guards against marks that are lost while the store is unavailable, for a moment, for ten seconds, or twice. Marks
-/// made in an outage are written within `CONTACT` after it.
+/// made in an outage are written within `CONTACT_MS` after it.
 #[test]
 fn deadly_request_is_known_once_the_store_is_back() {
-    for store_away in
+    for store_outages in
         [vec![(0, 9_000)], vec![(5_000, 6_000), (9_000, 20_000)], vec![(2_000, 4_000)]]
     {
-        for (gateways, deadly_every) in [(3, 200), (3, 3_000), (24, 500)] {
-            let store_away = store_away.clone();
-            let load = Load { gateways, servers: 40, deadly_every, store_away, ..CALM };
-            seeds(&load, 10, |played| played.deadly_later <= MAX_LATER);
+        for (gateways, poison_every) in [(3, 200), (3, 3_000), (24, 500)] {
+            let store_outages = store_outages.clone();
+            let load = Load { gateways, servers: 40, poison_every, store_outages, ..BASE };
+            assert_for_seeds(&load, 10, |outcome| outcome.poison_late_sends <= MAX_LATE_SENDS);
         }
     }
 }
 
 /// Guards against marks that are lost in restores of the store from copies that lack the last seconds, also in series.
-/// They are written again within `CONTACT`, so that restarted gateways read them.
+/// They are written again within `CONTACT_MS`, so that restarted gateways read them.
 #[test]
 fn deadly_request_stays_known_while_the_store_comes_back_from_copies() {
     for (gateways, servers, until, n) in
         [(3, 12, 60_000, 20), (24, 50, 60_000, 10), (103, 180, 30_000, 3), (330, 400, 20_000, 1)]
     {
-        for (deadly_every, restart_all_every, loss) in
+        for (poison_every, restart_all_every, message_loss) in
             [(200, 0, 0.02), (3_000, 7_000, 0.02), (4_000, 0, 1.0), (1_000, 9_000, 0.3)]
         {
             for restores in
@@ -95,14 +103,14 @@
                 let load = Load {
                     gateways,
                     servers,
-                    deadly_every,
+                    poison_every,
                     restart_all_every,
-                    loss,
+                    message_loss,
                     restores,
                     until,
-                    ..CALM
+                    ..BASE
                 };
-                seeds(&load, n, |played| played.deadly_later <= MAX_LATER);
+                assert_for_seeds(&load, n, |outcome| outcome.poison_late_sends <= MAX_LATE_SENDS);
             }
         }
     }
@@ -113,18 +121,20 @@
 #[test]
 fn popular_request_beside_a_deadly_one_goes_on_being_served() {
     for (gateways, servers) in [(3, 12), (24, 50), (103, 180)] {
-        for (deadly_every, deadly_at_once) in [(200, 1), (2_000, 10)] {
+        for (poison_every, poison_at_once) in [(200, 1), (2_000, 10)] {
             for popular_every in [20, 100, 700] {
                 let load = Load {
                     gateways,
                     servers,
-                    deadly_every,
-                    deadly_at_once,
+                    poison_every,
+                    poison_at_once,
                     popular_every,
                     until: 20_000,
-                    ..CALM
+                    ..BASE
                 };
-                seeds(&load, 4, |played| played.popular_refused == 0 && played.single_refused == 0);
+                assert_for_seeds(&load, 4, |outcome| {
+                    outcome.popular_refused == 0 && outcome.single_refused == 0
+                });
             }
         }
     }
@@ -134,17 +144,19 @@
 /// seconds, or all every ten.
 #[test]
 fn requests_on_servers_that_end_by_themselves_go_on_being_served() {
-    for own_ends in [(2_000, 0.33), (10_000, 1.0), (500, 0.1)] {
+    for unrelated_ends in [(2_000, 0.33), (10_000, 1.0), (500, 0.1)] {
         for (gateways, popular_every) in [(3, 20), (3, 300), (24, 50), (103, 100)] {
             let load = Load {
                 gateways,
                 servers: gateways * 2,
                 popular_every,
-                own_ends: Some(own_ends),
+                unrelated_ends: Some(unrelated_ends),
                 until: 30_000,
-                ..CALM
+                ..BASE
             };
-            seeds(&load, 4, |played| played.popular_refused == 0 && played.single_refused == 0);
+            assert_for_seeds(&load, 4, |outcome| {
+                outcome.popular_refused == 0 && outcome.single_refused == 0
+            });
         }
     }
 }
--- a/core/tests/quarantine_fleet/mod.rs
+++ b/core/tests/quarantine_fleet/mod.rs
@@ -5,26 +5,26 @@
     Fingerprint, Mark, MarkChange, Millis, Quarantine, QuarantinePolicy,
 };
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 /// Time after which a change at one gateway must have reached all that can call the store.
-pub const CONTACT: u64 = 3_000;
+pub const CONTACT_MS: u64 = 3_000;
 /// Interval between reads of the store.
-const PERIOD: u64 = 600;
+const READ_INTERVAL_MS: u64 = 600;
 /// Pause after a round of calls to the store.
-const REST: u64 = 600;
+const CALL_PAUSE_MS: u64 = 600;
 /// Delay of a message.
-const ON_THE_WAY: u64 = 20;
+const MESSAGE_DELAY_MS: u64 = 20;
 /// Time until a server that ended is replaced by another incarnation.
-const BACK_AFTER: u64 = 3_000;
+const REPLACEMENT_DELAY_MS: u64 = 3_000;
 /// Time from the end of a server until a gateway has probed it.
-const LOOK: u64 = 10;
+const PROBE_DELAY_MS: u64 = 10;
 /// Bits of a position that hold the offset; the bits above hold the era.
 const OFFSET_BITS: u32 = 44;
 const MAX_SENDS: u32 = 3;
-const MAX_TOLD: usize = 24;
+const MAX_SENT_CHANGES: usize = 24;
 
 /// The poison request: each server that runs it ends.
-pub const DEADLY: Fingerprint = Fingerprint(1);
+pub const POISON: Fingerprint = Fingerprint(1);
 /// A request that many callers send.
 pub const POPULAR: Fingerprint = Fingerprint(2);
 
@@ -34,32 +34,32 @@
     pub gateways: usize,
     pub servers: usize,
     /// Interval between arrivals of the poison request, and how many arrive at once, at random gateways.
-    pub deadly_every: u64,
-    pub deadly_at_once: usize,
+    pub poison_every: u64,
+    pub poison_at_once: usize,
     /// Interval between popular requests, and between requests that are sent once.
     pub popular_every: u64,
     pub single_every: u64,
     /// Share of the messages between gateways that are lost.
-    pub loss: f64,
+    pub message_loss: f64,
     /// Interval between restarts of a random gateway, and of all.
     pub restart_every: u64,
     pub restart_all_every: u64,
     /// Outages of the store: start and end.
-    pub store_away: Vec<(u64, u64)>,
+    pub store_outages: Vec<(u64, u64)>,
     /// Times of restores of the store, and the age of the copies.
     pub restores: Vec<(u64, u64)>,
     /// Interval between unrelated ends of servers, and the share of the servers that end.
-    pub own_ends: Option<(u64, f64)>,
+    pub unrelated_ends: Option<(u64, f64)>,
     pub until: u64,
 }
 
 /// Results of a simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
-    /// Sends of the poison request by gateways that can reach the store, later than `CONTACT` after the third end.
-    pub deadly_later: usize,
-    pub deadly_ends: usize,
-    pub deadly_refused: usize,
+pub struct Outcome {
+    /// Sends of the poison request by gateways that can reach the store, later than `CONTACT_MS` after the third end.
+    pub poison_late_sends: usize,
+    pub poison_ends: usize,
+    pub poison_refused: usize,
     pub popular_sent: usize,
     pub popular_refused: usize,
     /// The longest time in which all popular requests were refused.
@@ -75,10 +75,10 @@
     quarantine: Quarantine,
     view: FeedView,
     past: FeedHistory<MarkChange>,
-    up_since: u64,
+    started_at: u64,
     /// Time of the next possible call to the store, and end of the pause that applies unless something is urgent.
-    not_before: u64,
-    rests_until: u64,
+    next_call_at: u64,
+    paused_until: u64,
     claims: Vec<(Flight, u8)>,
 }
 
@@ -86,7 +86,7 @@
 struct Flight {
     gateway: usize,
     /// Start time of the gateway.
-    since: u64,
+    gateway_started_at: u64,
     request: Fingerprint,
     sends: u32,
     is_trial: bool,
@@ -105,7 +105,7 @@
     back_at: u64,
 }
 
-struct Told {
+struct Message {
     at: u64,
     to: usize,
     from: u64,
@@ -114,13 +114,13 @@
     changes: Vec<MarkChange>,
 }
 
-pub struct World {
+pub struct Simulation {
     load: Load,
     rng: fastrand::Rng,
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
     runs: Vec<Run>,
-    told: Vec<Told>,
+    messages: Vec<Message>,
     /// Broken runs, and the times when the end of their server is detected.
     broken: Vec<(u64, Run, BackendId)>,
     /// Time when each mark was made, time when it was written, and the mark.
@@ -129,86 +129,89 @@
     third_end: Option<u64>,
     popular_served_at: u64,
     next_single: u64,
-    pub played: Played,
+    pub outcome: Outcome,
 }
 
 fn gateway(now: u64, fleet: usize) -> Gateway {
-    let mut view = FeedView::new(Millis(PERIOD));
+    let mut view = FeedView::new(Millis(READ_INTERVAL_MS));
     view.set_fleet_size(fleet);
     Gateway {
         quarantine: Quarantine::new(QuarantinePolicy::default()),
         view,
-        past: FeedHistory::new(MAX_TOLD),
-        up_since: now,
-        not_before: now,
-        rests_until: now,
+        past: FeedHistory::new(MAX_SENT_CHANGES),
+        started_at: now,
+        next_call_at: now,
+        paused_until: now,
         claims: Vec::new(),
     }
 }
 
 /// Runs a simulation.
-pub fn play(load: Load, seed: u64) -> Played {
-    let mut world = World {
+pub fn simulate(load: Load, seed: u64) -> Outcome {
+    let mut simulation = Simulation {
         gateways: (0..load.gateways).map(|_| gateway(0, load.gateways)).collect(),
         servers: (0..load.servers).map(|_| Server { incarnation: 0, back_at: 0 }).collect(),
         rng: fastrand::Rng::with_seed(seed),
         runs: Vec::new(),
-        told: Vec::new(),
+        messages: Vec::new(),
         broken: Vec::new(),
         log: Vec::new(),
         era: 0,
         third_end: None,
         popular_served_at: 0,
         next_single: 1_000,
-        played: Played::default(),
+        outcome: Outcome::default(),
         load,
     };
-    for now in (0..world.load.until).step_by(STEP as usize) {
-        world.step(now);
+    for now in (0..simulation.load.until).step_by(STEP_MS as usize) {
+        simulation.step(now);
     }
-    let mut there: Vec<_> = world.log.iter().map(|(.., c)| (c.request, &c.mark)).collect();
-    there.sort();
-    there.dedup();
-    let is_there = |key: &(Fingerprint, &Mark)| {
-        let newest = world.log.iter().rev().find(|(.., c)| (c.request, &c.mark) == *key);
+    let mut keys: Vec<_> = simulation.log.iter().map(|(.., c)| (c.request, &c.mark)).collect();
+    keys.sort();
+    keys.dedup();
+    let is_present = |key: &(Fingerprint, &Mark)| {
+        let newest = simulation.log.iter().rev().find(|(.., c)| (c.request, &c.mark) == *key);
         newest.is_some_and(|(.., change)| change.age.is_some())
     };
-    world.played.marks = there.iter().filter(|key| is_there(key)).count();
-    world.played
+    simulation.outcome.marks = keys.iter().filter(|key| is_present(key)).count();
+    simulation.outcome
 }
 
-fn every(now: u64, span: u64) -> bool {
-    span > 0 && now > 0 && now % span < STEP
+fn recurs_at(now: u64, span: u64) -> bool {
+    span > 0 && now > 0 && now % span < STEP_MS
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self, now: u64) {
         self.restart(now);
         self.restore(now);
         self.end_servers(now);
         self.finish_runs(now);
-        self.learn(now);
-        self.hear(now);
-        self.come(now);
+        self.detect_ends(now);
+        self.deliver_messages(now);
+        self.add_arrivals(now);
         (0..self.gateways.len()).for_each(|g| self.call_store(g, now));
     }
 
     fn restart(&mut self, now: u64) {
         let fleet = self.gateways.len();
-        if every(now, self.load.restart_every) {
+        if recurs_at(now, self.load.restart_every) {
             let g = self.rng.usize(..fleet);
             self.gateways[g] = gateway(now, fleet);
         }
-        if every(now, self.load.restart_all_every) {
+        if recurs_at(now, self.load.restart_all_every) {
             (0..fleet).for_each(|g| self.gateways[g] = gateway(now, fleet));
         }
         let gateways = &self.gateways;
-        self.runs.retain(|run| gateways[run.flight.gateway].up_since == run.flight.since);
-        self.broken.retain(|(_, run, _)| gateways[run.flight.gateway].up_since == run.flight.since);
+        self.runs
+            .retain(|run| gateways[run.flight.gateway].started_at == run.flight.gateway_started_at);
+        self.broken.retain(|(_, run, _)| {
+            gateways[run.flight.gateway].started_at == run.flight.gateway_started_at
+        });
     }
 
     fn restore(&mut self, now: u64) {
-        let copy = self.load.restores.iter().find(|(at, _)| now >= *at && now < at + STEP);
+        let copy = self.load.restores.iter().find(|(at, _)| now >= *at && now < at + STEP_MS);
         if let Some((_, age)) = copy {
             let copied_at = now.saturating_sub(*age);
             self.log.retain(|(_, written_at, _)| *written_at <= copied_at);
@@ -217,25 +220,26 @@
     }
 
     fn is_store_away(&self, now: u64) -> bool {
-        self.load.store_away.iter().any(|(from, until)| (*from..*until).contains(&now))
+        self.load.store_outages.iter().any(|(from, until)| (*from..*until).contains(&now))
     }
 
     fn is_in_touch(&self, g: usize, now: u64) -> bool {
-        let since = now.saturating_sub(CONTACT);
-        let calm = self.load.store_away.iter().all(|(from, until)| now < *from || since >= *until)
-            && self.load.restores.iter().all(|(at, _)| now < *at || since >= *at);
-        calm && self.gateways[g].up_since <= since
+        let since = now.saturating_sub(CONTACT_MS);
+        let is_store_stable =
+            self.load.store_outages.iter().all(|(from, until)| now < *from || since >= *until)
+                && self.load.restores.iter().all(|(at, _)| now < *at || since >= *at);
+        is_store_stable && self.gateways[g].started_at <= since
     }
 
     /// Lets requests arrive.
-    fn come(&mut self, now: u64) {
-        if every(now, self.load.deadly_every) {
-            (0..self.load.deadly_at_once).for_each(|_| self.arrive(DEADLY, now));
+    fn add_arrivals(&mut self, now: u64) {
+        if recurs_at(now, self.load.poison_every) {
+            (0..self.load.poison_at_once).for_each(|_| self.arrive(POISON, now));
         }
-        if every(now, self.load.popular_every) {
+        if recurs_at(now, self.load.popular_every) {
             self.arrive(POPULAR, now);
         }
-        if every(now, self.load.single_every) {
+        if recurs_at(now, self.load.single_every) {
             self.next_single += 1;
             self.arrive(Fingerprint(self.next_single), now);
         }
@@ -243,8 +247,8 @@
 
     fn arrive(&mut self, request: Fingerprint, now: u64) {
         let gateway = self.rng.usize(..self.gateways.len());
-        let since = self.gateways[gateway].up_since;
-        let flight = Flight { gateway, since, request, sends: 0, is_trial: false };
+        let gateway_started_at = self.gateways[gateway].started_at;
+        let flight = Flight { gateway, gateway_started_at, request, sends: 0, is_trial: false };
         match self.gateways[gateway].quarantine.admission(request, Millis(now)) {
             Admission::Allowed => self.send(flight, now),
             Admission::Refused(_) => self.refuse(request, now),
@@ -258,13 +262,13 @@
 
     fn refuse(&mut self, request: Fingerprint, now: u64) {
         match request {
-            DEADLY => self.played.deadly_refused += 1,
+            POISON => self.outcome.poison_refused += 1,
             POPULAR => {
-                self.played.popular_refused += 1;
+                self.outcome.popular_refused += 1;
                 let gap = now - self.popular_served_at;
-                self.played.popular_gap = self.played.popular_gap.max(gap);
+                self.outcome.popular_gap = self.outcome.popular_gap.max(gap);
             }
-            _ => self.played.single_refused += 1,
+            _ => self.outcome.single_refused += 1,
         }
     }
 
@@ -277,30 +281,30 @@
         let server = up[self.rng.usize(..up.len())];
         flight.sends += 1;
         match flight.request {
-            DEADLY => {
-                let later = self.third_end.is_some_and(|at| now > at + CONTACT);
+            POISON => {
+                let later = self.third_end.is_some_and(|at| now > at + CONTACT_MS);
                 if later && self.is_in_touch(flight.gateway, now) {
-                    self.played.deadly_later += 1;
+                    self.outcome.poison_late_sends += 1;
                 }
             }
             POPULAR if flight.sends == 1 => {
-                self.played.popular_sent += 1;
+                self.outcome.popular_sent += 1;
                 self.popular_served_at = now;
             }
-            _ if flight.sends == 1 => self.played.single_sent += 1,
+            _ if flight.sends == 1 => self.outcome.single_sent += 1,
             _ => {}
         }
-        let lasts = match flight.request {
-            DEADLY => self.rng.u64(30..400),
+        let duration = match flight.request {
+            POISON => self.rng.u64(30..400),
             _ => self.rng.u64(50..1_500),
         };
-        self.runs.push(Run { flight, server, sent_at: now, ends_at: now + lasts });
+        self.runs.push(Run { flight, server, sent_at: now, ends_at: now + duration });
     }
 
     fn finish_runs(&mut self, now: u64) {
         let done: Vec<_> = self.runs.extract_if(.., |run| run.ends_at <= now).collect();
         let (deadly, good): (Vec<_>, Vec<_>) =
-            done.into_iter().partition(|run| run.flight.request == DEADLY);
+            done.into_iter().partition(|run| run.flight.request == POISON);
         for run in good {
             let gateway = &mut self.gateways[run.flight.gateway];
             gateway.quarantine.record_answer(run.flight.request, Millis(now));
@@ -308,37 +312,37 @@
         for run in deadly {
             let server = run.server;
             self.runs.push(run);
-            self.played.deadly_ends += 1;
-            if self.played.deadly_ends == 3 {
+            self.outcome.poison_ends += 1;
+            if self.outcome.poison_ends == 3 {
                 self.third_end = Some(now);
             }
-            self.end(server, now);
+            self.end_server(server, now);
         }
     }
 
     /// Ends a server, which breaks all its runs.
-    fn end(&mut self, server: usize, now: u64) {
+    fn end_server(&mut self, server: usize, now: u64) {
         let id = format!("s{server}-{}", self.servers[server].incarnation);
         self.servers[server].incarnation += 1;
-        self.servers[server].back_at = now + BACK_AFTER;
+        self.servers[server].back_at = now + REPLACEMENT_DELAY_MS;
         let broken: Vec<_> = self.runs.extract_if(.., |run| run.server == server).collect();
         let id = BackendId::from(id.as_str());
-        self.broken.extend(broken.into_iter().map(|run| (now + LOOK, run, id.clone())));
+        self.broken.extend(broken.into_iter().map(|run| (now + PROBE_DELAY_MS, run, id.clone())));
     }
 
     fn end_servers(&mut self, now: u64) {
-        let Some((span, part)) = self.load.own_ends else { return };
-        if every(now, span) {
+        let Some((span, part)) = self.load.unrelated_ends else { return };
+        if recurs_at(now, span) {
             for server in 0..self.servers.len() {
                 if self.servers[server].back_at <= now && self.rng.f64() < part {
-                    self.end(server, now);
+                    self.end_server(server, now);
                 }
             }
         }
     }
 
     /// Lets gateways detect ends and retry the broken runs.
-    fn learn(&mut self, now: u64) {
+    fn detect_ends(&mut self, now: u64) {
         let known: Vec<_> = self.broken.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, run, server) in known {
             let request = run.flight.request;
@@ -346,10 +350,10 @@
             let broken = EndedRun { request, sent_at: Millis(run.sent_at) };
             gateway.quarantine.record_end(&server, broken, Millis(now));
             let quarantine = &mut gateway.quarantine;
-            let may = !run.flight.is_trial && run.flight.sends < MAX_SENDS;
+            let may_resend = !run.flight.is_trial && run.flight.sends < MAX_SENDS;
             match quarantine.admission(request, Millis(now)) {
-                Admission::Allowed if may => self.send(run.flight, now),
-                Admission::Trial(number) if may => {
+                Admission::Allowed if may_resend => self.send(run.flight, now),
+                Admission::Trial(number) if may_resend => {
                     quarantine.record_claim(request, Millis(now));
                     self.gateways[run.flight.gateway].claims.push((run.flight, number));
                 }
@@ -358,16 +362,20 @@
         }
     }
 
-    fn hear(&mut self, now: u64) {
-        for told in self.told.extract_if(.., |told| told.at <= now).collect::<Vec<_>>() {
-            let gateway = &mut self.gateways[told.to];
+    fn deliver_messages(&mut self, now: u64) {
+        for message in self.messages.extract_if(.., |message| message.at <= now).collect::<Vec<_>>()
+        {
+            let gateway = &mut self.gateways[message.to];
             let from = gateway.view.next();
-            let message =
-                FeedUpdate { from: told.from, next: told.next, age: Millis(now - told.as_of) };
-            let heard = gateway.view.apply_update(message, Millis(now), self.rng.u64(..));
+            let update = FeedUpdate {
+                from: message.from,
+                next: message.next,
+                age: Millis(now - message.as_of),
+            };
+            let heard = gateway.view.apply_update(update, Millis(now), self.rng.u64(..));
             if let (FeedUpdateOutcome::Applies, Some(from)) = (heard, from) {
-                gateway.past.add(from, told.next, told.changes.clone());
-                gateway.quarantine.apply_changes(&told.changes, Millis(now));
+                gateway.past.add(from, message.next, message.changes.clone());
+                gateway.quarantine.apply_changes(&message.changes, Millis(now));
             }
         }
     }
@@ -377,14 +385,14 @@
         let is_write_due = gateway.quarantine.next_due_at().is_some_and(|at| at.0 <= now);
         let is_due = gateway.view.is_due(Millis(now)) || is_write_due;
         let is_urgent = gateway.quarantine.is_urgent() || !gateway.claims.is_empty();
-        let is_rested = gateway.rests_until <= now || is_urgent;
-        if gateway.not_before > now || !is_rested || (!is_due && gateway.claims.is_empty()) {
+        let is_pause_over = gateway.paused_until <= now || is_urgent;
+        if gateway.next_call_at > now || !is_pause_over || (!is_due && gateway.claims.is_empty()) {
             return;
         }
         let claims = std::mem::take(&mut self.gateways[g].claims);
-        self.played.calls += 1;
+        self.outcome.calls += 1;
         if self.is_store_away(now) {
-            self.gateways[g].not_before = now + self.rng.u64(700..1_600);
+            self.gateways[g].next_call_at = now + self.rng.u64(700..1_600);
             claims.iter().for_each(|(flight, _)| self.refuse(flight.request, now));
             return;
         }
@@ -404,11 +412,11 @@
         self.gateways[g].quarantine.confirm_written(&due);
         let is_due = self.gateways[g].view.is_due(Millis(now));
         if is_due || is_urgent {
-            self.played.calls += usize::from(!due.is_empty());
+            self.outcome.calls += usize::from(!due.is_empty());
             self.read(g, now);
         }
         self.gateways[g].quarantine.take_urgent();
-        self.gateways[g].rests_until = now + REST;
+        self.gateways[g].paused_until = now + CALL_PAUSE_MS;
     }
 
     fn append(&mut self, change: MarkChange, now: u64) {
@@ -441,10 +449,10 @@
         );
         let (from, changes) = gateway.past.recent_changes().unwrap_or((end, Vec::new()));
         for to in (0..self.gateways.len()).filter(|to| *to != g) {
-            if self.rng.f64() >= self.load.loss {
+            if self.rng.f64() >= self.load.message_loss {
                 let changes = changes.clone();
-                let at = now + ON_THE_WAY;
-                self.told.push(Told { at, to, from, next: end, as_of: now, changes });
+                let at = now + MESSAGE_DELAY_MS;
+                self.messages.push(Message { at, to, from, next: end, as_of: now, changes });
             }
         }
     }
--- a/core/tests/status.rs
+++ b/core/tests/status.rs
@@ -3,14 +3,14 @@
 use redwingfold_core::{Millis, Phase, RolloutStatuses, ServiceName, VersionName};
 
 /// Time when the first gateway detects the end of the rollout; the others do so up to a second later.
-const ENDS_AT: u64 = 5_000;
+const ENDS_AT_MS: u64 = 5_000;
 
 /// Interval between steps of a gateway, in milliseconds.
-const STEP: u64 = 300;
+const STEP_MS: u64 = 300;
 
 /// A gateway, with the statuses it has read.
 struct Gateway {
-    book: RolloutStatuses,
+    statuses: RolloutStatuses,
     /// Its own result of the rollout, and when it has it.
     end: (Phase, u64),
     /// A write in transit: arrival time, number of records that it is conditional on, and status.
@@ -22,21 +22,21 @@
 #[derive(Clone, Copy)]
 struct Faults {
     /// Share of answers of the store that are lost after the call took effect.
-    lost: f64,
+    lost_answers: f64,
     /// Share of messages between gateways that are lost.
-    unheard: f64,
+    lost_messages: f64,
     /// Freezes and restarts in the fleet per second.
-    stops: f64,
+    stops_per_s: f64,
     /// Share of gateways with a result that differs from that of the others.
-    dissent: f64,
+    differing_share: f64,
     /// Whether the store applies the condition of a write.
     is_conditional: bool,
 }
 
 /// Time from a read to the arrival of the write that follows it.
-const WRITE_TAKES: u64 = 40;
+const WRITE_DELAY_MS: u64 = 40;
 
-struct Played {
+struct Outcome {
     records: Vec<Option<Phase>>,
     calls: u64,
 }
@@ -45,22 +45,22 @@
     ("slips".into(), "v2".parse().expect("a version"))
 }
 
-fn play(n: usize, faults: Faults, seed: u64) -> Played {
+fn simulate(n: usize, faults: Faults, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (service, target) = names();
     let gateway = |rng: &mut fastrand::Rng| Gateway {
-        book: RolloutStatuses::default(),
+        statuses: RolloutStatuses::default(),
         end: (
-            if rng.f64() < faults.dissent { Phase::Done } else { Phase::RolledBack },
-            ENDS_AT + rng.u64(..1_000),
+            if rng.f64() < faults.differing_share { Phase::Done } else { Phase::RolledBack },
+            ENDS_AT_MS + rng.u64(..1_000),
         ),
         write: None,
         frozen_until: 0,
     };
     let mut gateways: Vec<_> = (0..n).map(|_| gateway(&mut rng)).collect();
-    let mut played = Played { records: Vec::new(), calls: 0 };
+    let mut outcome = Outcome { records: Vec::new(), calls: 0 };
     for ms in (0..20_000).step_by(10) {
-        if ms % 1_000 == 0 && rng.f64() < faults.stops {
+        if ms % 1_000 == 0 && rng.f64() < faults.stops_per_s {
             let g = rng.usize(..n);
             match rng.bool() {
                 true => gateways[g].frozen_until = ms + rng.u64(500..5_000),
@@ -68,84 +68,102 @@
             }
         }
         for gw in &mut gateways {
-            arrive(gw, &mut played, faults, ms, &mut rng);
+            apply_write(gw, &mut outcome, faults, ms, &mut rng);
         }
         for g in 0..n {
             // The steps of the gateways are not synchronized.
-            if !(ms + 10 * g as u64).is_multiple_of(STEP) || gateways[g].frozen_until > ms {
+            if !(ms + 10 * g as u64).is_multiple_of(STEP_MS) || gateways[g].frozen_until > ms {
                 continue;
             }
             let gw = &mut gateways[g];
             let phase = if ms >= gw.end.1 { gw.end.0 } else { Phase::Trial };
             // An end in the store takes precedence over the own result.
-            let phase = gw.book.outcome(&service, &target).unwrap_or(phase);
+            let phase = gw.statuses.outcome(&service, &target).unwrap_or(phase);
             let draw = rng.u64(..);
-            let due = gw.book.write_due_in(&service, &target, phase, n, Millis(ms), draw);
+            let due = gw.statuses.write_due_in(&service, &target, phase, n, Millis(ms), draw);
             if due == Some(Millis(0)) {
-                step(gw, &mut played, phase, faults, ms, &mut rng);
+                step(gw, &mut outcome, phase, faults, ms, &mut rng);
             }
-            tell(g, &mut gateways, faults, ms, &mut rng);
+            send_status(g, &mut gateways, faults, ms, &mut rng);
         }
     }
-    played
+    outcome
 }
 
 /// Reads the status, and sends a write if it is missing.
 fn step(
     gw: &mut Gateway,
-    played: &mut Played,
+    outcome: &mut Outcome,
     phase: Phase,
     faults: Faults,
     ms: u64,
     rng: &mut fastrand::Rng,
 ) {
     let (service, target) = names();
-    played.calls += 1;
-    if rng.f64() < faults.lost {
+    outcome.calls += 1;
+    if rng.f64() < faults.lost_answers {
         return;
     }
-    let at = played.records.len();
-    if let Some(last) = played.records.last() {
-        gw.book.record(&service, &target, *last);
+    let at = outcome.records.len();
+    if let Some(last) = outcome.records.last() {
+        gw.statuses.record(&service, &target, *last);
     }
-    if gw.book.is_unrecorded(&service, &target, phase) {
-        played.calls += 1;
-        gw.write = Some((ms + WRITE_TAKES, at, (phase >= Phase::Done).then_some(phase)));
+    if gw.statuses.is_unrecorded(&service, &target, phase) {
+        outcome.calls += 1;
+        gw.write = Some((ms + WRITE_DELAY_MS, at, (phase >= Phase::Done).then_some(phase)));
     }
 }
 
 /// Applies a write to the store; the answer may be lost.
-fn arrive(gw: &mut Gateway, played: &mut Played, faults: Faults, ms: u64, rng: &mut fastrand::Rng) {
+fn apply_write(
+    gw: &mut Gateway,
+    outcome: &mut Outcome,
+    faults: Faults,
+    ms: u64,
+    rng: &mut fastrand::Rng,
+) {
     let (service, target) = names();
-    let Some((_, at, word)) = gw.write.take_if(|(arrives, _, _)| *arrives <= ms) else { return };
-    if faults.is_conditional && played.records.len() != at {
+    let Some((_, at, status)) = gw.write.take_if(|(arrives, _, _)| *arrives <= ms) else { return };
+    if faults.is_conditional && outcome.records.len() != at {
         return;
     }
-    played.records.push(word);
-    if rng.f64() >= faults.lost {
-        gw.book.record(&service, &target, word);
+    outcome.records.push(status);
+    if rng.f64() >= faults.lost_answers {
+        gw.statuses.record(&service, &target, status);
     }
 }
 
 /// Sends the statuses in the store to the other gateways.
-fn tell(g: usize, gateways: &mut [Gateway], faults: Faults, ms: u64, rng: &mut fastrand::Rng) {
+fn send_status(
+    g: usize,
+    gateways: &mut [Gateway],
+    faults: Faults,
+    ms: u64,
+    rng: &mut fastrand::Rng,
+) {
     let (service, target) = names();
-    let teller = &gateways[g].book;
-    if teller.is_unrecorded(&service, &target, Phase::Trial) {
+    let sender = &gateways[g].statuses;
+    if sender.is_unrecorded(&service, &target, Phase::Trial) {
         return;
     }
-    let ended = teller.outcome(&service, &target);
+    let ended = sender.outcome(&service, &target);
     for other in gateways.iter_mut().filter(|other| other.frozen_until <= ms) {
-        let knows = other.book.outcome(&service, &target).is_some();
-        let is_news = ended.is_some() || other.book.is_unrecorded(&service, &target, Phase::Trial);
-        if !knows && is_news && rng.f64() >= faults.unheard {
-            other.book.record(&service, &target, ended);
+        let knows = other.statuses.outcome(&service, &target).is_some();
+        let is_new =
+            ended.is_some() || other.statuses.is_unrecorded(&service, &target, Phase::Trial);
+        if !knows && is_new && rng.f64() >= faults.lost_messages {
+            other.statuses.record(&service, &target, ended);
         }
     }
 }
 
-const FAULTS: Faults =
-    Faults { lost: 0.3, unheard: 0.5, stops: 0.8, dissent: 0.3, is_conditional: true };
+const FAULTS: Faults = Faults {
+    lost_answers: 0.3,
+    lost_messages: 0.5,
+    stops_per_s: 0.8,
+    differing_share: 0.3,
+    is_conditional: true,
+};
 
 /// Guards against a status with two ends, on the first of which the operator acts by stopping servers. Answers of the
 /// store and messages between gateways are lost, gateways freeze and restart, and some have a different result. The
@@ -154,7 +172,7 @@
 fn status_ends_once_and_for_good() {
     for n in [1, 3, 4, 28] {
         for seed in 0..60 {
-            let records = play(n, FAULTS, seed).records;
+            let records = simulate(n, FAULTS, seed).records;
             let ends: Vec<_> = records.iter().flatten().collect();
             assert_eq!(ends.len(), 1, "{n} {seed}: {records:?}");
             assert!(records.last().is_some_and(Option::is_some), "{n} {seed}: {records:?}");
@@ -167,7 +185,7 @@
 #[test]
 fn writes_without_a_condition_end_twice() {
     let unconditional = Faults { is_conditional: false, ..FAULTS };
-    let ends = |seed| play(28, unconditional, seed).records.iter().flatten().count();
+    let ends = |seed| simulate(28, unconditional, seed).records.iter().flatten().count();
     assert!((0..60).any(|seed| ends(seed) > 1));
 }
 
@@ -175,9 +193,15 @@
 /// statuses they would make 112 calls.
 #[test]
 fn few_gateways_write() {
-    let calm = Faults { lost: 0.0, unheard: 0.02, stops: 0.0, dissent: 0.0, is_conditional: true };
+    let calm = Faults {
+        lost_answers: 0.0,
+        lost_messages: 0.02,
+        stops_per_s: 0.0,
+        differing_share: 0.0,
+        is_conditional: true,
+    };
     for seed in 0..10 {
-        let calls = play(28, calm, seed).calls;
+        let calls = simulate(28, calm, seed).calls;
         assert!(calls <= 28, "{seed}: {calls}");
     }
 }
@@ -193,19 +217,19 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let (service, target) = names();
         let sees: Vec<_> = (0..GATEWAYS).map(|_| rng.u64(..30)).collect();
-        let mut books = vec![RolloutStatuses::default(); GATEWAYS];
+        let mut tables = vec![RolloutStatuses::default(); GATEWAYS];
         let mut writes: Vec<Option<u64>> = vec![None; GATEWAYS];
-        let (mut calls, mut told_at) = (0, None);
+        let (mut calls, mut sent_at) = (0, None);
         for ms in 0..400 {
             for g in 0..GATEWAYS {
-                if told_at.is_some_and(|at| ms >= at) && rng.f64() > 0.02 {
-                    books[g].record(&service, &target, Some(Phase::Done));
+                if sent_at.is_some_and(|at| ms >= at) && rng.f64() > 0.02 {
+                    tables[g].record(&service, &target, Some(Phase::Done));
                 }
                 if ms < sees[g] {
                     continue;
                 }
                 let now = Millis(ms);
-                let due = books[g].write_due_in(
+                let due = tables[g].write_due_in(
                     &service,
                     &target,
                     Phase::Done,
@@ -218,10 +242,10 @@
                     writes[g] = Some(ms + 2 * CALL_TAKES);
                 }
                 if writes[g] == Some(ms) {
-                    told_at.get_or_insert(ms + WORD_TAKES);
+                    sent_at.get_or_insert(ms + WORD_TAKES);
                 }
             }
         }
-        assert!(told_at.is_some() && calls <= 2 * GATEWAYS / 5, "{seed}: {calls} calls");
+        assert!(sent_at.is_some() && calls <= 2 * GATEWAYS / 5, "{seed}: {calls} calls");
     }
 }
--- a/core/tests/urgency.rs
+++ b/core/tests/urgency.rs
@@ -10,16 +10,16 @@
 
 #[derive(Clone, Copy)]
 struct Prompt {
-    came: f64,
+    arrived_at: f64,
     tokens: u64,
-    left: u64,
+    unread_tokens: u64,
     rank: Priority,
     /// Time from arrival until it was read.
     waited: Option<f64>,
 }
 
 /// Returns one minute of random prompts: four in five are short, the others have up to fifty thousand tokens.
-fn minute(load: f64, seed: u64) -> Vec<Prompt> {
+fn draw_prompts(load: f64, seed: u64) -> Vec<Prompt> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let draw = |rng: &mut fastrand::Rng| match rng.f64() {
         x if x < 0.8 => rng.u64(100..1_000),
@@ -31,7 +31,13 @@
     while at < 60_000.0 {
         at += -every * (1.0 - rng.f64()).ln();
         let tokens = draw(&mut rng);
-        prompts.push(Prompt { came: at, tokens, left: tokens, rank: Priority(1), waited: None });
+        prompts.push(Prompt {
+            arrived_at: at,
+            tokens,
+            unread_tokens: tokens,
+            rank: Priority(1),
+            waited: None,
+        });
     }
     prompts
 }
@@ -41,17 +47,18 @@
     let mut now = 0.0;
     loop {
         let waiting = || (0..prompts.len()).filter(|i| prompts[*i].waited.is_none());
-        let next = waiting().filter(|i| prompts[*i].came <= now).min_by_key(|i| prompts[*i].rank);
+        let next =
+            waiting().filter(|i| prompts[*i].arrived_at <= now).min_by_key(|i| prompts[*i].rank);
         match next.or_else(|| waiting().next()) {
             None => return prompts,
             Some(i) => {
                 let prompt = &mut prompts[i];
-                now = f64::max(now, prompt.came);
-                let chunk = prompt.left.min(CHUNK);
+                now = f64::max(now, prompt.arrived_at);
+                let chunk = prompt.unread_tokens.min(CHUNK);
                 now += chunk as f64 / TOKENS_PER_MS;
-                prompt.left -= chunk;
-                if prompt.left == 0 {
-                    prompt.waited = Some(now - prompt.came);
+                prompt.unread_tokens -= chunk;
+                if prompt.unread_tokens == 0 {
+                    prompt.waited = Some(now - prompt.arrived_at);
                 }
             }
         }
@@ -59,7 +66,7 @@
 }
 
 /// Returns a quantile of the waits of prompts with tokens in a range.
-fn wait(read: &[Prompt], tokens: std::ops::Range<u64>, quantile: f64) -> f64 {
+fn wait_quantile(read: &[Prompt], tokens: std::ops::Range<u64>, quantile: f64) -> f64 {
     let of_range = read.iter().filter(|p| tokens.contains(&p.tokens));
     let mut waits: Vec<f64> = of_range.filter_map(|p| p.waited).collect();
     waits.sort_by(f64::total_cmp);
@@ -74,18 +81,18 @@
 fn short_prompts_do_not_wait_for_long_ones() {
     let policy = UrgencyPolicy::default();
     for seed in 0..5 {
-        let prompts = minute(0.75, seed);
+        let prompts = draw_prompts(0.75, seed);
         let by_arrival = read(prompts.clone());
         let ranked = prompts
             .into_iter()
             .map(|p| Prompt { rank: policy.rank(p.tokens, Priority(1), false), ..p });
         let ranked = read(ranked.collect());
         let (short, long) = (0..1_000, 8_000..u64::MAX);
-        let before = wait(&by_arrival, short.clone(), 0.9);
-        let after = wait(&ranked, short, 0.99);
+        let before = wait_quantile(&by_arrival, short.clone(), 0.9);
+        let after = wait_quantile(&ranked, short, 0.99);
         assert!(before > 800.0 && after < 250.0, "{seed}: {before} -> {after}");
-        let before = wait(&by_arrival, long.clone(), 0.9);
-        let after = wait(&ranked, long, 0.9);
+        let before = wait_quantile(&by_arrival, long.clone(), 0.9);
+        let after = wait_quantile(&ranked, long, 0.9);
         assert!(after < before * 2.5, "{seed}: long {before} -> {after}");
     }
 }
@@ -94,7 +101,7 @@
 #[test]
 fn nothing_starves() {
     let policy = UrgencyPolicy::default();
-    let prompts = minute(0.95, 7)
+    let prompts = draw_prompts(0.95, 7)
         .into_iter()
         .map(|p| Prompt { rank: policy.rank(p.tokens, Priority(p.tokens as u8 % 3), false), ..p });
     let read = read(prompts.collect());
