--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -13,24 +13,24 @@
 use crate::wire::Load;
 
 /// Part of a new measurement in the smoothed time to the first token: one eighth.
-const SMOOTHING: u64 = 8;
+const FIRST_TOKEN_SMOOTHING: u64 = 8;
 
 /// What waits in the queue: the way to tell the request, and its version.
 #[derive(Debug)]
-struct Ticket {
-    tell: Sender<Result<Permit, ErrorKind>>,
+struct QueuedRequest {
+    result_tx: Sender<Result<Permit, ErrorKind>>,
     version: Option<VersionName>,
 }
 
 #[derive(Debug)]
 struct State {
-    queue: FairQueue<Ticket>,
+    queue: FairQueue<QueuedRequest>,
     running: u32,
     slots: u32,
-    reported: u32,
+    reported_busy: u32,
     versions: Vec<VersionName>,
-    first_token: Millis,
-    up: bool,
+    smoothed_first_token: Millis,
+    is_up: bool,
 }
 
 /// One backend server.
@@ -50,7 +50,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         self.backend.lock().running -= 1;
-        self.backend.pump();
+        self.backend.dispatch();
     }
 }
 
@@ -74,11 +74,11 @@
             queue: FairQueue::new(limits),
             running: 0,
             slots: settings.slots,
-            reported: 0,
+            reported_busy: 0,
             versions: Vec::new(),
-            first_token: Millis(20),
+            smoothed_first_token: Millis(20),
             // A plain service does not say how it is: it is up until calls fail.
-            up: settings.kind == BackendKind::Service,
+            is_up: settings.kind == BackendKind::Service,
         };
         Self { settings, clock, state: Mutex::new(state) }
     }
@@ -88,20 +88,20 @@
     }
 
     /// Takes an engine's report.
-    pub(crate) fn report(&self, load: EngineLoad) {
+    pub(crate) fn record_engine_load(&self, load: EngineLoad) {
         let mut state = self.lock();
-        state.reported = load.running + load.waiting;
+        state.reported_busy = load.running + load.waiting;
         state.slots = load.slots.min(self.settings.slots).max(1);
         state.versions = load.versions;
-        state.up = true;
+        state.is_up = true;
     }
 
     /// Notes that an engine did not report.
-    pub(crate) fn down(&self) {
-        self.lock().up = false;
+    pub(crate) fn mark_down(&self) {
+        self.lock().is_up = false;
     }
 
-    pub(crate) fn has(&self, version: &VersionName) -> bool {
+    pub(crate) fn has_version(&self, version: &VersionName) -> bool {
         self.lock().versions.contains(version)
     }
 
@@ -110,17 +110,19 @@
     }
 
     /// Notes how long a request that did not wait took to its first byte.
-    pub(crate) fn note_first_token(&self, took: Millis) {
+    pub(crate) fn record_first_token_time(&self, elapsed: Millis) {
         let mut state = self.lock();
-        let old = state.first_token.0;
-        state.first_token = Millis((old * (SMOOTHING - 1) + took.0).div_ceil(SMOOTHING));
+        let previous = state.smoothed_first_token.0;
+        state.smoothed_first_token = Millis(
+            (previous * (FIRST_TOKEN_SMOOTHING - 1) + elapsed.0).div_ceil(FIRST_TOKEN_SMOOTHING),
+        );
     }
 
     /// Returns the load as entries are told it: what this side sent itself is known at once, the
     /// engine's own report counts where it is higher.
     pub(crate) fn load(&self) -> Load {
         let state = self.lock();
-        let own = state.running + state.queue.len() as u32;
+        let own_busy = state.running + state.queue.len() as u32;
         Load {
             backend: self.settings.name.clone(),
             service: match self.settings.kind {
@@ -129,9 +131,9 @@
             },
             versions: state.versions.clone(),
             slots: state.slots,
-            busy: own.max(state.reported),
-            first_token: state.first_token,
-            up: state.up,
+            busy: own_busy.max(state.reported_busy),
+            first_token: state.smoothed_first_token,
+            up: state.is_up,
         }
     }
 
@@ -141,27 +143,31 @@
     ///
     /// [`ErrorKind::Overloaded`] at once if the queue is full or the deadline cannot be met, and
     /// whatever happened to the request while it waited.
-    pub(crate) async fn admit(self: &Arc<Self>, ask: Admission) -> Result<Permit, ErrorKind> {
+    pub(crate) async fn admit(self: &Arc<Self>, request: Admission) -> Result<Permit, ErrorKind> {
         let (tx, rx) = bounded(1);
-        let ticket = Ticket { tell: tx, version: ask.version };
+        let queued = QueuedRequest { result_tx: tx, version: request.version };
         {
             let mut state = self.lock();
-            let rounds = state.queue.len() as u64 / u64::from(state.slots.max(1));
-            let begins = self.clock.now().after(Millis(rounds * state.first_token.0));
-            if begins > ask.deadline {
+            let rounds_ahead = state.queue.len() as u64 / u64::from(state.slots.max(1));
+            let estimated_start =
+                self.clock.now().after(Millis(rounds_ahead * state.smoothed_first_token.0));
+            if estimated_start > request.deadline {
                 return Err(ErrorKind::Overloaded);
             }
             let waiting = Waiting {
-                item: ticket,
-                customer: ask.customer,
-                work: ask.work,
-                deadline: ask.deadline,
+                item: queued,
+                customer: request.customer,
+                work: request.work,
+                deadline: request.deadline,
             };
-            state.queue.push(waiting, ask.weight, ask.priority).map_err(|(_, kind)| kind)?;
+            state
+                .queue
+                .push(waiting, request.weight, request.priority)
+                .map_err(|(_, kind)| kind)?;
         }
-        self.pump();
-        let left = ask.deadline.since(self.clock.now());
-        match crate::clock::within(left, rx.recv()).await {
+        self.dispatch();
+        let remaining = request.deadline.since(self.clock.now());
+        match crate::clock::within(remaining, rx.recv()).await {
             Some(Ok(outcome)) => outcome,
             Some(Err(_)) => Err(ErrorKind::Stopping),
             None => Err(ErrorKind::DeadlinePassed),
@@ -170,34 +176,35 @@
 
     /// Gives free slots to those who wait. Permits are sent without the lock: one whose receiver
     /// has gone is dropped here, and dropping it takes the lock.
-    fn pump(self: &Arc<Self>) {
+    fn dispatch(self: &Arc<Self>) {
         let now = self.clock.now();
         loop {
-            let mut late = Vec::new();
+            let mut expired = Vec::new();
             let next = {
                 let mut state = self.lock();
                 let next = match state.running < state.slots {
-                    true => state.queue.pop(now, &mut late),
+                    true => state.queue.pop(now, &mut expired),
                     false => None,
                 };
                 state.running += u32::from(next.is_some());
                 next
             };
-            for ticket in late {
-                ticket.item.tell.try_send(Err(ErrorKind::DeadlinePassed)).ok();
+            for queued in expired {
+                queued.item.result_tx.try_send(Err(ErrorKind::DeadlinePassed)).ok();
             }
-            let Some(ticket) = next else { return };
+            let Some(queued) = next else { return };
             let permit = Permit { backend: self.clone() };
-            ticket.item.tell.try_send(Ok(permit)).ok();
+            queued.item.result_tx.try_send(Ok(permit)).ok();
         }
     }
 
     /// Refuses those who wait for a version that is withdrawn.
-    pub(crate) fn refuse_if(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
-        let refused = |t: &Ticket| t.version.as_ref().is_some_and(&is_withdrawn);
-        let taken = self.lock().queue.take_if(|waiting| refused(&waiting.item));
-        for waiting in taken {
-            waiting.item.tell.try_send(Err(ErrorKind::Withdrawn)).ok();
+    pub(crate) fn reject_queued(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
+        let waits_for_withdrawn =
+            |queued: &QueuedRequest| queued.version.as_ref().is_some_and(&is_withdrawn);
+        let rejected = self.lock().queue.take_if(|waiting| waits_for_withdrawn(&waiting.item));
+        for waiting in rejected {
+            waiting.item.result_tx.try_send(Err(ErrorKind::Withdrawn)).ok();
         }
     }
 }
--- a/src/side/context.rs
+++ b/src/side/context.rs
@@ -13,7 +13,7 @@
 use crate::settings::SideSettings;
 
 /// Memory for the answers of calls that may not be repeated.
-const MAX_CALL_BODIES: usize = 64 * 1024 * 1024;
+const MAX_CALL_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// What the parts of a side share.
 #[derive(Debug)]
@@ -25,15 +25,15 @@
     pub(crate) calls: Mutex<CallTable>,
     pub(crate) bills: BillBox,
     pub(crate) report_budget: Mutex<ByteBudget>,
-    leaving: AtomicBool,
-    running: AtomicUsize,
+    is_leaving: AtomicBool,
+    running_count: AtomicUsize,
     links: Mutex<Vec<Weak<Link>>>,
 }
 
 /// Counts a run until it is dropped.
-pub(crate) struct Running<'a>(&'a AtomicUsize);
+pub(crate) struct RunGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Running<'_> {
+impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -45,21 +45,26 @@
         let limits = &settings.queue;
         Self {
             backends: backends
-                .map(|b| (b.name.clone(), Arc::new(Backend::new(b.clone(), limits, daemon.clock))))
+                .map(|backend| {
+                    (
+                        backend.name.clone(),
+                        Arc::new(Backend::new(backend.clone(), limits, daemon.clock)),
+                    )
+                })
                 .collect(),
             pins: Mutex::new(PinTable::new(settings.max_pins)),
             calls: Mutex::new(CallTable::new(
                 daemon.incarnation,
                 limits.max_remembered_calls,
-                MAX_CALL_BODIES,
+                MAX_CALL_BODY_BYTES,
             )),
             bills: BillBox::new(settings.batch.clone()),
             report_budget: Mutex::new(ByteBudget::new(
                 settings.heartbeat.report_bytes_per_second,
                 daemon.now(),
             )),
-            leaving: AtomicBool::new(false),
-            running: AtomicUsize::new(0),
+            is_leaving: AtomicBool::new(false),
+            running_count: AtomicUsize::new(0),
             links: Mutex::default(),
             daemon,
             settings,
@@ -75,26 +80,26 @@
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::SeqCst)
+        self.is_leaving.load(Ordering::SeqCst)
     }
 
     /// Counts a run, unless the process is leaving.
     ///
     /// The count goes up before the flag is read, and a stop sets the flag before it reads the
     /// count: whichever comes first, a run is either refused or waited for.
-    pub(crate) fn begin_run(&self) -> Result<Running<'_>, ErrorKind> {
-        self.running.fetch_add(1, Ordering::SeqCst);
-        let running = Running(&self.running);
-        if self.is_leaving() { Err(ErrorKind::Stopping) } else { Ok(running) }
+    pub(crate) fn begin_run(&self) -> Result<RunGuard<'_>, ErrorKind> {
+        self.running_count.fetch_add(1, Ordering::SeqCst);
+        let guard = RunGuard(&self.running_count);
+        if self.is_leaving() { Err(ErrorKind::Stopping) } else { Ok(guard) }
     }
 
-    pub(crate) fn running(&self) -> usize {
-        self.running.load(Ordering::SeqCst)
+    pub(crate) fn running_count(&self) -> usize {
+        self.running_count.load(Ordering::SeqCst)
     }
 
     pub(crate) fn add_link(&self, link: &Arc<Link>) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        links.retain(|l| l.strong_count() > 0);
+        links.retain(|link| link.strong_count() > 0);
         links.push(Arc::downgrade(link));
     }
 
@@ -104,7 +109,7 @@
     }
 
     /// Refuses new work from now on.
-    pub(crate) fn leave(&self) {
-        self.leaving.store(true, Ordering::SeqCst);
+    pub(crate) fn start_leaving(&self) {
+        self.is_leaving.store(true, Ordering::SeqCst);
     }
 }
--- a/src/side/load_reports.rs
+++ b/src/side/load_reports.rs
@@ -13,38 +13,38 @@
 use crate::wire::Load;
 
 /// Bytes of one load in a heartbeat, without names.
-const LOAD_BYTES: u64 = 24;
+const LOAD_FIXED_BYTES: u64 = 24;
 
 /// A load is told again when its busy slots moved by more than a slot and this part of all.
-const TELL_PART: u32 = 8;
+const REPORT_CHANGE_DIVISOR: u32 = 8;
 
 /// Asks the engines for their load, for ever.
-pub(crate) async fn follow_engines(side: &Side) {
-    let mut was_up = BTreeMap::new();
+pub(crate) async fn poll_engine_loads(side: &Side) {
+    let mut last_states = BTreeMap::new();
     loop {
         for (name, backend) in &side.backends {
             if backend.settings.kind != BackendKind::Engine {
                 continue;
             }
-            let up = match engine_load(&side.daemon.http, backend.settings.address).await {
+            let is_up = match engine_load(&side.daemon.http, backend.settings.address).await {
                 Ok(load) => {
-                    backend.report(load);
+                    backend.record_engine_load(load);
                     true
                 }
-                Err(why) => {
-                    backend.down();
+                Err(error) => {
+                    backend.mark_down();
                     side.daemon.telemetry.count("engine.report_failed", 1);
-                    if was_up.get(name) != Some(&false) {
+                    if last_states.get(name) != Some(&false) {
                         let pairs: [(&str, &dyn std::fmt::Display); 2] =
-                            [("backend", name), ("why", &why)];
+                            [("backend", name), ("why", &error)];
                         side.daemon.telemetry.warn("engine_down", &pairs);
                     }
                     false
                 }
             };
-            if was_up.insert(name.clone(), up) != Some(up) {
-                side.daemon.telemetry.info("engine_state", &[("backend", name), ("up", &up)]);
-                tell(side);
+            if last_states.insert(name.clone(), is_up) != Some(is_up) {
+                side.daemon.telemetry.info("engine_state", &[("backend", name), ("up", &is_up)]);
+                broadcast_heartbeat(side);
             }
         }
         Timer::after(jittered(side.settings.queue.load_every_ms)).await;
@@ -52,12 +52,12 @@
 }
 
 /// Tells all entries at once, without waiting for their next heartbeat.
-pub(crate) fn tell(side: &Side) {
+pub(crate) fn broadcast_heartbeat(side: &Side) {
     for link in side.links() {
         link.send(crate::wire::Control::Beat(crate::wire::Beat {
             config: side.daemon.store.mark(),
             leaving: side.is_leaving(),
-            loads: side.backends.values().map(|b| b.load()).collect(),
+            loads: side.backends.values().map(|backend| backend.load()).collect(),
             ask: false,
         }));
     }
@@ -65,41 +65,45 @@
 
 /// Loads as they were last told on one link.
 #[derive(Debug, Default)]
-pub(crate) struct Told(BTreeMap<String, Load>);
+pub(crate) struct SentLoads(BTreeMap<String, Load>);
 
-impl Told {
+impl SentLoads {
     /// Returns the loads that changed enough to be told, as far as the budget goes; what does not
     /// fit is told with a later heartbeat, since it still differs from what was told.
-    pub(crate) fn changes(&mut self, side: &Side, now: Millis) -> Vec<Load> {
-        let mut changed = Vec::new();
+    pub(crate) fn take_due(&mut self, side: &Side, now: Millis) -> Vec<Load> {
+        let mut due = Vec::new();
         for (name, backend) in &side.backends {
             let load = backend.load();
-            let is_news = self.0.get(name).is_none_or(|told| differs(told, &load));
-            let size =
-                LOAD_BYTES + load.versions.iter().map(|v| v.as_str().len() as u64 + 1).sum::<u64>();
+            let is_due = self.0.get(name).is_none_or(|sent| differs_enough(sent, &load));
+            let size = LOAD_FIXED_BYTES
+                + load
+                    .versions
+                    .iter()
+                    .map(|version| version.as_str().len() as u64 + 1)
+                    .sum::<u64>();
             let fits = || {
                 let mut budget = side.report_budget.lock().unwrap_or_else(PoisonError::into_inner);
                 budget.try_take(size, now)
             };
-            match is_news {
+            match is_due {
                 true if fits() => {
                     self.0.insert(name.clone(), load.clone());
-                    changed.push(load);
+                    due.push(load);
                 }
                 true => side.daemon.telemetry.count("load.over_budget", 1),
                 false => {}
             }
         }
-        changed
+        due
     }
 }
 
-fn differs(told: &Load, load: &Load) -> bool {
-    let moved = told.busy.abs_diff(load.busy);
-    let is_idle_now = (told.busy == 0) != (load.busy == 0);
-    told.up != load.up
-        || told.versions != load.versions
-        || told.slots != load.slots
-        || is_idle_now
-        || moved > (load.slots / TELL_PART).max(1)
+fn differs_enough(sent: &Load, load: &Load) -> bool {
+    let busy_change = sent.busy.abs_diff(load.busy);
+    let idle_changed = (sent.busy == 0) != (load.busy == 0);
+    sent.up != load.up
+        || sent.versions != load.versions
+        || sent.slots != load.slots
+        || idle_changed
+        || busy_change > (load.slots / REPORT_CHANGE_DIVISOR).max(1)
 }
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -19,54 +19,54 @@
 use crate::settings::BackendKind;
 use crate::wire::new_claim_id;
 
-const PAGE: usize = 1_000;
+const PAGE_RECORDS: usize = 1_000;
 
 /// Longest pause of an engine that waits for its turn.
-const MAX_WAIT: Millis = Millis(30_000);
+const MAX_BACKOFF: Millis = Millis(30_000);
 
 /// This side's claim to its engines.
 #[derive(Clone, Copy, Debug)]
-struct Fence {
+struct EngineClaim {
     id: ClaimId,
     /// Fencing number: the claim's offset.
-    number: Offset,
+    fencing_token: Offset,
 }
 
 /// What a side keeps between its looks at the engines.
 #[derive(Debug, Default)]
-struct Orders {
-    fence: Option<Fence>,
-    loads: BTreeMap<VersionName, LoadFold>,
+struct OrderState {
+    claim: Option<EngineClaim>,
+    loads_by_version: BTreeMap<VersionName, LoadFold>,
     /// Versions of which no load of this host goes on by the log.
-    settled: BTreeSet<VersionName>,
+    ended_loads: BTreeSet<VersionName>,
     /// Pause of each engine that had to wait, and when it ends.
-    waits: BTreeMap<String, (Millis, Millis)>,
+    backoffs: BTreeMap<String, (Millis, Millis)>,
 }
 
 /// Why no order was given.
 #[derive(Debug)]
-enum Held {
+enum NotOrdered {
     /// Another side has claimed the engines after this one: it never orders again.
     Superseded,
-    Later(String),
+    RetryLater(String),
 }
 
-impl From<LogError> for Held {
+impl From<LogError> for NotOrdered {
     fn from(e: LogError) -> Self {
-        Self::Later(e.to_string())
+        Self::RetryLater(e.to_string())
     }
 }
 
 /// What the placements say of this host.
-struct Wanted {
+struct DesiredState {
     versions: Vec<VersionName>,
     /// Loads of one version that may go on at once.
     limit: u32,
 }
 
 /// Sees to it that the engines have loaded what the placements say, until another side takes over.
-pub(crate) async fn give_orders(side: &Side) {
-    let mut orders = Orders::default();
+pub(crate) async fn reconcile_engines(side: &Side) {
+    let mut state = OrderState::default();
     let mut offset = Offset(0);
     loop {
         let changed = side.daemon.store.changed();
@@ -75,26 +75,26 @@
         };
         smol::future::or(changed, timer).await;
         if std::mem::replace(&mut offset, side.daemon.store.mark().offset) != offset {
-            orders.waits.clear();
+            state.backoffs.clear();
         }
         let engines = side.backends.values().filter(|b| b.settings.kind == BackendKind::Engine);
         for backend in engines {
             let name = &backend.settings.name;
-            if orders.waits.get(name).is_some_and(|(_, until)| *until > side.daemon.now()) {
+            if state.backoffs.get(name).is_some_and(|(_, retry_at)| *retry_at > side.daemon.now()) {
                 continue;
             }
-            match reconcile(side, backend, &mut orders).await {
+            match reconcile_engine(side, backend, &mut state).await {
                 Ok(()) => {
-                    orders.waits.remove(name);
+                    state.backoffs.remove(name);
                 }
-                Err(Held::Later(why)) => {
-                    let pause = wait_longer(side, &mut orders, name);
+                Err(NotOrdered::RetryLater(reason)) => {
+                    let backoff = back_off(side, &mut state, name);
                     side.daemon.telemetry.info(
                         "order_waits",
-                        &[("backend", name), ("pause_ms", &pause), ("why", &why)],
+                        &[("backend", name), ("pause_ms", &backoff), ("why", &reason)],
                     );
                 }
-                Err(Held::Superseded) => {
+                Err(NotOrdered::Superseded) => {
                     side.daemon.telemetry.warn("orders_superseded", &[("host", &side.daemon.host)]);
                     return;
                 }
@@ -105,104 +105,112 @@
 
 /// Doubles an engine's pause, up to a bound: of hundreds of hosts that wait for their turn, each
 /// looks at the log less and less often.
-fn wait_longer(side: &Side, orders: &mut Orders, name: &str) -> Millis {
-    let first = side.settings.orders.every_ms;
-    let last = orders.waits.get(name).map_or(Millis(0), |(pause, _)| *pause);
-    let pause = Millis((last.0 * 2).clamp(first.0, MAX_WAIT.0.max(first.0)));
-    let until = side.daemon.now().after(Millis(jittered(pause).as_millis() as u64));
-    orders.waits.insert(name.to_owned(), (pause, until));
-    pause
+fn back_off(side: &Side, state: &mut OrderState, name: &str) -> Millis {
+    let min_backoff = side.settings.orders.every_ms;
+    let last_backoff = state.backoffs.get(name).map_or(Millis(0), |(backoff, _)| *backoff);
+    let backoff =
+        Millis((last_backoff.0 * 2).clamp(min_backoff.0, MAX_BACKOFF.0.max(min_backoff.0)));
+    let retry_at = side.daemon.now().after(Millis(jittered(backoff).as_millis() as u64));
+    state.backoffs.insert(name.to_owned(), (backoff, retry_at));
+    backoff
 }
 
-fn wanted(side: &Side) -> Option<Wanted> {
+fn desired_state(side: &Side) -> Option<DesiredState> {
     let config = side.daemon.store.current();
     let hosts = side.daemon.hosts.current();
-    let own = hosts.iter().find(|h| h.host == side.daemon.host)?.labels();
+    let own_labels = hosts.iter().find(|h| h.host == side.daemon.host)?.labels();
     let mut versions = Vec::new();
     let mut limit = None;
     for (_, spec) in config.of_kind("placement") {
         let Spec::Placement(placement) = spec else { continue };
-        if !placement.hosts.matches(&own) {
+        if !placement.hosts.matches(&own_labels) {
             continue;
         }
-        let of_placement = hosts.iter().filter(|h| h.is_side() && h.state == HostState::Live);
-        let count = of_placement.filter(|h| placement.hosts.matches(&h.labels())).count();
-        let allowed = share_of(count, placement.load_share);
-        limit = Some(limit.map_or(allowed, |l: u32| l.min(allowed)));
+        let live_sides = hosts.iter().filter(|h| h.is_side() && h.state == HostState::Live);
+        let side_count = live_sides.filter(|h| placement.hosts.matches(&h.labels())).count();
+        let concurrent_loads = concurrent_load_limit(side_count, placement.load_share);
+        limit = Some(limit.map_or(concurrent_loads, |l: u32| l.min(concurrent_loads)));
         let in_service =
             |v: &&VersionName| config.version(v).is_some_and(|spec| spec.withdrawn_at.is_none());
         versions.extend(placement.versions.iter().filter(in_service).cloned());
     }
     versions.sort();
     versions.dedup();
-    Some(Wanted { versions, limit: limit? })
+    Some(DesiredState { versions, limit: limit? })
 }
 
-fn share_of(count: usize, share: PerMille) -> u32 {
-    (count as u64 * u64::from(share.0) / 1000).max(1) as u32
+fn concurrent_load_limit(side_count: usize, share: PerMille) -> u32 {
+    (side_count as u64 * u64::from(share.0) / 1000).max(1) as u32
 }
 
-async fn reconcile(side: &Side, backend: &Backend, orders: &mut Orders) -> Result<(), Held> {
-    let Some(wanted) = wanted(side) else { return Ok(()) };
+async fn reconcile_engine(
+    side: &Side,
+    backend: &Backend,
+    state: &mut OrderState,
+) -> Result<(), NotOrdered> {
+    let Some(desired) = desired_state(side) else { return Ok(()) };
     let mut loaded = backend.versions();
     loaded.sort();
     if !backend.load().up || side.is_leaving() {
         return Ok(());
     }
-    if loaded == wanted.versions {
-        return settle(side, orders, &loaded).await;
+    if loaded == desired.versions {
+        return end_finished_loads(side, state, &loaded).await;
     }
-    let held = match orders.fence {
-        Some(held) => held,
-        None => *orders.fence.insert(claim_fence(side).await?),
+    let claim = match state.claim {
+        Some(claim) => claim,
+        None => *state.claim.insert(claim_engines(side).await?),
     };
-    let missing: Vec<_> = wanted.versions.iter().filter(|v| !loaded.contains(v)).collect();
-    let Some(first) = missing.first() else {
-        return order(side, backend, &held, &wanted.versions).await;
+    let missing: Vec<_> = desired.versions.iter().filter(|v| !loaded.contains(v)).collect();
+    let Some(next_version) = missing.first() else {
+        return send_order(side, backend, &claim, &desired.versions).await;
     };
-    let stream_name = format!("{}{first}", stream::LOADS);
-    let longest = side.settings.orders.load_timeout_ms;
-    let loads = orders.loads.entry((*first).clone()).or_insert_with(|| LoadFold::new(longest));
+    let stream_name = format!("{}{next_version}", stream::LOADS);
+    let load_timeout = side.settings.orders.load_timeout_ms;
+    let loads = state
+        .loads_by_version
+        .entry((*next_version).clone())
+        .or_insert_with(|| LoadFold::new(load_timeout));
     read_loads(side, &stream_name, loads).await?;
-    let going_on = loads.active_beside(&side.daemon.host, wall());
-    if going_on >= wanted.limit as usize {
-        return Err(Held::Later(format!("{going_on} loads go on")));
+    let active_elsewhere = loads.active_beside(&side.daemon.host, wall());
+    if active_elsewhere >= desired.limit as usize {
+        return Err(NotOrdered::RetryLater(format!("{active_elsewhere} loads go on")));
     }
     // A load of this host that the log knows of was begun by a side before this one, or ordered
     // without a clear answer: the engine may be at it still. Its turn is taken over, and not given
     // back before the engine has the version; given back sooner, two engines would load at once.
-    let inherited = loads.active_of(&side.daemon.host);
-    let id = match inherited {
+    let inherited_slot = loads.active_of(&side.daemon.host);
+    let id = match inherited_slot {
         Some(id) => id,
-        None => take_turn(side, &stream_name, loads, first, wanted.limit).await?,
+        None => claim_load_slot(side, &stream_name, loads, next_version, desired.limit).await?,
     };
-    let mut may_be_loading = inherited.is_some();
-    let outcome = match ask_store(side, first).await {
+    let mut may_be_loading = inherited_slot.is_some();
+    let outcome = match ask_weight_store(side, next_version).await {
         Ok(()) => {
             may_be_loading = true;
             // Versions are added one by one, so that each load is counted.
             let mut next = loaded.clone();
-            next.retain(|v| wanted.versions.contains(v));
-            next.push((*first).clone());
-            order(side, backend, &held, &next).await
+            next.retain(|v| desired.versions.contains(v));
+            next.push((*next_version).clone());
+            send_order(side, backend, &claim, &next).await
         }
-        Err(held) => Err(held),
+        Err(e) => Err(e),
     };
-    orders.settled.remove(*first);
+    state.ended_loads.remove(*next_version);
     let has_ended = match &outcome {
         Ok(()) => true,
         // The engine was not ordered to load, or refused to. A turn that was taken over is the successor's.
-        Err(Held::Superseded) => inherited.is_none(),
-        Err(Held::Later(_)) => !may_be_loading,
+        Err(NotOrdered::Superseded) => inherited_slot.is_none(),
+        Err(NotOrdered::RetryLater(_)) => !may_be_loading,
     };
     if has_ended {
-        end_load(side, &stream_name, id).await?;
-        orders.settled.insert((*first).clone());
+        append_load_end(side, &stream_name, id).await?;
+        state.ended_loads.insert((*next_version).clone());
     }
     outcome
 }
 
-async fn end_load(side: &Side, name: &str, id: ClaimId) -> Result<(), LogError> {
+async fn append_load_end(side: &Side, name: &str, id: ClaimId) -> Result<(), LogError> {
     let end = serde_json::to_vec(&LoadRecord::End { id }).unwrap_or_default();
     side.daemon.log.append(name, end).await.map(drop)
 }
@@ -211,45 +219,54 @@
 ///
 /// A side that dies in a load leaves its turn taken; its engine finishes by itself, so that the next
 /// side has no load to make. Were the turn not given back, the other hosts would wait ten minutes.
-async fn settle(side: &Side, orders: &mut Orders, loaded: &[VersionName]) -> Result<(), Held> {
-    let longest = side.settings.orders.load_timeout_ms;
+async fn end_finished_loads(
+    side: &Side,
+    state: &mut OrderState,
+    loaded: &[VersionName],
+) -> Result<(), NotOrdered> {
+    let load_timeout = side.settings.orders.load_timeout_ms;
     for version in loaded {
-        if orders.settled.contains(version) {
+        if state.ended_loads.contains(version) {
             continue;
         }
         let name = format!("{}{version}", stream::LOADS);
-        let loads = orders.loads.entry(version.clone()).or_insert_with(|| LoadFold::new(longest));
+        let loads = state
+            .loads_by_version
+            .entry(version.clone())
+            .or_insert_with(|| LoadFold::new(load_timeout));
         read_loads(side, &name, loads).await?;
         if let Some(id) = loads.active_of(&side.daemon.host) {
-            end_load(side, &name, id).await?;
+            append_load_end(side, &name, id).await?;
         }
-        orders.settled.insert(version.clone());
+        state.ended_loads.insert(version.clone());
     }
     Ok(())
 }
 
 /// Claims the engines of this host. The claim is looked for by its id if its answer was lost.
-async fn claim_fence(side: &Side) -> Result<Fence, Held> {
+async fn claim_engines(side: &Side) -> Result<EngineClaim, NotOrdered> {
     let id = new_claim_id();
     let record = FenceRecord { id, host: side.daemon.host.clone() };
-    let name = fence_stream(side);
+    let name = claim_stream(side);
     let json = serde_json::to_vec(&record).unwrap_or_default();
     match side.daemon.log.append(&name, json).await {
-        Ok(number) => Ok(Fence { id, number }),
-        Err(LogError::Unknown(why)) => {
-            let found = read_fences(side, Offset(1)).await?.into_iter().find(|(_, f)| f.id == id);
-            found.map(|(number, _)| Fence { id, number }).ok_or(Held::Later(why))
+        Ok(fencing_token) => Ok(EngineClaim { id, fencing_token }),
+        Err(LogError::Unknown(reason)) => {
+            let found = read_claims(side, Offset(1)).await?.into_iter().find(|(_, f)| f.id == id);
+            found
+                .map(|(fencing_token, _)| EngineClaim { id, fencing_token })
+                .ok_or(NotOrdered::RetryLater(reason))
         }
         Err(e) => Err(e.into()),
     }
 }
 
-fn fence_stream(side: &Side) -> String {
+fn claim_stream(side: &Side) -> String {
     format!("{}{}", stream::FENCES, side.daemon.host)
 }
 
-async fn read_fences(side: &Side, from: Offset) -> Result<Vec<(Offset, FenceRecord)>, Held> {
-    let page = side.daemon.log.read(&fence_stream(side), from, PAGE, Millis(0)).await?;
+async fn read_claims(side: &Side, from: Offset) -> Result<Vec<(Offset, FenceRecord)>, NotOrdered> {
+    let page = side.daemon.log.read(&claim_stream(side), from, PAGE_RECORDS, Millis(0)).await?;
     let parsed = page.records.iter().filter_map(|(offset, raw)| {
         serde_json::from_slice::<FenceRecord>(raw).ok().map(|record| (*offset, record))
     });
@@ -262,53 +279,53 @@
 /// the engines; engines that check the fencing number refuse it anyway, others do not. A pause in
 /// the moment between look and order is what remains: the successor sees the wrong state in the
 /// engine's next report and orders again.
-async fn order(
+async fn send_order(
     side: &Side,
     backend: &Backend,
-    fence: &Fence,
+    claim: &EngineClaim,
     versions: &[VersionName],
-) -> Result<(), Held> {
-    let looked = side.daemon.now();
-    let later = read_fences(side, Offset(fence.number.0 + 1)).await?;
-    if later.iter().any(|(_, record)| record.id != fence.id) {
-        return Err(Held::Superseded);
+) -> Result<(), NotOrdered> {
+    let checked_at = side.daemon.now();
+    let later_claims = read_claims(side, Offset(claim.fencing_token.0 + 1)).await?;
+    if later_claims.iter().any(|(_, record)| record.id != claim.id) {
+        return Err(NotOrdered::Superseded);
     }
     let settings = &side.settings.orders;
-    if side.daemon.now().since(looked) > settings.fence_age_ms {
-        return Err(Held::Later("the look at the log took too long".to_owned()));
+    if side.daemon.now().since(checked_at) > settings.fence_age_ms {
+        return Err(NotOrdered::RetryLater("the look at the log took too long".to_owned()));
     }
     let addr = backend.settings.address;
     let http = &side.daemon.http;
     let timeout = settings.load_timeout_ms;
-    let ordered = engine_order(http, addr, fence.number, versions, timeout).await;
-    let names: Vec<_> = versions.iter().map(ToString::to_string).collect();
+    let outcome = engine_order(http, addr, claim.fencing_token, versions, timeout).await;
+    let version_list: Vec<_> = versions.iter().map(ToString::to_string).collect();
     side.daemon.telemetry.info(
         "engine_ordered",
         &[
             ("backend", &backend.settings.name),
-            ("fencing", &fence.number),
-            ("versions", &names.join(",")),
-            ("outcome", &format!("{ordered:?}")),
+            ("fencing", &claim.fencing_token),
+            ("versions", &version_list.join(",")),
+            ("outcome", &format!("{outcome:?}")),
         ],
     );
-    match ordered {
-        Ordered::Fenced => Err(Held::Superseded),
-        Ordered::Unknown(why) => Err(Held::Later(why)),
+    match outcome {
+        Ordered::Fenced => Err(NotOrdered::Superseded),
+        Ordered::Unknown(reason) => Err(NotOrdered::RetryLater(reason)),
         Ordered::Taken => {
             if let Ok(load) = engine_load(http, addr).await {
-                backend.report(load);
+                backend.record_engine_load(load);
             }
-            super::load_reports::tell(side);
+            super::load_reports::broadcast_heartbeat(side);
             Ok(())
         }
     }
 }
 
 /// Reads a version's stream of loads up to its end.
-async fn read_loads(side: &Side, name: &str, loads: &mut LoadFold) -> Result<(), Held> {
+async fn read_loads(side: &Side, name: &str, loads: &mut LoadFold) -> Result<(), NotOrdered> {
     loop {
         let from = Offset(loads.offset().0 + 1);
-        let page = side.daemon.log.read(name, from, PAGE, Millis(0)).await?;
+        let page = side.daemon.log.read(name, from, PAGE_RECORDS, Millis(0)).await?;
         for (offset, raw) in &page.records {
             loads.apply(*offset, raw);
         }
@@ -319,13 +336,13 @@
 }
 
 /// Takes a place among the loads that go on; the log's order decides between several that ask.
-async fn take_turn(
+async fn claim_load_slot(
     side: &Side,
     name: &str,
     loads: &mut LoadFold,
     version: &VersionName,
     limit: u32,
-) -> Result<ClaimId, Held> {
+) -> Result<ClaimId, NotOrdered> {
     let id = new_claim_id();
     let host = side.daemon.host.clone();
     let begin = LoadRecord::Begin { id, host, version: version.clone(), limit, at: wall() };
@@ -337,16 +354,16 @@
     read_loads(side, name, loads).await?;
     match loads.is_granted(id) {
         true => Ok(id),
-        false => Err(Held::Later("others were faster".to_owned())),
+        false => Err(NotOrdered::RetryLater("others were faster".to_owned())),
     }
 }
 
-async fn ask_store(side: &Side, version: &VersionName) -> Result<(), Held> {
+async fn ask_weight_store(side: &Side, version: &VersionName) -> Result<(), NotOrdered> {
     let Some(addr) = side.settings.orders.weight_store else { return Ok(()) };
     match ask_to_load(&side.daemon.http, addr, version).await {
         Asked::Granted => Ok(()),
         Asked::Later(after) => {
-            Err(Held::Later(format!("the weight store says to come back in {after} ms")))
+            Err(NotOrdered::RetryLater(format!("the weight store says to come back in {after} ms")))
         }
     }
 }
--- a/src/side/requests.rs
+++ b/src/side/requests.rs
@@ -10,19 +10,19 @@
 use crate::wire::{Call, Closed, Outcome, Reply};
 
 /// Answers a call that is neither a run nor a control stream.
-pub(crate) fn answer(side: &Side, call: Call) -> Reply {
+pub(crate) fn answer_call(side: &Side, call: Call) -> Reply {
     let now = side.daemon.now();
     match call {
-        Call::Close(claim) => Reply::Closed(close(side, &claim)),
+        Call::Close(claim) => Reply::Closed(close_call(side, &claim)),
         Call::Hold(bills) => {
-            hold(side, bills);
+            hold_bills(side, bills);
             Reply::Held
         }
         Call::Install(records) => {
             side.daemon.store.apply(&records);
             Reply::Mark(side.daemon.store.mark())
         }
-        Call::Outcome(claim) => Reply::Outcome(outcome(side, &claim)),
+        Call::Outcome(claim) => Reply::Outcome(call_outcome(side, &claim)),
         Call::PinGet(key) => Reply::Pin(side.pins().get(&key, now)),
         Call::PinMerge(key, pin) => Reply::Pin(Some(side.pins().merge(&key, pin, now))),
         Call::PinMergeAll(pins) => {
@@ -33,12 +33,12 @@
             Reply::Held
         }
         Call::PinSet(key, pin) => Reply::Pin(Some(side.pins().get_or_set(&key, pin, now))),
-        Call::Status => Reply::Json(status(side)),
+        Call::Status => Reply::Json(status_json(side)),
         Call::Control(_) | Call::Explain(_) | Call::Run(_) => Reply::Refused(ErrorKind::BadPeer),
     }
 }
 
-fn close(side: &Side, claim: &Claim) -> Closed {
+fn close_call(side: &Side, claim: &Claim) -> Closed {
     match side.calls().close(claim) {
         Some(true) => Closed::Never,
         Some(false) => Closed::TooLate,
@@ -46,7 +46,7 @@
     }
 }
 
-fn outcome(side: &Side, claim: &Claim) -> Outcome {
+fn call_outcome(side: &Side, claim: &Claim) -> Outcome {
     match side.calls().state(claim) {
         None | Some(CallState::Closed) => Outcome::NotSeen,
         Some(CallState::Done(answer)) => Outcome::Done {
@@ -60,20 +60,20 @@
 }
 
 /// Holds bills that another process hands over; they are appended from here, soon.
-pub(crate) fn hold(side: &Side, bills: Vec<Bill>) -> Vec<KeyHash> {
-    let mut held = Vec::new();
+pub(crate) fn hold_bills(side: &Side, bills: Vec<Bill>) -> Vec<KeyHash> {
+    let mut held_ids = Vec::new();
     for bill in bills {
         let id = bill.id;
         if side.bills.hold(Held { bill, side: None }, Millis(0)).is_ok() {
-            held.push(id);
+            held_ids.push(id);
         }
     }
-    held
+    held_ids
 }
 
-fn status(side: &Side) -> Vec<u8> {
+fn status_json(side: &Side) -> Vec<u8> {
     let mark = side.daemon.store.mark();
-    let loads = side.backends.values().map(|b| b.load());
+    let loads = side.backends.values().map(|backend| backend.load());
     let value = serde_json::json!({
         "host": side.daemon.host,
         "role": "side",
@@ -83,19 +83,19 @@
         "hash": format!("{:016x}", mark.hash),
         "rules": mark.rules,
         "leaving": side.is_leaving(),
-        "running": side.running(),
+        "running": side.running_count(),
         "unconfirmed_bills": side.bills.len(),
         "pins": side.pins().len(),
         "peer_bytes_sent": side.daemon.traffic.sent.load(Ordering::Relaxed),
         "peer_bytes_received": side.daemon.traffic.received.load(Ordering::Relaxed),
         "at": wall(),
-        "backends": loads.map(|l| serde_json::json!({
-            "name": l.backend,
-            "service": l.service,
-            "versions": l.versions,
-            "slots": l.slots,
-            "busy": l.busy,
-            "up": l.up,
+        "backends": loads.map(|load| serde_json::json!({
+            "name": load.backend,
+            "service": load.service,
+            "versions": load.versions,
+            "slots": load.slots,
+            "busy": load.busy,
+            "up": load.up,
         })).collect::<Vec<_>>(),
     });
     serde_json::to_vec(&value).unwrap_or_default()
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -26,21 +26,21 @@
 const TAIL_BYTES: usize = 8 * 1024;
 
 /// Last event of a streamed answer; one without it was cut.
-const STREAM_END: &[u8] = b"data: [DONE]";
+const STREAM_END_EVENT: &[u8] = b"data: [DONE]";
 
 /// Tokens that stand for a request whose answer names no usage.
-const UNKNOWN_TOKENS: u64 = 0;
+const TOKENS_WITHOUT_USAGE: u64 = 0;
 
 /// Why a run has no whole answer, and what that says about the run.
 struct Failure {
     kind: ErrorKind,
     run: RunState,
-    why: String,
+    reason: String,
 }
 
 impl Failure {
-    fn new(kind: ErrorKind, why: impl Into<String>) -> Self {
-        Self { kind, run: kind.row().run, why: why.into() }
+    fn new(kind: ErrorKind, reason: impl Into<String>) -> Self {
+        Self { kind, run: kind.row().run, reason: reason.into() }
     }
 }
 
@@ -57,12 +57,12 @@
 }
 
 /// Runs a request and sends its answer, or the reason why there is none.
-pub(crate) async fn run(side: &Side, call: RunCall, mut tx: FrameWriter<RunFrame>) {
+pub(crate) async fn run_request(side: &Side, call: RunCall, mut tx: FrameWriter<RunFrame>) {
     let head = call.head;
-    let mut taken = None;
-    let outcome = Box::pin(attempt(side, &call, &mut tx, &mut taken)).await;
+    let mut claimed_id = None;
+    let outcome = Box::pin(admit_and_forward(side, &call, &mut tx, &mut claimed_id)).await;
     if let Err(failure) = outcome {
-        match taken {
+        match claimed_id {
             Some(id) if failure.run == RunState::NotRun => side.calls().not_run(id),
             Some(id) => side.calls().lost(id),
             None => {}
@@ -74,14 +74,14 @@
                 ("attempt", &head.attempt),
                 ("kind", &failure.kind),
                 ("run", &failure.run),
-                ("why", &failure.why),
+                ("why", &failure.reason),
             ],
         );
         side.daemon.telemetry.count("run.failed", 1);
         let failed = RunFailed {
             kind: failure.kind,
             run: failure.run,
-            why: failure.why,
+            why: failure.reason,
             retry_after: failure.kind.row().retry_after,
             config: side.daemon.store.mark(),
         };
@@ -90,34 +90,34 @@
     tx.finish();
 }
 
-async fn attempt(
+async fn admit_and_forward(
     side: &Side,
     call: &RunCall,
     tx: &mut FrameWriter<RunFrame>,
-    taken: &mut Option<ClaimId>,
+    claimed_id: &mut Option<ClaimId>,
 ) -> Result<(), Failure> {
     let deadline = side.daemon.now().after(call.deadline);
-    let _running = side.begin_run()?;
-    catch_up(side, call.config.offset).await?;
-    check(side, call)?;
+    let _run_guard = side.begin_run()?;
+    wait_for_config(side, call.config.offset).await?;
+    check_allowed(side, call)?;
     let backend = find_backend(side, call)?;
     if let Some(claim) = &call.claim {
         side.calls().begin(claim)?;
-        *taken = Some(claim.id);
+        *claimed_id = Some(claim.id);
     }
-    let ask = Admission {
+    let admission = Admission {
         customer: call.customer.clone(),
         version: call.version.clone(),
-        weight: weight(side, &call.customer),
+        weight: customer_weight(side, &call.customer),
         priority: call.priority,
         work: call.work,
         deadline,
     };
-    let permit = until_stopped(tx, backend.admit(ask)).await??;
+    let permit = unless_cancelled(tx, backend.admit(admission)).await??;
     // The configuration may have changed while the request waited.
-    check(side, call)?;
-    let answered = Box::pin(answer(side, call, &backend, tx));
-    let outcome = match within(deadline.since(side.daemon.now()), answered).await {
+    check_allowed(side, call)?;
+    let forwarding = Box::pin(forward_response(side, call, &backend, tx));
+    let outcome = match within(deadline.since(side.daemon.now()), forwarding).await {
         Some(outcome) => outcome,
         None => Err(ErrorKind::DeadlineInRun.into()),
     };
@@ -126,7 +126,7 @@
 }
 
 /// Waits for the records that the entry decided by and this side has not yet.
-async fn catch_up(side: &Side, offset: Offset) -> Result<(), Failure> {
+async fn wait_for_config(side: &Side, offset: Offset) -> Result<(), Failure> {
     let limit = side.settings.queue.config_wait_ms;
     match side.daemon.store.reaches(offset, limit).await {
         true => Ok(()),
@@ -135,7 +135,7 @@
 }
 
 /// Checks the request against the newest configuration of this side.
-fn check(side: &Side, call: &RunCall) -> Result<(), Failure> {
+fn check_allowed(side: &Side, call: &RunCall) -> Result<(), Failure> {
     let config = side.daemon.store.current();
     let denied = |kind| Failure::new(kind, format!("by the side, at offset {}", config.offset));
     if let Some(version) = &call.version {
@@ -155,15 +155,15 @@
 }
 
 fn find_backend(side: &Side, call: &RunCall) -> Result<Arc<Backend>, Failure> {
-    let missing = |why: &str| Failure::new(ErrorKind::NoBackend, why);
-    let backend = side.backends.get(&call.backend).ok_or_else(|| missing("no such backend"))?;
+    let no_backend = |reason: &str| Failure::new(ErrorKind::NoBackend, reason);
+    let backend = side.backends.get(&call.backend).ok_or_else(|| no_backend("no such backend"))?;
     match &call.version {
-        Some(version) if !backend.has(version) => Err(missing("version is not loaded")),
+        Some(version) if !backend.has_version(version) => Err(no_backend("version is not loaded")),
         _ => Ok(backend.clone()),
     }
 }
 
-fn weight(side: &Side, customer: &CustomerName) -> u32 {
+fn customer_weight(side: &Side, customer: &CustomerName) -> u32 {
     let config = side.daemon.store.current();
     let key = redwingfold_core::ObjectKey::new("customer", customer);
     match config.objects.get(&key).map(|stored| &stored.object.spec) {
@@ -173,15 +173,15 @@
 }
 
 /// Waits for a future unless the entry stops wanting the answer.
-async fn until_stopped<T>(
+async fn unless_cancelled<T>(
     tx: &FrameWriter<RunFrame>,
     future: impl Future<Output = T>,
 ) -> Result<T, Failure> {
-    let stopped = async {
+    let cancelled = async {
         tx.stopped().await;
         Err(Failure { run: RunState::NotRun, ..Failure::new(ErrorKind::BackendLost, "cancelled") })
     };
-    smol::future::or(async { Ok(future.await) }, stopped).await
+    smol::future::or(async { Ok(future.await) }, cancelled).await
 }
 
 fn backend_request(call: &RunCall, backend: &Backend) -> Result<Request, Failure> {
@@ -200,24 +200,24 @@
 }
 
 /// Sends the request to the backend server and its answer to the entry.
-async fn answer(
+async fn forward_response(
     side: &Side,
     call: &RunCall,
     backend: &Arc<Backend>,
     tx: &mut FrameWriter<RunFrame>,
 ) -> Result<(), Failure> {
     let req = backend_request(call, backend)?;
-    let begun = side.daemon.now();
+    let started_at = side.daemon.now();
     let limits = &side.settings.queue;
-    let opened = open_stream(backend.settings.address, req, span(limits.first_byte_timeout_ms));
-    let opened = within(limits.first_byte_timeout_ms, until_stopped(tx, opened)).await;
-    let mut res = match opened {
+    let response = open_stream(backend.settings.address, req, span(limits.first_byte_timeout_ms));
+    let response = within(limits.first_byte_timeout_ms, unless_cancelled(tx, response)).await;
+    let mut res = match response {
         Some(Ok(Ok(res))) => res,
-        Some(Ok(Err(CallError::Unreachable(why)))) => {
-            return Err(Failure::new(ErrorKind::NoBackend, why));
+        Some(Ok(Err(CallError::Unreachable(reason)))) => {
+            return Err(Failure::new(ErrorKind::NoBackend, reason));
         }
         Some(Ok(Err(e))) => return Err(Failure::new(ErrorKind::BackendLost, e.to_string())),
-        Some(Err(stopped)) => return Err(Failure { run: RunState::MayHaveRun, ..stopped }),
+        Some(Err(cancelled)) => return Err(Failure { run: RunState::MayHaveRun, ..cancelled }),
         None => return Err(Failure::new(ErrorKind::BackendLost, "no first byte in time")),
     };
     let status = u16::from(res.status());
@@ -232,117 +232,120 @@
     let content_type = res.header("content-type").map(|v| v.as_str().to_owned());
     let run_head = RunHead { status, content_type: content_type.clone() };
     tx.send(&RunFrame::Head(call.head, run_head)).await?;
-    let withdrawn = cancelled_by_withdrawal(side, call.version.as_ref());
-    let copied = smol::future::or(copy_body(side, call, backend, &mut res, tx, begun), async {
-        withdrawn.await;
-        let failure = Failure::new(ErrorKind::Withdrawn, "stream cut by the withdrawal");
-        Err(Failure { run: RunState::Ran, ..failure })
-    });
-    let copied = copied.await?;
-    let usage = usage_of(side, call, status, &copied);
+    let withdrawn = cancelling_withdrawal(side, call.version.as_ref());
+    let body =
+        smol::future::or(forward_body(side, call, backend, &mut res, tx, started_at), async {
+            withdrawn.await;
+            let failure = Failure::new(ErrorKind::Withdrawn, "stream cut by the withdrawal");
+            Err(Failure { run: RunState::Ran, ..failure })
+        });
+    let body = body.await?;
+    let usage = compute_usage(side, call, status, &body);
     let bill = make_bill(side, call, status, usage);
     if let Some(id) = call.claim.as_ref().map(|claim| claim.id) {
-        let answer = CallAnswer { status, content_type, body: copied.kept };
+        let answer = CallAnswer { status, content_type, body: body.full_body };
         side.calls().done(id, answer);
     }
     let end = RunEnd {
-        length: copied.length,
-        checksum: copied.checksum,
+        length: body.length,
+        checksum: body.checksum,
         usage,
         bill,
         load: LoadChange::from(&backend.load()),
     };
     tx.send(&RunFrame::End(call.head, Box::new(end))).await?;
     side.daemon.telemetry.count("run.done", 1);
-    let took = side.daemon.now().since(begun);
-    side.daemon.telemetry.time("run.whole_ms", took.0);
+    let elapsed = side.daemon.now().since(started_at);
+    side.daemon.telemetry.time("run.whole_ms", elapsed.0);
     Ok(())
 }
 
 /// What is known of a body after it was copied.
-struct Copied {
+struct ForwardedBody {
     length: u64,
     checksum: u64,
     tail: Vec<u8>,
     /// The whole body, for a call that may not be repeated.
-    kept: Option<Vec<u8>>,
+    full_body: Option<Vec<u8>>,
 }
 
-async fn copy_body(
+async fn forward_body(
     side: &Side,
     call: &RunCall,
     backend: &Backend,
     res: &mut Response,
     tx: &mut FrameWriter<RunFrame>,
-    begun: Millis,
-) -> Result<Copied, Failure> {
+    started_at: Millis,
+) -> Result<ForwardedBody, Failure> {
     let limits = &side.settings.queue;
-    let announced = res.header("content-length").and_then(|v| v.as_str().parse::<u64>().ok());
+    let content_length = res.header("content-length").and_then(|v| v.as_str().parse::<u64>().ok());
     let mut reader = res.take_body().into_reader();
     let mut hash = Xxh3::new();
-    let mut copied = Copied {
+    let mut body = ForwardedBody {
         length: 0,
         checksum: 0,
         tail: Vec::new(),
-        kept: call.claim.is_some().then(Vec::new),
+        full_body: call.claim.is_some().then(Vec::new),
     };
     let mut buf = vec![0; READ_BYTES];
     loop {
-        let limit = match copied.length {
+        let limit = match body.length {
             0 => limits.first_byte_timeout_ms,
             _ => limits.gap_timeout_ms,
         };
-        let lost = |why: String| Failure::new(ErrorKind::BackendLost, why);
-        let n = match within(limit, until_stopped(tx, reader.read(&mut buf))).await {
+        let backend_lost = |reason: String| Failure::new(ErrorKind::BackendLost, reason);
+        let n = match within(limit, unless_cancelled(tx, reader.read(&mut buf))).await {
             Some(Ok(Ok(n))) => n,
-            Some(Ok(Err(e))) => return Err(lost(e.to_string())),
-            Some(Err(stopped)) => return Err(Failure { run: RunState::MayHaveRun, ..stopped }),
-            None => return Err(lost(format!("nothing for {limit} ms"))),
+            Some(Ok(Err(e))) => return Err(backend_lost(e.to_string())),
+            Some(Err(cancelled)) => return Err(Failure { run: RunState::MayHaveRun, ..cancelled }),
+            None => return Err(backend_lost(format!("nothing for {limit} ms"))),
         };
         if n == 0 {
             break;
         }
-        if copied.length == 0 {
-            backend.note_first_token(side.daemon.now().since(begun));
+        if body.length == 0 {
+            backend.record_first_token_time(side.daemon.now().since(started_at));
         }
-        copied.length += n as u64;
-        if copied.length > limits.max_answer_bytes as u64 {
-            return Err(lost("answer is too large".to_owned()));
+        body.length += n as u64;
+        if body.length > limits.max_answer_bytes as u64 {
+            return Err(backend_lost("answer is too large".to_owned()));
         }
         hash.update(&buf[..n]);
-        copied.tail.extend_from_slice(&buf[..n]);
-        let over =
-            copied.tail.len().saturating_sub(if call.stream { TAIL_BYTES } else { usize::MAX });
-        copied.tail.drain(..over);
-        if let Some(kept) = &mut copied.kept {
-            kept.extend_from_slice(&buf[..n]);
+        body.tail.extend_from_slice(&buf[..n]);
+        let excess =
+            body.tail.len().saturating_sub(if call.stream { TAIL_BYTES } else { usize::MAX });
+        body.tail.drain(..excess);
+        if let Some(full_body) = &mut body.full_body {
+            full_body.extend_from_slice(&buf[..n]);
         }
         tx.send(&RunFrame::Chunk(call.head, buf[..n].to_vec())).await?;
     }
-    copied.checksum = hash.digest();
-    match announced {
-        Some(length) if length != copied.length => {
+    body.checksum = hash.digest();
+    match content_length {
+        Some(length) if length != body.length => {
             Err(Failure::new(ErrorKind::BackendLost, "answer is shorter than announced"))
         }
-        _ if is_cut(call, &copied.tail) => {
+        _ if is_truncated(call, &body.tail) => {
             Err(Failure::new(ErrorKind::BackendLost, "answer has no end"))
         }
-        _ => Ok(copied),
+        _ => Ok(body),
     }
 }
 
 /// Says whether an engine's answer lacks its end. Plain services are judged by their length.
-fn is_cut(call: &RunCall, tail: &[u8]) -> bool {
+fn is_truncated(call: &RunCall, tail: &[u8]) -> bool {
     match (call.version.is_some(), call.stream) {
-        (true, true) => !tail.windows(STREAM_END.len()).any(|w| w == STREAM_END),
+        (true, true) => !tail.windows(STREAM_END_EVENT.len()).any(|w| w == STREAM_END_EVENT),
         (true, false) => serde_json::from_slice::<serde::de::IgnoredAny>(tail).is_err(),
         (false, _) => false,
     }
 }
 
-fn usage_of(side: &Side, call: &RunCall, status: u16, copied: &Copied) -> Usage {
+fn compute_usage(side: &Side, call: &RunCall, status: u16, body: &ForwardedBody) -> Usage {
     let tokens = match call.version {
-        Some(_) if status == 200 => last_usage(call.stream, &copied.tail).unwrap_or(UNKNOWN_TOKENS),
+        Some(_) if status == 200 => {
+            last_usage(call.stream, &body.tail).unwrap_or(TOKENS_WITHOUT_USAGE)
+        }
         _ => 0,
     };
     let config = side.daemon.store.current();
@@ -357,7 +360,7 @@
 /// Makes the bill and holds a copy of it, before the entry can give the answer's end to the
 /// caller: if the entry dies right after that, the bill is appended from here.
 fn make_bill(side: &Side, call: &RunCall, status: u16, usage: Usage) -> Option<Bill> {
-    let (id, version) = billed(call, status)?;
+    let (id, version) = billed_version(call, status)?;
     let bill = Bill {
         id,
         attempt: call.head.attempt,
@@ -375,7 +378,7 @@
     Some(bill)
 }
 
-fn billed(call: &RunCall, status: u16) -> Option<(KeyHash, VersionName)> {
+fn billed_version(call: &RunCall, status: u16) -> Option<(KeyHash, VersionName)> {
     match (call.bill, &call.version) {
         (Some(id), Some(version)) if status == 200 => Some((id, version.clone())),
         _ => None,
@@ -383,7 +386,7 @@
 }
 
 /// Waits until the version is withdrawn in a way that cuts its streams.
-async fn cancelled_by_withdrawal(side: &Side, version: Option<&VersionName>) {
+async fn cancelling_withdrawal(side: &Side, version: Option<&VersionName>) {
     let Some(version) = version else { return std::future::pending().await };
     loop {
         let changed = side.daemon.store.changed();
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -8,10 +8,10 @@
 use smol::channel::Receiver;
 
 use super::context::Side;
-use super::load_reports::{Told, follow_engines, tell};
-use super::orders::give_orders;
-use super::requests::{answer, hold};
-use super::run::run;
+use super::load_reports::{SentLoads, broadcast_heartbeat, poll_engine_loads};
+use super::orders::reconcile_engines;
+use super::requests::{answer_call, hold_bills};
+use super::run::run_request;
 use crate::clock::{span, within};
 use crate::config_store::{feed, write_snapshots};
 use crate::daemon::Daemon;
@@ -22,16 +22,16 @@
 use redwingfold_telemetry::Telemetry;
 
 /// Wait for the log at a stop before bills are handed to an entry instead.
-const FLUSH_LIMIT: Millis = Millis(3_000);
+const FLUSH_TIMEOUT: Millis = Millis(3_000);
 
 /// Wait for an entry to take bills over.
-const HAND_OVER_LIMIT: Millis = Millis(5_000);
+const TRANSFER_TIMEOUT: Millis = Millis(5_000);
 
 /// Pause between looks at what a stop waits for.
-const STOP_POLL: Millis = Millis(20);
+const STOP_POLL_INTERVAL: Millis = Millis(20);
 
 /// Time after the last run in which what was sent can still leave.
-const LINGER: Millis = Millis(200);
+const CLOSE_DELAY: Millis = Millis(200);
 
 /// Runs a side until `stop` says so and everything under way has ended.
 ///
@@ -40,7 +40,7 @@
 /// If the settings name files or addresses that cannot be used.
 pub async fn run_side(settings: SideSettings, stop: Receiver<()>) -> eyre::Result<()> {
     let telemetry = Telemetry::new(settings.metrics.statsd)?;
-    let ends = tls_ends(&settings.tls)?;
+    let tls = tls_ends(&settings.tls)?;
     let daemon = Daemon::new(
         (settings.host.clone(), settings.failure_domain.clone(), Role::Side),
         settings.log.clone(),
@@ -48,31 +48,42 @@
         settings.heartbeat.clone(),
         telemetry.clone(),
     );
-    let endpoint = bind(ends.server, settings.peer_listen)?;
-    let local = endpoint.local_addr()?;
+    let endpoint = bind(tls.server, settings.peer_listen)?;
+    let local_addr = endpoint.local_addr()?;
     let side = Arc::new(Side::new(daemon, settings));
     side.daemon.telemetry.info(
         "side_started",
-        &[("host", &side.daemon.host), ("peer", &local), ("incarnation", &side.daemon.incarnation)],
+        &[
+            ("host", &side.daemon.host),
+            ("peer", &local_addr),
+            ("incarnation", &side.daemon.incarnation),
+        ],
     );
     let mut tasks = Vec::new();
-    tasks.push(spawn(&side, |s| async move { s.daemon.follow_hosts().await }));
-    tasks.push(spawn(&side, |s| async move { follow_engines(&s).await }));
-    tasks.push(spawn(&side, |s| async move { give_orders(&s).await }));
-    tasks.push(spawn(&side, |s| async move { refuse_withdrawn(&s).await }));
-    tasks.push(spawn(&side, |s| async move {
-        let is_relaxed = || !s.links().is_empty() && !s.daemon.is_reader();
-        let d = &s.daemon;
-        feed(&d.store, &d.log, &d.log_settings, &d.telemetry, is_relaxed).await;
+    tasks.push(spawn(&side, |side| async move { side.daemon.follow_hosts().await }));
+    tasks.push(spawn(&side, |side| async move { poll_engine_loads(&side).await }));
+    tasks.push(spawn(&side, |side| async move { reconcile_engines(&side).await }));
+    tasks.push(spawn(&side, |side| async move { reject_withdrawn(&side).await }));
+    tasks.push(spawn(&side, |side| async move {
+        let is_relaxed = || !side.links().is_empty() && !side.daemon.is_reader();
+        let daemon = &side.daemon;
+        feed(&daemon.store, &daemon.log, &daemon.log_settings, &daemon.telemetry, is_relaxed).await;
     }));
-    tasks.push(spawn(&side, |s| async move {
-        let d = &s.daemon;
-        write_snapshots(&d.store, &d.log, &d.log_settings, &d.telemetry, || d.is_reader()).await;
+    tasks.push(spawn(&side, |side| async move {
+        let daemon = &side.daemon;
+        write_snapshots(
+            &daemon.store,
+            &daemon.log,
+            &daemon.log_settings,
+            &daemon.telemetry,
+            || daemon.is_reader(),
+        )
+        .await;
     }));
-    tasks.push(spawn(&side, |s| async move { s.bills.ship(&s.daemon, |_| {}).await }));
+    tasks.push(spawn(&side, |side| async move { side.bills.ship(&side.daemon, |_| {}).await }));
     let accepting = {
         let side = side.clone();
-        let handler = move |conn, call, tx, rx| handle(side.clone(), conn, call, tx, rx);
+        let handler = move |conn, call, tx, rx| handle_call(side.clone(), conn, call, tx, rx);
         smol::spawn(serve(endpoint.clone(), telemetry.clone(), handler))
     };
     stop.recv().await.ok();
@@ -92,7 +103,7 @@
     smol::spawn(f(side.clone()))
 }
 
-async fn handle(
+async fn handle_call(
     side: Arc<Side>,
     conn: Connection,
     call: Call,
@@ -102,18 +113,18 @@
     match call {
         // Boxed, so that a small call does not carry the state of a run.
         Call::Control(hello) => {
-            Box::pin(control(&side, &conn, hello, tx.into(), rx.into())).await;
+            Box::pin(serve_control(&side, &conn, hello, tx.into(), rx.into())).await;
         }
-        Call::Run(call) => Box::pin(run(&side, *call, tx.into())).await,
+        Call::Run(call) => Box::pin(run_request(&side, *call, tx.into())).await,
         other => {
-            tx.send(&answer(&side, other)).await.ok();
+            tx.send(&answer_call(&side, other)).await.ok();
             tx.finish();
         }
     }
 }
 
 /// Runs the control stream that an entry has opened.
-async fn control(
+async fn serve_control(
     side: &Arc<Side>,
     conn: &Connection,
     hello: Hello,
@@ -125,35 +136,35 @@
     }
     let link = Arc::new(Link::new(&side.daemon, false));
     side.add_link(&link);
-    let told = Mutex::new(Told::default());
+    let sent_loads = Mutex::new(SentLoads::default());
     let events = LinkEvents {
         on_beat: &|_, _| {},
         on_confirmed: &|ids| side.bills.forget(&ids),
-        on_hold: &|bills| hold(side, bills),
+        on_hold: &|bills| hold_bills(side, bills),
         on_held: &|ids| side.bills.forget(&ids),
         is_leaving: &|| side.is_leaving(),
         loads: &|| {
-            let mut told = told.lock().unwrap_or_else(PoisonError::into_inner);
-            told.changes(side, side.daemon.now())
+            let mut sent_loads = sent_loads.lock().unwrap_or_else(PoisonError::into_inner);
+            sent_loads.take_due(side, side.daemon.now())
         },
     };
-    let peer = peer_name(&hello.host, conn);
+    let peer = peer_label(&hello.host, conn);
     side.daemon.telemetry.info("peer_connected", &[("peer", &peer)]);
     let ended = run_control(&side.daemon, &link, (&peer, conn), tx, rx, &events).await;
     side.daemon.telemetry.info("peer_gone", &[("peer", &peer), ("why", &ended)]);
 }
 
-fn peer_name(host: &HostId, conn: &Connection) -> String {
+fn peer_label(host: &HostId, conn: &Connection) -> String {
     format!("{host}@{}", conn.remote_address())
 }
 
 /// Refuses what waits for a version that was withdrawn, at each change.
-async fn refuse_withdrawn(side: &Side) {
+async fn reject_withdrawn(side: &Side) {
     loop {
         let changed = side.daemon.store.changed();
         let config = side.daemon.store.current();
         for backend in side.backends.values() {
-            backend.refuse_if(|version| {
+            backend.reject_queued(|version| {
                 config.version(version).is_none_or(|spec| spec.withdrawn_at.is_some())
             });
         }
@@ -163,37 +174,37 @@
 
 /// Lets runs end, then sees to it that no bill is lost.
 async fn shut_down(side: &Arc<Side>) {
-    side.leave();
-    tell(side);
-    side.daemon.telemetry.info("draining", &[("running", &side.running())]);
+    side.start_leaving();
+    broadcast_heartbeat(side);
+    side.daemon.telemetry.info("draining", &[("running", &side.running_count())]);
     let drained = async {
-        while side.running() > 0 {
-            Timer::after(span(STOP_POLL)).await;
+        while side.running_count() > 0 {
+            Timer::after(span(STOP_POLL_INTERVAL)).await;
         }
     };
     if within(side.settings.queue.drain_ms, drained).await.is_none() {
-        side.daemon.telemetry.warn("drain_cut", &[("running", &side.running())]);
+        side.daemon.telemetry.warn("drain_cut", &[("running", &side.running_count())]);
     }
-    if !side.bills.flush(FLUSH_LIMIT).await {
-        hand_over(side).await;
+    if !side.bills.flush(FLUSH_TIMEOUT).await {
+        transfer_bills(side).await;
     }
     if side.bills.len() > 0 {
         // The entries hold the other copies; only if they die too are these lost.
         side.daemon.telemetry.warn("bills_left", &[("bills", &side.bills.len())]);
     }
-    Timer::after(span(LINGER)).await;
+    Timer::after(span(CLOSE_DELAY)).await;
 }
 
 /// Gives the unconfirmed bills to an entry, which says so on the control stream.
-async fn hand_over(side: &Arc<Side>) {
+async fn transfer_bills(side: &Arc<Side>) {
     for link in side.links() {
         link.send(Control::Hold(side.bills.all()));
         let held = async {
             while side.bills.len() > 0 {
-                Timer::after(span(STOP_POLL)).await;
+                Timer::after(span(STOP_POLL_INTERVAL)).await;
             }
         };
-        if within(HAND_OVER_LIMIT, held).await.is_some() {
+        if within(TRANSFER_TIMEOUT, held).await.is_some() {
             side.daemon.telemetry.info("bills_handed_over", &[]);
             return;
         }
