--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -1,4 +1,4 @@
-//! One backend server: the queue before it, and what is known of its load.
+//! One backend server: its request queue and its current load.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,10 +12,10 @@
 use crate::settings::{BackendKind, BackendSettings, QueueSettings};
 use crate::wire::Load;
 
-/// Part of a new measurement in the smoothed time to the first token: one eighth.
+/// Inverse weight of a new sample in the moving average of the time to first token.
 const FIRST_TOKEN_SMOOTHING: u64 = 8;
 
-/// What waits in the queue: the way to tell the request, and its version.
+/// A queued request: the channel for its admission result, and the version that it needs.
 #[derive(Debug)]
 struct QueuedRequest {
     result_tx: Sender<Result<Permit, ErrorKind>>,
@@ -41,7 +41,7 @@
     state: Mutex<State>,
 }
 
-/// Permission to run a request; dropping it lets the next one run.
+/// Permission to run a request; dropping it frees the slot and dispatches the next request.
 #[derive(Debug)]
 pub(crate) struct Permit {
     backend: Arc<Backend>,
@@ -77,7 +77,8 @@
             reported_busy: 0,
             versions: Vec::new(),
             smoothed_first_token: Millis(20),
-            // A plain service does not say how it is: it is up until calls fail.
+            // A plain service sends no load reports: it counts as up, and only failed calls show
+            // that it is down.
             is_up: settings.kind == BackendKind::Service,
         };
         Self { settings, clock, state: Mutex::new(state) }
@@ -87,7 +88,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an engine's report.
+    /// Records the load that an engine reported, and marks it as up.
     pub(crate) fn record_engine_load(&self, load: EngineLoad) {
         let mut state = self.lock();
         state.reported_busy = load.running + load.waiting;
@@ -96,7 +97,7 @@
         state.is_up = true;
     }
 
-    /// Notes that an engine did not report.
+    /// Marks an engine as down after a failed load report.
     pub(crate) fn mark_down(&self) {
         self.lock().is_up = false;
     }
@@ -109,7 +110,7 @@
         self.lock().versions.clone()
     }
 
-    /// Notes how long a request that did not wait took to its first byte.
+    /// Adds a sample to the moving average of the time from sending a request to its first byte.
     pub(crate) fn record_first_token_time(&self, elapsed: Millis) {
         let mut state = self.lock();
         let previous = state.smoothed_first_token.0;
@@ -118,8 +119,10 @@
         );
     }
 
-    /// Returns the load as entries are told it: what this side sent itself is known at once, the
-    /// engine's own report counts where it is higher.
+    /// Returns the load that is reported to the entries.
+    ///
+    /// The busy slots are the requests that this side runs and queues, which need no poll to be
+    /// current, or the engine's last report if that is higher.
     pub(crate) fn load(&self) -> Load {
         let state = self.lock();
         let own_busy = state.running + state.queue.len() as u32;
@@ -137,12 +140,13 @@
         }
     }
 
-    /// Waits for permission to run.
+    /// Queues a request and waits for permission to run it.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Overloaded`] at once if the queue is full or the deadline cannot be met, and
-    /// whatever happened to the request while it waited.
+    /// [`ErrorKind::Overloaded`] at once if the queue is full or the estimated start is after the
+    /// deadline. While the request waits: [`ErrorKind::DeadlinePassed`], [`ErrorKind::Withdrawn`]
+    /// if its version is withdrawn, or [`ErrorKind::Stopping`].
     pub(crate) async fn admit(self: &Arc<Self>, request: Admission) -> Result<Permit, ErrorKind> {
         let (tx, rx) = bounded(1);
         let queued = QueuedRequest { result_tx: tx, version: request.version };
@@ -174,8 +178,10 @@
         }
     }
 
-    /// Gives free slots to those who wait. Permits are sent without the lock: one whose receiver
-    /// has gone is dropped here, and dropping it takes the lock.
+    /// Gives free slots to queued requests.
+    ///
+    /// Permits are sent without holding the lock: if the receiver was dropped, the permit is
+    /// dropped here, and its `Drop` takes the lock.
     fn dispatch(self: &Arc<Self>) {
         let now = self.clock.now();
         loop {
@@ -198,7 +204,7 @@
         }
     }
 
-    /// Refuses those who wait for a version that is withdrawn.
+    /// Rejects queued requests for withdrawn versions.
     pub(crate) fn reject_queued(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
         let waits_for_withdrawn =
             |queued: &QueuedRequest| queued.version.as_ref().is_some_and(&is_withdrawn);
--- a/src/side/context.rs
+++ b/src/side/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a side share.
+//! State shared by the tasks of a side.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,10 +12,10 @@
 use crate::peer::Link;
 use crate::settings::SideSettings;
 
-/// Memory for the answers of calls that may not be repeated.
+/// Memory limit for the stored response bodies of calls that must not be run twice.
 const MAX_CALL_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// What the parts of a side share.
+/// State shared by the tasks of a side.
 #[derive(Debug)]
 pub(crate) struct Side {
     pub(crate) daemon: Daemon,
@@ -30,7 +30,7 @@
     links: Mutex<Vec<Weak<Link>>>,
 }
 
-/// Counts a run until it is dropped.
+/// Counts as a run in progress until it is dropped.
 pub(crate) struct RunGuard<'a>(&'a AtomicUsize);
 
 impl Drop for RunGuard<'_> {
@@ -83,10 +83,14 @@
         self.is_leaving.load(Ordering::SeqCst)
     }
 
-    /// Counts a run, unless the process is leaving.
+    /// Counts a run in progress.
     ///
-    /// The count goes up before the flag is read, and a stop sets the flag before it reads the
-    /// count: whichever comes first, a run is either refused or waited for.
+    /// The counter is incremented before the flag is read, and the shutdown sets the flag before it
+    /// reads the counter. In either order, a run is rejected or the shutdown waits for it.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::Stopping`] if the process is shutting down.
     pub(crate) fn begin_run(&self) -> Result<RunGuard<'_>, ErrorKind> {
         self.running_count.fetch_add(1, Ordering::SeqCst);
         let guard = RunGuard(&self.running_count);
@@ -108,7 +112,7 @@
         links.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Refuses new work from now on.
+    /// Rejects new runs from now on.
     pub(crate) fn start_leaving(&self) {
         self.is_leaving.store(true, Ordering::SeqCst);
     }
--- a/src/side/load_reports.rs
+++ b/src/side/load_reports.rs
@@ -1,4 +1,4 @@
-//! What entries are told of the backend servers' load, within a budget of bytes.
+//! Polls the engines' load and reports it to the entries, within a byte budget.
 
 use std::collections::BTreeMap;
 use std::sync::PoisonError;
@@ -12,13 +12,14 @@
 use crate::settings::BackendKind;
 use crate::wire::Load;
 
-/// Bytes of one load in a heartbeat, without names.
+/// Estimated encoded size of one load in a heartbeat, without the version names.
 const LOAD_FIXED_BYTES: u64 = 24;
 
-/// A load is told again when its busy slots moved by more than a slot and this part of all.
+/// A load is reported again when its busy slots changed by more than one slot and by more than the
+/// total slots divided by this.
 const REPORT_CHANGE_DIVISOR: u32 = 8;
 
-/// Asks the engines for their load, for ever.
+/// Polls the engines for their load, forever.
 pub(crate) async fn poll_engine_loads(side: &Side) {
     let mut last_states = BTreeMap::new();
     loop {
@@ -51,7 +52,7 @@
     }
 }
 
-/// Tells all entries at once, without waiting for their next heartbeat.
+/// Sends a heartbeat with all loads to every connected entry, outside the heartbeat interval.
 pub(crate) fn broadcast_heartbeat(side: &Side) {
     for link in side.links() {
         link.send(crate::wire::Control::Beat(crate::wire::Beat {
@@ -63,13 +64,14 @@
     }
 }
 
-/// Loads as they were last told on one link.
+/// The loads that were last sent on one link, by backend server.
 #[derive(Debug, Default)]
 pub(crate) struct SentLoads(BTreeMap<String, Load>);
 
 impl SentLoads {
-    /// Returns the loads that changed enough to be told, as far as the budget goes; what does not
-    /// fit is told with a later heartbeat, since it still differs from what was told.
+    /// Returns the loads that changed enough to be sent, within the byte budget, and records them
+    /// as sent. A load over the budget still differs from the one last sent, so that a later
+    /// heartbeat carries it.
     pub(crate) fn take_due(&mut self, side: &Side, now: Millis) -> Vec<Load> {
         let mut due = Vec::new();
         for (name, backend) in &side.backends {
--- a/src/side/mod.rs
+++ b/src/side/mod.rs
@@ -1,4 +1,8 @@
-//! The side: the last word before a backend server.
+//! The side: the process on a backend host that admits requests and runs them on its backend
+//! servers.
+//!
+//! It repeats the entry's access checks against its own, possibly newer, configuration before each
+//! run.
 
 mod backend;
 mod context;
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -1,7 +1,8 @@
-//! Orders to the engines: that they have loaded what the placements say.
+//! Reconciles the model versions that the engines have loaded with the placements.
 //!
-//! Orders are declarative, and given again until the engine's report shows them done. What the
-//! engine has loaded is all that counts: a roll-out that broke off goes on from there.
+//! An order is declarative: it lists the versions that the engine must have loaded, and it is
+//! repeated until the engine's load report lists them. No other progress is stored, so that an
+//! interrupted rollout resumes from what the engine has loaded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,32 +22,33 @@
 
 const PAGE_RECORDS: usize = 1_000;
 
-/// Longest pause of an engine that waits for its turn.
+/// Longest pause between two attempts to reconcile an engine.
 const MAX_BACKOFF: Millis = Millis(30_000);
 
-/// This side's claim to its engines.
+/// This side's claim to the engines of its host, as appended to the log.
 #[derive(Clone, Copy, Debug)]
 struct EngineClaim {
     id: ClaimId,
-    /// Fencing number: the claim's offset.
+    /// The offset of the claim; engines reject orders with a lower token than the highest received.
     fencing_token: Offset,
 }
 
-/// What a side keeps between its looks at the engines.
+/// State kept between reconciliations.
 #[derive(Debug, Default)]
 struct OrderState {
     claim: Option<EngineClaim>,
     loads_by_version: BTreeMap<VersionName, LoadFold>,
-    /// Versions of which no load of this host goes on by the log.
+    /// Versions for which the log has no active load of this host.
     ended_loads: BTreeSet<VersionName>,
-    /// Pause of each engine that had to wait, and when it ends.
+    /// Current backoff of each engine whose reconciliation failed, and the time of the next
+    /// attempt.
     backoffs: BTreeMap<String, (Millis, Millis)>,
 }
 
-/// Why no order was given.
+/// Why an engine was not reconciled.
 #[derive(Debug)]
 enum NotOrdered {
-    /// Another side has claimed the engines after this one: it never orders again.
+    /// A later claim of another side is in the log; this side must never send orders again.
     Superseded,
     RetryLater(String),
 }
@@ -57,14 +59,14 @@
     }
 }
 
-/// What the placements say of this host.
+/// What the placements require of this host.
 struct DesiredState {
     versions: Vec<VersionName>,
-    /// Loads of one version that may go on at once.
+    /// Hosts that may load the same version at the same time.
     limit: u32,
 }
 
-/// Sees to it that the engines have loaded what the placements say, until another side takes over.
+/// Orders the engines to load what the placements require, until another side claims them.
 pub(crate) async fn reconcile_engines(side: &Side) {
     let mut state = OrderState::default();
     let mut offset = Offset(0);
@@ -103,8 +105,9 @@
     }
 }
 
-/// Doubles an engine's pause, up to a bound: of hundreds of hosts that wait for their turn, each
-/// looks at the log less and less often.
+/// Doubles an engine's backoff up to a limit and returns it.
+///
+/// Hundreds of hosts may wait for a load slot; the backoff limits how often they read the log.
 fn back_off(side: &Side, state: &mut OrderState, name: &str) -> Millis {
     let min_backoff = side.settings.orders.every_ms;
     let last_backoff = state.backoffs.get(name).map_or(Millis(0), |(backoff, _)| *backoff);
@@ -174,11 +177,14 @@
     read_loads(side, &stream_name, loads).await?;
     let active_elsewhere = loads.active_beside(&side.daemon.host, wall());
     if active_elsewhere >= desired.limit as usize {
-        return Err(NotOrdered::RetryLater(format!("{active_elsewhere} loads go on")));
+        return Err(NotOrdered::RetryLater(format!(
+            "{active_elsewhere} loads are active on other hosts"
+        )));
     }
-    // A load of this host that the log knows of was begun by a side before this one, or ordered
-    // without a clear answer: the engine may be at it still. Its turn is taken over, and not given
-    // back before the engine has the version; given back sooner, two engines would load at once.
+    // An active load of this host in the log was begun by a previous side process, or its order had
+    // no clear answer, so the engine may still be loading. This side takes over the load slot and
+    // keeps it until the engine has the version: if it released the slot earlier, more hosts than
+    // allowed could load at the same time.
     let inherited_slot = loads.active_of(&side.daemon.host);
     let id = match inherited_slot {
         Some(id) => id,
@@ -188,7 +194,7 @@
     let outcome = match ask_weight_store(side, next_version).await {
         Ok(()) => {
             may_be_loading = true;
-            // Versions are added one by one, so that each load is counted.
+            // Versions are added one at a time, so that each load takes a slot of its own.
             let mut next = loaded.clone();
             next.retain(|v| desired.versions.contains(v));
             next.push((*next_version).clone());
@@ -199,7 +205,8 @@
     state.ended_loads.remove(*next_version);
     let has_ended = match &outcome {
         Ok(()) => true,
-        // The engine was not ordered to load, or refused to. A turn that was taken over is the successor's.
+        // The engine got no order or rejected it. An inherited slot now belongs to the side with
+        // the later claim.
         Err(NotOrdered::Superseded) => inherited_slot.is_none(),
         Err(NotOrdered::RetryLater(_)) => !may_be_loading,
     };
@@ -215,10 +222,11 @@
     side.daemon.log.append(name, end).await.map(drop)
 }
 
-/// Ends loads of this host that the log believes to go on, although the engine has the versions.
+/// Ends loads of this host that are active in the log although the engine has the versions.
 ///
-/// A side that dies in a load leaves its turn taken; its engine finishes by itself, so that the next
-/// side has no load to make. Were the turn not given back, the other hosts would wait ten minutes.
+/// If a side process dies during a load, its load slot stays taken, and the engine finishes the
+/// load without it. The next side process has nothing to load and must release the slot, or the
+/// other hosts would wait for the load timeout, which is ten minutes.
 async fn end_finished_loads(
     side: &Side,
     state: &mut OrderState,
@@ -243,7 +251,9 @@
     Ok(())
 }
 
-/// Claims the engines of this host. The claim is looked for by its id if its answer was lost.
+/// Claims the engines of this host by an append to the log.
+///
+/// If the result of the append is unknown, the claim is searched in the log by its id.
 async fn claim_engines(side: &Side) -> Result<EngineClaim, NotOrdered> {
     let id = new_claim_id();
     let record = FenceRecord { id, host: side.daemon.host.clone() };
@@ -273,12 +283,12 @@
     Ok(parsed.collect())
 }
 
-/// Gives an order, after a fresh look at the log.
+/// Sends an order to an engine, after a check of the log for later claims.
 ///
-/// A side that was paused and wakes would otherwise give orders although its successor has claimed
-/// the engines; engines that check the fencing number refuse it anyway, others do not. A pause in
-/// the moment between look and order is what remains: the successor sees the wrong state in the
-/// engine's next report and orders again.
+/// Without the check, a side process that was paused could send orders after its successor has
+/// claimed the engines. Engines that check the fencing token reject such an order, but others
+/// accept it. A pause between the check and the order remains possible: the successor then finds
+/// the wrong versions in the engine's next load report and sends its own order again.
 async fn send_order(
     side: &Side,
     backend: &Backend,
@@ -292,7 +302,9 @@
     }
     let settings = &side.settings.orders;
     if side.daemon.now().since(checked_at) > settings.fence_age_ms {
-        return Err(NotOrdered::RetryLater("the look at the log took too long".to_owned()));
+        return Err(NotOrdered::RetryLater(
+            "reading later claims from the log took too long".to_owned(),
+        ));
     }
     let addr = backend.settings.address;
     let http = &side.daemon.http;
@@ -321,7 +333,7 @@
     }
 }
 
-/// Reads a version's stream of loads up to its end.
+/// Applies the records of a version's load stream up to its end.
 async fn read_loads(side: &Side, name: &str, loads: &mut LoadFold) -> Result<(), NotOrdered> {
     loop {
         let from = Offset(loads.offset().0 + 1);
@@ -335,7 +347,9 @@
     }
 }
 
-/// Takes a place among the loads that go on; the log's order decides between several that ask.
+/// Claims one of the limited slots for concurrent loads of a version.
+///
+/// If several hosts claim a slot at the same time, the order of their records in the log decides.
 async fn claim_load_slot(
     side: &Side,
     name: &str,
@@ -354,7 +368,7 @@
     read_loads(side, name, loads).await?;
     match loads.is_granted(id) {
         true => Ok(id),
-        false => Err(NotOrdered::RetryLater("others were faster".to_owned())),
+        false => Err(NotOrdered::RetryLater("other hosts claimed the load slots first".to_owned())),
     }
 }
 
@@ -363,7 +377,7 @@
     match ask_to_load(&side.daemon.http, addr, version).await {
         Asked::Granted => Ok(()),
         Asked::Later(after) => {
-            Err(NotOrdered::RetryLater(format!("the weight store says to come back in {after} ms")))
+            Err(NotOrdered::RetryLater(format!("the weight store asks to retry after {after} ms")))
         }
     }
 }
--- a/src/side/requests.rs
+++ b/src/side/requests.rs
@@ -1,4 +1,4 @@
-//! Calls to a side that are not runs.
+//! Calls to a side other than runs and control streams.
 
 use std::sync::atomic::Ordering;
 
@@ -9,7 +9,7 @@
 use crate::clock::wall;
 use crate::wire::{Call, Closed, Outcome, Reply};
 
-/// Answers a call that is neither a run nor a control stream.
+/// Handles a call that is neither a run nor a control stream.
 pub(crate) fn answer_call(side: &Side, call: Call) -> Reply {
     let now = side.daemon.now();
     match call {
@@ -59,7 +59,9 @@
     }
 }
 
-/// Holds bills that another process hands over; they are appended from here, soon.
+/// Stores bills received from another process, which are due for appending at once.
+///
+/// Returns the ids of the bills that fitted.
 pub(crate) fn hold_bills(side: &Side, bills: Vec<Bill>) -> Vec<KeyHash> {
     let mut held_ids = Vec::new();
     for bill in bills {
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -1,4 +1,4 @@
-//! Running a request at a backend server.
+//! Runs a request on a backend server and forwards the response to the entry.
 
 use std::sync::Arc;
 
@@ -19,19 +19,19 @@
     FrameWriter, LoadChange, RunCall, RunEnd, RunFailed, RunFrame, RunHead, Usage, WireError,
 };
 
-/// Bytes read from a backend server at once.
+/// Size of the read buffer for a response body.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Bytes of an answer's end that are kept to read its usage from.
+/// Bytes kept from the end of a streamed response, to parse its token usage.
 const TAIL_BYTES: usize = 8 * 1024;
 
-/// Last event of a streamed answer; one without it was cut.
+/// Last event of a streamed response; a stream without it is truncated.
 const STREAM_END_EVENT: &[u8] = b"data: [DONE]";
 
-/// Tokens that stand for a request whose answer names no usage.
+/// Tokens charged for a response that reports no usage.
 const TOKENS_WITHOUT_USAGE: u64 = 0;
 
-/// Why a run has no whole answer, and what that says about the run.
+/// Why a run has no complete response, and whether the request may have run.
 struct Failure {
     kind: ErrorKind,
     run: RunState,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Runs a request and sends its answer, or the reason why there is none.
+/// Runs a request and sends its response, or a [`RunFailed`] with the reason, to the entry.
 pub(crate) async fn run_request(side: &Side, call: RunCall, mut tx: FrameWriter<RunFrame>) {
     let head = call.head;
     let mut claimed_id = None;
@@ -125,7 +125,7 @@
     outcome
 }
 
-/// Waits for the records that the entry decided by and this side has not yet.
+/// Waits until this side has the configuration by which the entry made its decision.
 async fn wait_for_config(side: &Side, offset: Offset) -> Result<(), Failure> {
     let limit = side.settings.queue.config_wait_ms;
     match side.daemon.store.reaches(offset, limit).await {
@@ -134,7 +134,8 @@
     }
 }
 
-/// Checks the request against the newest configuration of this side.
+/// Checks the request against the current configuration of this side, which may be newer than the
+/// entry's.
 fn check_allowed(side: &Side, call: &RunCall) -> Result<(), Failure> {
     let config = side.daemon.store.current();
     let denied = |kind| Failure::new(kind, format!("by the side, at offset {}", config.offset));
@@ -172,7 +173,7 @@
     }
 }
 
-/// Waits for a future unless the entry stops wanting the answer.
+/// Awaits a future; fails if the entry cancels the call first.
 async fn unless_cancelled<T>(
     tx: &FrameWriter<RunFrame>,
     future: impl Future<Output = T>,
@@ -199,7 +200,7 @@
     built.map_err(|e| Failure::new(ErrorKind::BadRequest, e.to_string()))
 }
 
-/// Sends the request to the backend server and its answer to the entry.
+/// Sends the request to the backend server and forwards the response to the entry.
 async fn forward_response(
     side: &Side,
     call: &RunCall,
@@ -222,7 +223,7 @@
     };
     let status = u16::from(res.status());
     match (call.version.is_some(), status) {
-        // Engines answer so before they begin.
+        // Engines send this status before they start to run the request.
         (true, 404) => return Err(Failure::new(ErrorKind::NoBackend, "version is not loaded")),
         (true, 500..) => {
             return Err(Failure::new(ErrorKind::BackendFailed, format!("status {status}")));
@@ -260,12 +261,12 @@
     Ok(())
 }
 
-/// What is known of a body after it was copied.
+/// A response body after it was forwarded.
 struct ForwardedBody {
     length: u64,
     checksum: u64,
     tail: Vec<u8>,
-    /// The whole body, for a call that may not be repeated.
+    /// The whole body, stored only for a call that must not be run twice.
     full_body: Option<Vec<u8>>,
 }
 
@@ -332,7 +333,8 @@
     }
 }
 
-/// Says whether an engine's answer lacks its end. Plain services are judged by their length.
+/// Returns whether an engine's response is truncated. Responses of plain services are checked only
+/// against their `Content-Length`.
 fn is_truncated(call: &RunCall, tail: &[u8]) -> bool {
     match (call.version.is_some(), call.stream) {
         (true, true) => !tail.windows(STREAM_END_EVENT.len()).any(|w| w == STREAM_END_EVENT),
@@ -357,8 +359,10 @@
     }
 }
 
-/// Makes the bill and holds a copy of it, before the entry can give the answer's end to the
-/// caller: if the entry dies right after that, the bill is appended from here.
+/// Creates the bill and stores a copy of it in this process.
+///
+/// This happens before the entry can send the end of the response to the caller: if the entry dies
+/// right after that, this side appends the bill to the log.
 fn make_bill(side: &Side, call: &RunCall, status: u16, usage: Usage) -> Option<Bill> {
     let (id, version) = billed_version(call, status)?;
     let bill = Bill {
@@ -385,7 +389,7 @@
     }
 }
 
-/// Waits until the version is withdrawn in a way that cuts its streams.
+/// Waits until the version is withdrawn with the setting that cancels its streams.
 async fn cancelling_withdrawal(side: &Side, version: Option<&VersionName>) {
     let Some(version) = version else { return std::future::pending().await };
     loop {
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -21,19 +21,20 @@
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, Reply, Role};
 use redwingfold_telemetry::Telemetry;
 
-/// Wait for the log at a stop before bills are handed to an entry instead.
+/// Timeout for appending the remaining bills at shutdown; after it, they are transferred to an
+/// entry.
 const FLUSH_TIMEOUT: Millis = Millis(3_000);
 
-/// Wait for an entry to take bills over.
+/// Timeout for one entry to confirm that it holds the transferred bills.
 const TRANSFER_TIMEOUT: Millis = Millis(5_000);
 
-/// Pause between looks at what a stop waits for.
+/// Interval between checks of what the shutdown waits for.
 const STOP_POLL_INTERVAL: Millis = Millis(20);
 
-/// Time after the last run in which what was sent can still leave.
+/// Delay before the connections are closed, so that messages already queued are still sent.
 const CLOSE_DELAY: Millis = Millis(200);
 
-/// Runs a side until `stop` says so and everything under way has ended.
+/// Runs a side until `stop` receives a message or is closed, then drains the runs in progress.
 ///
 /// # Errors
 ///
@@ -111,7 +112,7 @@
     rx: FrameReader<Call>,
 ) {
     match call {
-        // Boxed, so that a small call does not carry the state of a run.
+        // Boxed, so that the future of a small call is not as large as that of a run.
         Call::Control(hello) => {
             Box::pin(serve_control(&side, &conn, hello, tx.into(), rx.into())).await;
         }
@@ -123,7 +124,7 @@
     }
 }
 
-/// Runs the control stream that an entry has opened.
+/// Runs the control stream that an entry opened.
 async fn serve_control(
     side: &Arc<Side>,
     conn: &Connection,
@@ -158,7 +159,7 @@
     format!("{host}@{}", conn.remote_address())
 }
 
-/// Refuses what waits for a version that was withdrawn, at each change.
+/// Rejects queued requests for withdrawn versions, at each configuration change.
 async fn reject_withdrawn(side: &Side) {
     loop {
         let changed = side.daemon.store.changed();
@@ -172,7 +173,7 @@
     }
 }
 
-/// Lets runs end, then sees to it that no bill is lost.
+/// Waits for the runs in progress, then appends or transfers the remaining bills.
 async fn shut_down(side: &Arc<Side>) {
     side.start_leaving();
     broadcast_heartbeat(side);
@@ -189,13 +190,14 @@
         transfer_bills(side).await;
     }
     if side.bills.len() > 0 {
-        // The entries hold the other copies; only if they die too are these lost.
+        // The entries hold the other copies. The bills are lost only if those entries die too.
         side.daemon.telemetry.warn("bills_left", &[("bills", &side.bills.len())]);
     }
     Timer::after(span(CLOSE_DELAY)).await;
 }
 
-/// Gives the unconfirmed bills to an entry, which says so on the control stream.
+/// Sends the unconfirmed bills to one entry after the other, until one confirms on the control
+/// stream that it holds them.
 async fn transfer_bills(side: &Arc<Side>) {
     for link in side.links() {
         link.send(Control::Hold(side.bills.all()));
