--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -253,7 +253,7 @@
 
 /// Claims the engines of this host by an append to the log.
 ///
-/// If the result of the append is unknown, the claim is searched in the log by its id.
+/// If the result of the append is unknown, the log is searched for the claim's id.
 async fn claim_engines(side: &Side) -> Result<EngineClaim, NotOrdered> {
     let id = new_claim_id();
     let record = FenceRecord { id, host: side.daemon.host.clone() };
