--- a/http/src/conn.rs
+++ b/http/src/conn.rs
@@ -48,11 +48,11 @@
             return Poll::Ready(Ok(0));
         }
         let n = ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        let before = self.state.bytes_read.fetch_add(n, Ordering::Relaxed);
+        let bytes_before = self.state.bytes_read.fetch_add(n, Ordering::Relaxed);
         match n {
             0 => self.state.is_peer_closed.store(true, Ordering::Relaxed),
             _ if self.state.is_head_read.load(Ordering::Relaxed) => {}
-            n if before + n > MAX_HEAD_READ_BYTES => {
+            n if bytes_before + n > MAX_HEAD_READ_BYTES => {
                 return Poll::Ready(Err(io::Error::new(
                     io::ErrorKind::InvalidData,
                     "request head exceeds the size limit",
--- a/http/src/server.rs
+++ b/http/src/server.rs
@@ -235,13 +235,13 @@
 /// got a reset instead of its response.
 async fn close_gracefully(mut stream: TcpStream) {
     stream.close().await.ok();
-    let mut rest = [0; 16 * 1024];
-    let drained = async {
-        while matches!(futures_lite::AsyncReadExt::read(&mut stream, &mut rest).await, Ok(n) if n > 0)
+    let mut discard_buf = [0; 16 * 1024];
+    let discarded = async {
+        while matches!(futures_lite::AsyncReadExt::read(&mut stream, &mut discard_buf).await, Ok(n) if n > 0)
         {
         }
     };
-    drained
+    discarded
         .or(async {
             Timer::after(LINGER_TIMEOUT).await;
         })
--- a/http/tests/slow_answers.rs
+++ b/http/tests/slow_answers.rs
@@ -6,7 +6,7 @@
 
 use redwingfold_http::{CallError, CallTimeout, Client, Method};
 
-const MAX: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 const CHUNK: [u8; 1024] = [b'x'; 1024];
 
@@ -38,8 +38,8 @@
 
 fn read(addr: SocketAddr, timeout: CallTimeout) -> Result<usize, CallError> {
     let client = Client::default();
-    let call = client.call(Method::Get, addr, "/records", None, timeout, MAX);
-    smol::block_on(call).map(|answer| answer.body.len())
+    let call = client.call(Method::Get, addr, "/records", None, timeout, MAX_BODY_BYTES);
+    smol::block_on(call).map(|response| response.body.len())
 }
 
 /// A page of the log takes longer than the timeout to arrive over a slow link. With a timeout on the whole call, the
--- a/src/config_store/tests.rs
+++ b/src/config_store/tests.rs
@@ -6,7 +6,7 @@
 use redwingfold_telemetry::Telemetry;
 
 fn store() -> ConfigStore {
-    ConfigStore::new(Telemetry::quiet().expect("a quiet logger"))
+    ConfigStore::new(Telemetry::disabled().expect("a quiet logger"))
 }
 
 fn record(offset: u64) -> (Offset, Vec<u8>) {
--- a/src/ctl/context.rs
+++ b/src/ctl/context.rs
@@ -32,7 +32,7 @@
         let settings = read(&args.settings, &CtlSettings::example())?;
         Ok(Self {
             json: args.json,
-            store: ConfigStore::new(Telemetry::quiet()?),
+            store: ConfigStore::new(Telemetry::disabled()?),
             log: LogClient::new(&settings.log),
             tls: tls_ends(&settings.tls)?,
             settings,
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -56,7 +56,7 @@
     let head = call.head;
     let backend = call.backend.clone();
     link.count_sent(&call.backend);
-    let call_guard = link.link.begin_call();
+    let call_guard = link.peer_link.begin_call();
     let not_sent = |e: String| RequestError::new(ErrorKind::NoBackend, e);
     // Opening a stream sends nothing, so a failure here means that nothing has run.
     let (send, recv) = link.conn.open_bi().await.map_err(|e| not_sent(e.to_string()))?;
@@ -95,7 +95,7 @@
     /// Reads the next frame; a frame of another run is an error.
     async fn read_frame(&mut self) -> Result<RunFrame, AttemptError> {
         let frame = self.rx.next().await.map_err(|e| wire_error(&e))?;
-        self.link.link.heard(self.entry.daemon.now());
+        self.link.peer_link.heard(self.entry.daemon.now());
         match frame {
             None => Err(RequestError::new(ErrorKind::BackendLost, "answer has no end").into()),
             Some(frame) if frame.head() != self.head => {
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -124,11 +124,17 @@
     async fn plan_versions(&self) -> Result<VersionPlan, RequestError> {
         let config = self.config();
         let session = self.caller.session.as_ref();
-        let who = session.map_or_else(|| self.request.to_string(), ToString::to_string);
+        let split_key = session.map_or_else(|| self.request.to_string(), ToString::to_string);
         let quality =
             |v: &VersionName, spec: &_| self.entry.quality.lower_bound(v, spec, &self.caller.class);
-        let planned =
-            plan(&config, &self.caller.customer, session, &self.req.model_name, &who, quality);
+        let planned = plan(
+            &config,
+            &self.caller.customer,
+            session,
+            &self.req.model_name,
+            &split_key,
+            quality,
+        );
         let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.why));
         let is_version = self.req.model_name.parse().is_ok_and(|v| config.version(&v).is_some());
         let offset = config.offset;
@@ -273,10 +279,10 @@
                 Err(e) => e,
             };
             progress.run_state = progress.run_state.and(attempt_error.error.run_state);
-            let (kind, why) = (attempt_error.error.kind, attempt_error.error.detail.clone());
+            let (kind, detail) = (attempt_error.error.kind, attempt_error.error.detail.clone());
             self.step(
                 "attempt_failed",
-                format!("{kind} ({}): {why}", attempt_error.error.run_state),
+                format!("{kind} ({}): {detail}", attempt_error.error.run_state),
             );
             let may_retry =
                 is_retryable(kind) && version_attempts < self.entry.settings.retry.max_attempts;
@@ -297,15 +303,15 @@
         tried: &TriedBackends,
         kind: ErrorKind,
     ) -> bool {
-        let found = async {
+        let backend_available = async {
             while self.pick(version, tried).is_none() {
                 Timer::after(span(RECONNECT_POLL_INTERVAL)).await;
             }
         };
         match kind {
             ErrorKind::BackendLost => {
-                let limit = Millis(self.entry.settings.heartbeat.interval_ms.0 * 2);
-                crate::clock::within(limit, found).await.is_some()
+                let timeout = Millis(self.entry.settings.heartbeat.interval_ms.0 * 2);
+                crate::clock::within(timeout, backend_available).await.is_some()
             }
             _ => self.pick(version, tried).is_some(),
         }
@@ -432,7 +438,7 @@
     ) {
         let mut text = Vec::new();
         let is_rated = is_sampled(&self.entry, &version);
-        let left = self.deadline.since(self.entry.daemon.now());
+        let time_left = self.deadline.since(self.entry.daemon.now());
         let forwarded = async {
             loop {
                 match response_stream.next_part().await? {
@@ -458,7 +464,8 @@
             tx.closed().await;
             Err(RequestError::new(ErrorKind::BackendLost, "the caller has gone"))
         };
-        let forwarded = crate::clock::within(left, smol::future::or(forwarded, disconnected)).await;
+        let forwarded =
+            crate::clock::within(time_left, smol::future::or(forwarded, disconnected)).await;
         match forwarded.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into())) {
             Ok(()) => {
                 self.step("stream_done", version.to_string());
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -63,7 +63,7 @@
 ///
 /// If another claim holds the key, its outcome is resolved first: a response is returned, and a
 /// claim that was closed without a run is replaced.
-pub(crate) async fn claim(
+pub(crate) async fn claim_call(
     entry: &Arc<Entry>,
     link: &SideLink,
     key: KeyHash,
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -46,18 +46,18 @@
 
 /// Keeps this entry connected to its sides, following the host list. Never returns.
 pub(crate) async fn keep_connected(entry: Arc<Entry>) {
-    let mut connecting: BTreeMap<HostId, (HostRecord, smol::Task<()>)> = BTreeMap::new();
+    let mut side_tasks: BTreeMap<HostId, (HostRecord, smol::Task<()>)> = BTreeMap::new();
     loop {
         let changed = entry.daemon.hosts.changed();
         let hosts = entry.daemon.hosts.current();
         let wanted = wanted_sides(&entry, &hosts);
         // A leaving side stays connected until it closes, so that its running streams can finish.
-        connecting.retain(|host, (record, _)| {
+        side_tasks.retain(|host, (record, _)| {
             hosts.iter().any(|h| h.host == *host && h.address == record.address)
                 && (wanted.contains(host) || !is_live(&hosts, host))
         });
         for record in hosts.iter().filter(|h| wanted.contains(&h.host)) {
-            connecting.entry(record.host.clone()).or_insert_with(|| {
+            side_tasks.entry(record.host.clone()).or_insert_with(|| {
                 let task = smol::spawn(keep_side_connected(entry.clone(), record.clone()));
                 (record.clone(), task)
             });
@@ -74,8 +74,8 @@
     let members: Vec<_> = sides.iter().map(|side| side.member.clone()).collect();
     let keepers: Vec<_> =
         rank(KEEPER_SEED, &members).into_iter().take(peers.keepers).cloned().collect();
-    let own = &entry.daemon.host;
-    let mut wanted = sides_of_entry(own, &entries, &sides, peers.fan_in, peers.per_pool);
+    let own_host = &entry.daemon.host;
+    let mut wanted = sides_of_entry(own_host, &entries, &sides, peers.fan_in, peers.per_pool);
     wanted.extend(keepers.iter().map(|m| m.host.clone()));
     if entry.sides.set_keepers(keepers) {
         smol::spawn(replicate_pins(entry.clone())).detach();
@@ -170,7 +170,7 @@
 impl Drop for LinkRegistration {
     fn drop(&mut self) {
         self.entry.sides.remove(&self.link);
-        self.link.link.replace();
+        self.link.peer_link.replace();
     }
 }
 
@@ -198,7 +198,7 @@
     let peer = link.host.to_string();
     let run = async {
         let why =
-            run_control(&entry.daemon, &link.link, (&peer, &link.conn), tx, rx, &events).await;
+            run_control(&entry.daemon, &link.peer_link, (&peer, &link.conn), tx, rx, &events).await;
         entry.daemon.telemetry.info("side_gone", &[("host", &link.host), ("why", &why)]);
     };
     let replaced_and_unused = async {
@@ -208,7 +208,7 @@
         }
     };
     smol::future::or(run, replaced_and_unused).await;
-    link.link.give_up();
+    link.peer_link.give_up();
     link.conn.close(VarInt::from_u32(0), b"over");
 }
 
@@ -221,17 +221,17 @@
 async fn watch_health(entry: &Entry, record: &HostRecord, link: &SideLink) -> Option<Connected> {
     let daemon = &entry.daemon;
     loop {
-        link.link.until(daemon, |health| health != Health::Live).await;
+        link.peer_link.until(daemon, |health| health != Health::Live).await;
         daemon.telemetry.count("side.suspected", 1);
         daemon.telemetry.info("side_suspected", &[("host", &link.host)]);
         let replacement = open_connection(entry, record).await;
-        match (replacement, link.link.health(daemon.now())) {
+        match (replacement, link.peer_link.health(daemon.now())) {
             (_, Health::Live) => {
                 daemon.telemetry.count("side.false_suspicion", 1);
                 daemon.telemetry.info("side_back", &[("host", &link.host)]);
             }
             (Ok(replacement), _) => {
-                link.link.replace();
+                link.peer_link.replace();
                 daemon.telemetry.info("side_replaced", &[("host", &link.host)]);
                 return Some(replacement);
             }
--- a/src/entry/decisions.rs
+++ b/src/entry/decisions.rs
@@ -42,7 +42,7 @@
         decision.asked_for = name.to_owned();
     }
 
-    pub(crate) fn json(&self) -> Vec<u8> {
+    pub(crate) fn to_json(&self) -> Vec<u8> {
         let decision = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         serde_json::to_vec(&*decision).unwrap_or_default()
     }
@@ -51,7 +51,7 @@
 /// The traces of this entry's most recent requests, at most `max`.
 #[derive(Debug)]
 pub(crate) struct Decisions {
-    max: usize,
+    max_traces: usize,
     traces: Mutex<TraceTable>,
 }
 
@@ -62,8 +62,8 @@
 }
 
 impl Decisions {
-    pub(crate) fn new(max: usize) -> Self {
-        Self { max, traces: Mutex::default() }
+    pub(crate) fn new(max_traces: usize) -> Self {
+        Self { max_traces, traces: Mutex::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, TraceTable> {
@@ -72,7 +72,12 @@
 
     /// Starts the trace of a request. `wall` is the start time that is reported; `now` is monotonic
     /// and the base of the steps' times.
-    pub(crate) fn begin(&self, request: RequestId, wall: Millis, now: Millis) -> DecisionTrace {
+    pub(crate) fn start_trace(
+        &self,
+        request: RequestId,
+        wall: Millis,
+        now: Millis,
+    ) -> DecisionTrace {
         let decision = Decision {
             request,
             customer: String::new(),
@@ -84,7 +89,7 @@
         let mut traces = self.lock();
         traces.by_id.insert(request, trace.clone());
         traces.order.push_back(request);
-        if traces.order.len() > self.max
+        if traces.order.len() > self.max_traces
             && let Some(oldest) = traces.order.pop_front()
         {
             traces.by_id.remove(&oldest);
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -29,8 +29,8 @@
     let now = entry.daemon.now();
     let mut candidates = Vec::new();
     for link in usable_links(entry) {
-        let healthy = link.link.health(now) == Health::Live;
-        for report in link.backends() {
+        let healthy = link.peer_link.health(now) == Health::Live;
+        for report in link.backend_loads() {
             let load = report.load;
             let is_tried = tried.contains(&(link.conn.stable_id(), load.backend.clone()));
             if is_tried || !load.up || !accepts(&load) {
--- a/src/entry/quality.rs
+++ b/src/entry/quality.rs
@@ -37,7 +37,7 @@
 }
 
 impl QualityState {
-    fn record(&self, entry: &Entry, version: &VersionName) -> Option<TallyRecord> {
+    fn tally_record(&self, entry: &Entry, version: &VersionName) -> Option<TallyRecord> {
         let local = self.local.get(version)?;
         Some(TallyRecord {
             host: entry.daemon.host.clone(),
@@ -100,7 +100,7 @@
     }
 
     /// Adds a rating.
-    fn add(&self, version: &VersionName, since: Offset, class: &str, is_good: bool) {
+    fn add_rating(&self, version: &VersionName, since: Offset, class: &str, is_good: bool) {
         let mut state = self.lock();
         let local = state.local.entry(version.clone()).or_default();
         if local.since != since {
@@ -113,13 +113,13 @@
     }
 
     /// Returns this entry's totals as records for the ratings stream.
-    pub(crate) fn records(&self, entry: &Entry) -> Vec<TallyRecord> {
+    pub(crate) fn tally_records(&self, entry: &Entry) -> Vec<TallyRecord> {
         let state = self.lock();
-        state.local.keys().filter_map(|version| state.record(entry, version)).collect()
+        state.local.keys().filter_map(|version| state.tally_record(entry, version)).collect()
     }
 
     /// Applies records of the ratings stream.
-    pub(crate) fn fold(&self, records: &[(Offset, Vec<u8>)]) {
+    pub(crate) fn apply_records(&self, records: &[(Offset, Vec<u8>)]) {
         let mut state = self.lock();
         for (offset, raw) in records {
             state.all_entries.apply(*offset, raw);
@@ -132,14 +132,14 @@
 
     /// Returns the tallies of a version over all entries, total and recent, including this entry's
     /// unpublished ratings.
-    pub(crate) fn evidence(
+    pub(crate) fn tallies(
         &self,
         entry: &Entry,
         version: &VersionName,
         since: Offset,
     ) -> (Tally, Tally) {
         let mut state = self.lock();
-        if let Some(record) = state.record(entry, version) {
+        if let Some(record) = state.tally_record(entry, version) {
             state.all_entries.add(record);
         }
         (state.all_entries.total(version, since), state.all_entries.recent(version, since, wall()))
@@ -180,7 +180,7 @@
     let score = rate(&entry.daemon.http, rating.address?, version, text, timeout).await?;
     let is_good = score.0 >= rating.good_from;
     entry.daemon.telemetry.count(if is_good { "rating.good" } else { "rating.bad" }, 1);
-    entry.quality.add(version, since, class, is_good);
+    entry.quality.add_rating(version, since, class, is_good);
     test_version(entry, version);
     Some(score)
 }
@@ -191,7 +191,7 @@
     let rating = &entry.settings.rating;
     let config = entry.daemon.store.current();
     let since = in_service_since(&config, version);
-    let (_, tally) = entry.quality.evidence(entry, version, since);
+    let (_, tally) = entry.quality.tallies(entry, version, since);
     let alpha = f64::from(rating.false_stop_per_million) / MILLION;
     let test = SequentialTest::new(PerMille(rating.allowed_bad_per_mille), alpha);
     let is_in_service = config.version(version).is_some_and(|spec| spec.withdrawn_at.is_none());
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -27,7 +27,7 @@
     }
     loop {
         Timer::after(jittered(entry.settings.batch.every_ms)).await;
-        let records = entry.quality.records(entry);
+        let records = entry.quality.tally_records(entry);
         let rated = records.iter().map(|r| r.total.rated()).sum::<u64>();
         if rated != published_ratings {
             let json = serde_json::to_vec(&records).unwrap_or_default();
@@ -38,7 +38,7 @@
         }
         let from = Offset(entry.quality.folded_offset().0 + 1);
         match entry.daemon.log.read(stream::RATINGS, from, PAGE_RECORDS, Millis(0)).await {
-            Ok(page) => entry.quality.fold(&page.records),
+            Ok(page) => entry.quality.apply_records(&page.records),
             Err(_) => continue,
         }
         let config = entry.daemon.store.current();
@@ -65,7 +65,7 @@
             continue;
         }
         let since = in_service_since(config, &rollout.to);
-        let (tally, _) = entry.quality.evidence(entry, &rollout.to, since);
+        let (tally, _) = entry.quality.tallies(entry, &rollout.to, since);
         let next = next_step(
             &rollout.steps,
             rollout.share,
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -34,7 +34,7 @@
     }
     let request = metadata.request;
     let started_at = entry.daemon.now();
-    let trace = entry.decisions.begin(request, wall(), started_at);
+    let trace = entry.decisions.start_trace(request, wall(), started_at);
     let metadata = Arc::new(Mutex::new(metadata));
     let (method, path) = (req.method().to_string(), req.url().path().to_owned());
     let result = Box::pin(route(&entry, req, &peer, &metadata, &trace)).await;
@@ -217,13 +217,13 @@
 }
 
 fn readiness(entry: &Entry) -> Response {
-    let why_not = match entry {
+    let not_ready_reason = match entry {
         e if e.drain.is_draining() => Some(ErrorKind::Stopping),
         e if e.daemon.store.mark().offset.0 == 0 => Some(ErrorKind::NoConfig),
         e if usable_links(e).is_empty() => Some(ErrorKind::NoBackend),
         _ => None,
     };
-    match why_not {
+    match not_ready_reason {
         Some(kind) => error_response(&kind.into()),
         None => json_response(&json!({"ready": true, "offset": entry.daemon.store.mark().offset})),
     }
--- a/src/entry/service_call.rs
+++ b/src/entry/service_call.rs
@@ -10,7 +10,7 @@
 
 use super::attempt::{AttemptError, start_run};
 use super::auth::Caller;
-use super::claims::{ClaimResult, claim};
+use super::claims::{ClaimResult, claim_call};
 use super::context::Entry;
 use super::decisions::DecisionTrace;
 use super::pick::{BackendTarget, TriedBackends, pick_backend};
@@ -40,13 +40,13 @@
     path: &str,
 ) -> Option<(String, &'a ServiceSpec)> {
     let services = config.of_kind("service").filter_map(|(key, spec)| match spec {
-        Spec::Service(s) if is_under(path, &s.path) => Some((key.name.clone(), s)),
+        Spec::Service(s) if is_path_under(path, &s.path) => Some((key.name.clone(), s)),
         _ => None,
     });
     services.max_by_key(|(_, s)| s.path.len())
 }
 
-fn is_under(path: &str, prefix: &str) -> bool {
+fn is_path_under(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
@@ -83,7 +83,8 @@
         let mut tried = TriedBackends::new();
         let mut run_state = RunState::NotRun;
         loop {
-            let (link, backend) = self.pick(service, &tried).ok_or_else(|| no_backend(service))?;
+            let (link, backend) =
+                self.pick(service, &tried).ok_or_else(|| no_backend_error(service))?;
             tried.insert((link.conn.stable_id(), backend.clone()));
             self.step("attempt", format!("{} at {}/{backend}", tried.len(), link.host));
             let call = self.run_call(service, &backend, tried.len() as u32);
@@ -107,11 +108,11 @@
     /// the caller is detected.
     async fn run_claimed(&self, service: &str) -> Result<Response, RequestError> {
         let (link, backend) =
-            self.pick(service, &TriedBackends::new()).ok_or_else(|| no_backend(service))?;
+            self.pick(service, &TriedBackends::new()).ok_or_else(|| no_backend_error(service))?;
         let mut call = self.run_call(service, &backend, 1);
         if let Some(key) = &self.caller.idempotency_key {
             let key = KeyHash::of(&self.caller.customer, &format!("{service}\0{key}"));
-            match claim(&self.entry, &link, key, self.request).await? {
+            match claim_call(&self.entry, &link, key, self.request).await? {
                 ClaimResult::AlreadyRan { status, content_type, body } => {
                     self.step("replayed", format!("status {status}"));
                     return Ok(service_response(status, content_type, body));
@@ -177,7 +178,7 @@
     }
 }
 
-fn no_backend(service: &str) -> RequestError {
+fn no_backend_error(service: &str) -> RequestError {
     RequestError::new(ErrorKind::NoBackend, format!("none serves {service}"))
 }
 
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -48,8 +48,8 @@
 
     fn get(&self, key: &PinKey, holders: &HolderSet) -> Option<Pin> {
         let pins = self.lock();
-        let (pin, held) = pins.get(key)?;
-        (held == holders).then(|| pin.clone())
+        let (pin, sent_to) = pins.get(key)?;
+        (sent_to == holders).then(|| pin.clone())
     }
 
     fn put(&self, key: &PinKey, pin: &Pin, holders: HolderSet) {
@@ -85,12 +85,12 @@
 pub(crate) async fn replicate_pins(entry: Arc<Entry>) {
     let mut batches = BTreeMap::<HostId, Vec<(PinKey, Pin)>>::new();
     let mut replicated = Vec::new();
-    for (key, pin, held) in entry.sessions.all() {
+    for (key, pin, sent_to) in entry.sessions.all() {
         let holders = current_holders(&entry, &key);
-        if holders == held {
+        if holders == sent_to {
             continue;
         }
-        for (host, _) in holders.iter().filter(|holder| !held.contains(holder)) {
+        for (host, _) in holders.iter().filter(|holder| !sent_to.contains(holder)) {
             batches.entry(host.clone()).or_default().push((key.clone(), pin.clone()));
         }
         replicated.push((key, pin, holders));
@@ -130,39 +130,39 @@
     config: &Config,
     caller: &Caller,
     session: &SessionId,
-    name: &str,
+    model_name: &str,
     proposed: Result<VersionName, RequestError>,
 ) -> Result<SessionVersion, RequestError> {
     let key = PinKey {
         customer: caller.customer.clone(),
         session: session.clone(),
-        name: name.to_owned(),
+        name: model_name.to_owned(),
     };
     let holders = current_holders(entry, &key);
     let cached = entry.sessions.get(&key, &holders);
-    let (held, copies) = match cached {
+    let (current_pin, copies) = match cached {
         Some(pin) => (Some(pin), Vec::new()),
         None => find_pin(entry, &key).await?,
     };
     let may_run = |v: &VersionName| config.may_run(&caller.customer, Some(session), v);
-    let (pin, moved_from) = match held {
+    let (pin, moved_from) = match current_pin {
         Some(pin) => match may_run(&pin.version) {
             Ok(()) => {
                 repair_copies(entry, &key, &pin, &copies);
                 (pin, None)
             }
             Err(ErrorKind::Withdrawn) => {
-                let next = Pin { moves: pin.moves + 1, since: wall(), version: proposed? };
-                (set_pin(entry, &key, next).await?, Some(pin.version))
+                let moved_pin = Pin { moves: pin.moves + 1, since: wall(), version: proposed? };
+                (set_pin(entry, &key, moved_pin).await?, Some(pin.version))
             }
             Err(kind) => {
-                let why = format!("the session keeps {}", pin.version);
-                return Err(RequestError::new(kind, why));
+                let detail = format!("the session keeps {}", pin.version);
+                return Err(RequestError::new(kind, detail));
             }
         },
         None => {
-            let first = Pin { moves: 0, since: wall(), version: proposed? };
-            (set_pin(entry, &key, first).await?, None)
+            let first_pin = Pin { moves: 0, since: wall(), version: proposed? };
+            (set_pin(entry, &key, first_pin).await?, None)
         }
     };
     // Another entry may have set another version first. That one is used, if it is allowed to run.
@@ -210,8 +210,8 @@
         return Err(no_holder_error());
     }
     let pins = copies.iter().filter_map(|(_, answer)| answer.clone().flatten());
-    let held = pins.reduce(|a, b| if b.replaces(&a) { b } else { a });
-    Ok((held, copies))
+    let newest = pins.reduce(|a, b| if b.replaces(&a) { b } else { a });
+    Ok((newest, copies))
 }
 
 fn no_holder_error() -> RequestError {
@@ -223,15 +223,15 @@
 async fn set_pin(entry: &Arc<Entry>, key: &PinKey, proposed: Pin) -> Result<Pin, RequestError> {
     let holders = entry.sides.holders(key, entry.settings.sessions.copies);
     let mut links = holders.into_iter().filter_map(|(_, link)| link);
-    let mut decided = None;
+    let mut stored_pin = None;
     for link in links.by_ref() {
         let request = Call::PinSet(key.clone(), proposed.clone());
         if let Some(Some(pin)) = query_holder(entry, &link, request).await {
-            decided = Some(pin);
+            stored_pin = Some(pin);
             break;
         }
     }
-    let pin = decided.ok_or_else(no_holder_error)?;
+    let pin = stored_pin.ok_or_else(no_holder_error)?;
     let merges: Vec<_> = links
         .map(|link| {
             let (entry, request) = (entry.clone(), Call::PinMerge(key.clone(), pin.clone()));
@@ -248,7 +248,7 @@
 fn repair_copies(entry: &Arc<Entry>, key: &PinKey, pin: &Pin, copies: &HolderReplies) {
     for (link, answer) in copies {
         match (link, answer) {
-            (Some(link), Some(held)) if held.as_ref() != Some(pin) => {
+            (Some(link), Some(held_pin)) if held_pin.as_ref() != Some(pin) => {
                 let (entry, link) = (entry.clone(), link.clone());
                 let request = Call::PinMerge(key.clone(), pin.clone());
                 smol::spawn(async move { query_holder(&entry, &link, request).await }).detach();
--- a/src/entry/sides.rs
+++ b/src/entry/sides.rs
@@ -27,7 +27,7 @@
     pub(crate) host: HostId,
     pub(crate) incarnation: Incarnation,
     pub(crate) conn: Connection,
-    pub(crate) link: Arc<Link>,
+    pub(crate) peer_link: Arc<Link>,
     is_leaving: AtomicBool,
     reports: Mutex<BTreeMap<String, ReportedLoad>>,
     _endpoint: Endpoint,
@@ -40,13 +40,13 @@
         incarnation: Incarnation,
         conn: Connection,
         endpoint: Endpoint,
-        link: Link,
+        peer_link: Link,
     ) -> Self {
         Self {
             host,
             incarnation,
             conn,
-            link: Arc::new(link),
+            peer_link: Arc::new(peer_link),
             is_leaving: AtomicBool::new(false),
             reports: Mutex::default(),
             _endpoint: endpoint,
@@ -86,7 +86,7 @@
         }
     }
 
-    pub(crate) fn backends(&self) -> Vec<ReportedLoad> {
+    pub(crate) fn backend_loads(&self) -> Vec<ReportedLoad> {
         self.lock().values().cloned().collect()
     }
 
@@ -96,7 +96,7 @@
 
     /// Waits until the connection is dead.
     pub(crate) async fn until_dead(&self, daemon: &Daemon) {
-        self.link.until(daemon, |health| health == Health::Dead).await;
+        self.peer_link.until(daemon, |health| health == Health::Dead).await;
     }
 
     /// Waits until the connection is dead, or was replaced by another while it was silent.
@@ -104,8 +104,8 @@
     /// For requests without a response head yet. A stream that has started waits for
     /// [`Self::until_dead`]: the peer may just have been slow, and the rest may still arrive.
     pub(crate) async fn until_dead_or_replaced(&self, daemon: &Daemon) {
-        let is_lost = |health| health == Health::Dead || self.link.is_replaced();
-        self.link.until(daemon, is_lost).await;
+        let is_lost = |health| health == Health::Dead || self.peer_link.is_replaced();
+        self.peer_link.until(daemon, is_lost).await;
     }
 }
 
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -37,7 +37,7 @@
 /// If the settings name files or addresses that cannot be used.
 pub async fn run_entry(settings: EntrySettings, stop: Receiver<()>) -> eyre::Result<()> {
     let telemetry = Telemetry::new(settings.metrics.statsd)?;
-    let ends = tls_ends(&settings.tls)?;
+    let tls_configs = tls_ends(&settings.tls)?;
     let daemon = Daemon::new(
         (settings.host.clone(), settings.failure_domain.clone(), Role::Entry),
         settings.log.clone(),
@@ -45,14 +45,14 @@
         settings.heartbeat.clone(),
         telemetry.clone(),
     );
-    let endpoint = bind(ends.server, settings.peer_listen)?;
+    let endpoint = bind(tls_configs.server, settings.peer_listen)?;
     let listener = TcpListener::bind(settings.listen).await?;
     let (local, peer_local) = (listener.local_addr()?, endpoint.local_addr()?);
     let limits = Limits {
         connections: settings.limits.connections,
         head_timeout: span(settings.limits.head_timeout_ms),
     };
-    let entry = Arc::new(Entry::new(daemon, settings, ends.client));
+    let entry = Arc::new(Entry::new(daemon, settings, tls_configs.client));
     entry.daemon.telemetry.info(
         "entry_started",
         &[("host", &entry.daemon.host), ("listen", &local), ("peer", &peer_local)],
@@ -108,7 +108,7 @@
         let of_side = batch.iter().filter(|held| held.side.as_ref() == Some(&link.host));
         let ids: Vec<_> = of_side.map(|held| held.bill.id).collect();
         if !ids.is_empty() {
-            link.link.send(Control::Confirmed(ids));
+            link.peer_link.send(Control::Confirmed(ids));
         }
     }
 }
@@ -117,14 +117,14 @@
 async fn handle_peer_call(entry: Arc<Entry>, call: Call, mut tx: FrameWriter<Reply>) {
     let reply = match call {
         Call::Explain(request) => match entry.decisions.get(request) {
-            Some(trace) => Reply::Json(trace.json()),
+            Some(trace) => Reply::Json(trace.to_json()),
             None => Reply::Json(Vec::new()),
         },
         Call::Install(records) => {
             entry.daemon.store.apply(&records);
             Reply::Mark(entry.daemon.store.mark())
         }
-        Call::Status => Reply::Json(status(&entry)),
+        Call::Status => Reply::Json(status_json(&entry)),
         _ => Reply::Refused(ErrorKind::BadPeer),
     };
     tx.send(&reply).await.ok();
@@ -133,7 +133,7 @@
     tx.stopped().await;
 }
 
-fn status(entry: &Entry) -> Vec<u8> {
+fn status_json(entry: &Entry) -> Vec<u8> {
     let mark = entry.daemon.store.mark();
     let value = json!({
         "host": entry.daemon.host,
@@ -172,7 +172,7 @@
         entry.daemon.telemetry.warn("drain_cut", &[("under_way", &left)]);
     }
     if !entry.bills.flush(FLUSH_TIMEOUT).await {
-        hand_over(entry).await;
+        hand_over_bills(entry).await;
     }
     if entry.bills.len() > 0 {
         entry.daemon.telemetry.warn("bills_left", &[("bills", &entry.bills.len())]);
@@ -180,7 +180,7 @@
 }
 
 /// Hands over the unconfirmed bills to the first side that accepts them.
-async fn hand_over(entry: &Arc<Entry>) {
+async fn hand_over_bills(entry: &Arc<Entry>) {
     let bills = entry.bills.all();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
     for link in entry.sides.all() {
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -39,7 +39,7 @@
 fn listen(ends: &TlsEnds) -> (SocketAddr, smol::Task<()>) {
     let endpoint = bind(ends.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
     let addr = endpoint.local_addr().expect("bound");
-    let telemetry = Telemetry::quiet().expect("a quiet logger");
+    let telemetry = Telemetry::disabled().expect("a quiet logger");
     let handler = |_, _, mut tx: FrameWriter<Reply>, _: FrameReader<Call>| async move {
         tx.send(&Reply::Held).await.ok();
         tx.finish();
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -15,7 +15,7 @@
 pub use page::MetricsPage;
 
 /// Log lines queued for a slow reader of the output, about a megabyte at most.
-const MAX_WAITING_LINES: usize = 2048;
+const MAX_QUEUED_LINES: usize = 2048;
 
 const METRICS_PREFIX: &str = "redwingfold";
 
@@ -71,7 +71,7 @@
     /// # Ok::<(), eyre::Report>(())
     /// ```
     pub fn with_page(page: MetricsPage) -> eyre::Result<Self> {
-        let pool = ThreadPool::builder().capacity(MAX_WAITING_LINES.try_into()?).build_arc()?;
+        let pool = ThreadPool::builder().capacity(MAX_QUEUED_LINES.try_into()?).build_arc()?;
         let sink = AsyncPoolSink::builder()
             .sink(std_sink(StdStream::Stdout)?)
             .thread_pool(pool)
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// If the logger can't be created.
-    pub fn quiet() -> eyre::Result<Self> {
+    pub fn disabled() -> eyre::Result<Self> {
         let logger = Logger::builder().level_filter(spdlog::LevelFilter::Off).build()?;
         let metrics = StatsdClient::from_sink(METRICS_PREFIX, NopMetricSink);
         Ok(Self { logger: Arc::new(logger), metrics: Arc::new(metrics) })
@@ -146,6 +146,10 @@
 
 /// Quotes a value that is empty or contains whitespace, control characters, `"` or `=`.
 fn quoted(text: &str) -> String {
-    let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
-    if !text.is_empty() && text.chars().all(plain) { text.to_owned() } else { format!("{text:?}") }
+    let is_plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
+    if !text.is_empty() && text.chars().all(is_plain) {
+        text.to_owned()
+    } else {
+        format!("{text:?}")
+    }
 }
