--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,7 +1,7 @@
-//! Claims, which give non-idempotent calls at-most-once execution.
+//! Claims, which run a non-repeatable service call with an idempotency key at most once.
 //!
-//! Before a call runs, its entry appends a claim to the log. The first valid claim of a key holds
-//! it; a later call with the same key gets the outcome of that run.
+//! Before such a call runs, its entry appends a claim to the log. The first valid claim of a key
+//! holds it; a later call with the same key gets the outcome of that run.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
