--- a/http/src/body.rs
+++ b/http/src/body.rs
@@ -28,9 +28,9 @@
     }
 
     /// Aborts the body with an error, so that the reader can tell it from a complete one.
-    pub async fn abort(self, why: &str) {
+    pub async fn abort(self, reason: &str) {
         self.0
-            .send(Err(io::Error::new(io::ErrorKind::ConnectionAborted, why.to_owned())))
+            .send(Err(io::Error::new(io::ErrorKind::ConnectionAborted, reason.to_owned())))
             .await
             .ok();
     }
--- a/http/src/client.rs
+++ b/http/src/client.rs
@@ -61,8 +61,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLarge => f.write_str("answer too large"),
-            Self::Unknown(why) => write!(f, "answer unknown: {why}"),
-            Self::Unreachable(why) => write!(f, "unreachable: {why}"),
+            Self::Unknown(reason) => write!(f, "answer unknown: {reason}"),
+            Self::Unreachable(reason) => write!(f, "unreachable: {reason}"),
         }
     }
 }
@@ -91,7 +91,7 @@
 ///
 /// [`CallError::Unreachable`] if the connection fails or isn't open after `timeout`.
 pub(crate) async fn connect(addr: SocketAddr, timeout: Duration) -> Result<TcpStream, CallError> {
-    let unreachable = |why: String| CallError::Unreachable(format!("{addr}: {why}"));
+    let unreachable = |reason: String| CallError::Unreachable(format!("{addr}: {reason}"));
     let connected =
         async { TcpStream::connect(addr).await.map_err(|e| unreachable(e.to_string())) };
     let timed_out = async {
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -155,7 +155,7 @@
 /// Asks the side that the holder's claim names for its outcome, and closes the claim if the side
 /// has not received it.
 async fn resolve_holder(entry: &Entry, holder: &Claim) -> Result<HolderOutcome, RequestError> {
-    let unknown = |why: &str| RequestError::new(ErrorKind::OutcomeUnknown, why);
+    let unknown = |detail: &str| RequestError::new(ErrorKind::OutcomeUnknown, detail);
     let connection = side_connection(entry, &holder.host).await;
     let connection =
         connection.ok_or_else(|| unknown("the side that may have run it is out of reach"))?;
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -100,12 +100,12 @@
                 backoff = INITIAL_BACKOFF;
                 replacement = run_connection(&entry, &record, connected).await;
             }
-            Err(why) => {
+            Err(reason) => {
                 entry.daemon.telemetry.count("side.connect_failed", 1);
                 entry
                     .daemon
                     .telemetry
-                    .info("side_unreachable", &[("host", &record.host), ("why", &why)]);
+                    .info("side_unreachable", &[("host", &record.host), ("why", &reason)]);
             }
         }
         if replacement.is_none() {
@@ -197,9 +197,9 @@
     };
     let peer = link.host.to_string();
     let run = async {
-        let why =
+        let reason =
             run_control(&entry.daemon, &link.peer_link, (&peer, &link.conn), tx, rx, &events).await;
-        entry.daemon.telemetry.info("side_gone", &[("host", &link.host), ("why", &why)]);
+        entry.daemon.telemetry.info("side_gone", &[("host", &link.host), ("why", &reason)]);
     };
     let replaced_and_unused = async {
         link.until_dead_or_replaced(&entry.daemon).await;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -195,8 +195,8 @@
     use smol::io::AsyncReadExt;
     let limits = &entry.settings.limits;
     let too_large = || {
-        let why = format!("at most {} bytes", limits.body_bytes);
-        RequestError::new(ErrorKind::BodyTooLarge, why)
+        let detail = format!("at most {} bytes", limits.body_bytes);
+        RequestError::new(ErrorKind::BodyTooLarge, detail)
     };
     if req.len().is_some_and(|len| len > limits.body_bytes) {
         return Err(too_large());
--- a/src/entry/service_call.rs
+++ b/src/entry/service_call.rs
@@ -66,8 +66,8 @@
         let labels = config.caller_labels(&self.caller.customer, self.caller.session.as_ref());
         match spec {
             s if !s.methods.contains(&self.method) => {
-                let why = format!("{service} takes {}", s.methods.join(", "));
-                return Err(RequestError::new(ErrorKind::WrongMethod, why));
+                let detail = format!("{service} takes {}", s.methods.join(", "));
+                return Err(RequestError::new(ErrorKind::WrongMethod, detail));
             }
             s if !s.callers.matches(&labels) => return Err(ErrorKind::NotAllowed.into()),
             _ => {}
