--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use super::context::Entry;
 use super::response::RequestError;
 use super::sides::SideLink;
-use crate::peer::CallCount;
+use crate::peer::CallGuard;
 use crate::wire::{
     Call, CallHead, FrameReader, FrameWriter, RunCall, RunEnd, RunFrame, RunHead, WireError,
 };
@@ -38,7 +38,7 @@
     entry: Arc<Entry>,
     hasher: Xxh3,
     received_bytes: u64,
-    _call_guard: CallCount,
+    _call_guard: CallGuard,
 }
 
 /// A part of a response.
@@ -95,7 +95,7 @@
     /// Reads the next frame; a frame of another run is an error.
     async fn read_frame(&mut self) -> Result<RunFrame, AttemptError> {
         let frame = self.rx.next().await.map_err(|e| wire_error(&e))?;
-        self.link.peer_link.heard(self.entry.daemon.now());
+        self.link.peer_link.record_receipt(self.entry.daemon.now());
         match frame {
             None => Err(RequestError::new(ErrorKind::BackendLost, "answer has no end").into()),
             Some(frame) if frame.head() != self.head => {
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -170,7 +170,7 @@
 impl Drop for LinkRegistration {
     fn drop(&mut self) {
         self.entry.sides.remove(&self.link);
-        self.link.peer_link.replace();
+        self.link.peer_link.mark_replaced();
     }
 }
 
@@ -183,15 +183,15 @@
     rx: FrameReader<Control>,
 ) {
     let events = LinkEvents {
-        on_beat: &|leaving, loads| {
+        on_heartbeat: &|leaving, loads| {
             if leaving && link.mark_leaving() {
                 entry.daemon.telemetry.info("side_leaving", &[("host", &link.host)]);
             }
             link.update_loads(loads);
         },
-        on_confirmed: &|ids| entry.bills.forget(&ids),
-        on_hold: &|bills| store_bills(&entry, bills),
-        on_held: &|_| {},
+        on_bills_confirmed: &|ids| entry.bills.forget(&ids),
+        on_hold_bills: &|bills| store_bills(&entry, bills),
+        on_bills_held: &|_| {},
         is_leaving: &|| entry.drain.is_draining(),
         loads: &Vec::new,
     };
@@ -208,7 +208,7 @@
         }
     };
     smol::future::or(run, replaced_and_unused).await;
-    link.peer_link.give_up();
+    link.peer_link.mark_closed();
     link.conn.close(VarInt::from_u32(0), b"over");
 }
 
@@ -221,7 +221,7 @@
 async fn watch_health(entry: &Entry, record: &HostRecord, link: &SideLink) -> Option<Connected> {
     let daemon = &entry.daemon;
     loop {
-        link.peer_link.until(daemon, |health| health != Health::Live).await;
+        link.peer_link.wait_for_health(daemon, |health| health != Health::Live).await;
         daemon.telemetry.count("side.suspected", 1);
         daemon.telemetry.info("side_suspected", &[("host", &link.host)]);
         let replacement = open_connection(entry, record).await;
@@ -231,7 +231,7 @@
                 daemon.telemetry.info("side_back", &[("host", &link.host)]);
             }
             (Ok(replacement), _) => {
-                link.peer_link.replace();
+                link.peer_link.mark_replaced();
                 daemon.telemetry.info("side_replaced", &[("host", &link.host)]);
                 return Some(replacement);
             }
--- a/src/entry/sides.rs
+++ b/src/entry/sides.rs
@@ -96,7 +96,7 @@
 
     /// Waits until the connection is dead.
     pub(crate) async fn until_dead(&self, daemon: &Daemon) {
-        self.peer_link.until(daemon, |health| health == Health::Dead).await;
+        self.peer_link.wait_for_health(daemon, |health| health == Health::Dead).await;
     }
 
     /// Waits until the connection is dead, or was replaced by another while it was silent.
@@ -105,7 +105,7 @@
     /// [`Self::until_dead`]: the peer may just have been slow, and the rest may still arrive.
     pub(crate) async fn until_dead_or_replaced(&self, daemon: &Daemon) {
         let is_lost = |health| health == Health::Dead || self.peer_link.is_replaced();
-        self.peer_link.until(daemon, is_lost).await;
+        self.peer_link.wait_for_health(daemon, is_lost).await;
     }
 }
 
--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -49,7 +49,7 @@
     own: Hello,
 ) -> Result<Connected, WireError> {
     let (endpoint, conn) = dial(config, addr, timeout).await?;
-    let greet = async {
+    let handshake = async {
         let lost = |e: quinn::ConnectionError| WireError::Lost(e.to_string());
         let (send, recv) = conn.open_bi().await.map_err(lost)?;
         let mut tx = FrameWriter::<Call>::new(send);
@@ -63,8 +63,8 @@
             other => Err(WireError::Torn(format!("no hello: {other:?}"))),
         }
     };
-    let late = || Err(WireError::Lost(format!("{addr}: no hello in time")));
-    let (tx, rx, hello) = within(timeout, greet).await.unwrap_or_else(late)?;
+    let timed_out = || Err(WireError::Lost(format!("{addr}: no hello in time")));
+    let (tx, rx, hello) = within(timeout, handshake).await.unwrap_or_else(timed_out)?;
     Ok(Connected { conn, hello, tx, rx, endpoint })
 }
 
@@ -83,6 +83,6 @@
         let reply = FrameReader::new(recv).next().await?;
         reply.ok_or_else(|| WireError::Torn("no reply".to_owned()))
     };
-    let late = || Err(WireError::Lost("no reply in time".to_owned()));
-    within(timeout, exchange).await.unwrap_or_else(late)
+    let timed_out = || Err(WireError::Lost("no reply in time".to_owned()));
+    within(timeout, exchange).await.unwrap_or_else(timed_out)
 }
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -21,66 +21,66 @@
 #[derive(Debug)]
 pub(crate) struct Link {
     detector: Mutex<Detector>,
-    is_over: AtomicBool,
+    is_closed: AtomicBool,
     is_replaced: AtomicBool,
-    moved: Event,
-    calls: AtomicUsize,
+    health_changed: Event,
+    calls_in_flight: AtomicUsize,
     /// How far the peer's configuration goes, as far as is known here.
-    theirs: AtomicU64,
+    peer_offset: AtomicU64,
     out_tx: Sender<Control>,
     out_rx: Receiver<Control>,
-    asks: bool,
+    sends_heartbeats: bool,
 }
 
 impl Link {
     /// Makes a link; `asks` says whether this end sends heartbeats of its own.
-    pub(crate) fn new(daemon: &Daemon, asks: bool) -> Self {
+    pub(crate) fn new(daemon: &Daemon, sends_heartbeats: bool) -> Self {
         let (out_tx, out_rx) = unbounded();
         let detector = Detector::new(daemon.heartbeat.policy(), daemon.now());
         Self {
             detector: Mutex::new(detector),
-            is_over: AtomicBool::new(false),
+            is_closed: AtomicBool::new(false),
             is_replaced: AtomicBool::new(false),
-            moved: Event::new(),
-            calls: AtomicUsize::new(0),
-            theirs: AtomicU64::new(0),
+            health_changed: Event::new(),
+            calls_in_flight: AtomicUsize::new(0),
+            peer_offset: AtomicU64::new(0),
             out_tx,
             out_rx,
-            asks,
+            sends_heartbeats,
         }
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Detector) -> T) -> T {
+    fn with_detector<T>(&self, f: impl FnOnce(&mut Detector) -> T) -> T {
         f(&mut self.detector.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Notes that something arrived on the connection.
-    pub(crate) fn heard(&self, now: Millis) {
-        self.with(|d| d.heard(now));
+    pub(crate) fn record_receipt(&self, now: Millis) {
+        self.with_detector(|d| d.heard(now));
     }
 
     pub(crate) fn health(&self, now: Millis) -> Health {
-        match self.is_over.load(Ordering::Relaxed) {
+        match self.is_closed.load(Ordering::Relaxed) {
             true => Health::Dead,
-            false => self.with(|d| d.health(now)),
+            false => self.with_detector(|d| d.health(now)),
         }
     }
 
     /// Counts a call whose answer is awaited, until it is dropped.
-    pub(crate) fn begin_call(self: &Arc<Self>) -> CallCount {
-        self.calls.fetch_add(1, Ordering::Relaxed);
-        CallCount(self.clone())
+    pub(crate) fn begin_call(self: &Arc<Self>) -> CallGuard {
+        self.calls_in_flight.fetch_add(1, Ordering::Relaxed);
+        CallGuard(self.clone())
     }
 
     /// Notes that the peer has the configuration up to an offset.
-    fn note_theirs(&self, offset: Offset) {
-        self.theirs.fetch_max(offset.0, Ordering::Relaxed);
+    fn raise_peer_offset(&self, offset: Offset) {
+        self.peer_offset.fetch_max(offset.0, Ordering::Relaxed);
     }
 
     /// Gives the connection up: from now on it counts as dead.
-    pub(crate) fn give_up(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
-        self.moved.notify(usize::MAX);
+    pub(crate) fn mark_closed(&self) {
+        self.is_closed.store(true, Ordering::Relaxed);
+        self.health_changed.notify(usize::MAX);
     }
 
     /// Queues a message; it is dropped if the connection is gone.
@@ -89,9 +89,9 @@
     }
 
     /// Notes that another connection has taken this one's place while it was silent.
-    pub(crate) fn replace(&self) {
+    pub(crate) fn mark_replaced(&self) {
         self.is_replaced.store(true, Ordering::Relaxed);
-        self.moved.notify(usize::MAX);
+        self.health_changed.notify(usize::MAX);
     }
 
     pub(crate) fn is_replaced(&self) -> bool {
@@ -101,22 +101,23 @@
     /// Waits until the peer's health is one that `wanted` accepts. The control stream's clock looks
     /// at the detector for all who wait: with a thousand answers under way, a timer for each would
     /// cost more than the answers.
-    pub(crate) async fn until(&self, daemon: &Daemon, wanted: impl Fn(Health) -> bool) {
+    pub(crate) async fn wait_for_health(&self, daemon: &Daemon, wanted: impl Fn(Health) -> bool) {
         loop {
-            let moved = self.moved.listen();
+            let health_changed = self.health_changed.listen();
             if wanted(self.health(daemon.now())) {
                 return;
             }
-            moved.await;
+            health_changed.await;
         }
     }
 
     /// Returns the time until the detector is looked at again: often only while an answer is awaited
     /// or a heartbeat is out. Looking at sixty idle connections ten times a second took most of the
     /// processor time of an idle entry.
-    fn next_check(&self, daemon: &Daemon) -> Millis {
+    fn check_interval(&self, daemon: &Daemon) -> Millis {
         let interval = daemon.heartbeat.interval_ms;
-        let is_idle = self.calls.load(Ordering::Relaxed) == 0 && !self.with(|d| d.is_asking());
+        let is_idle = self.calls_in_flight.load(Ordering::Relaxed) == 0
+            && !self.with_detector(|d| d.is_asking());
         match is_idle {
             true => interval,
             false => Millis((interval.0 / CHECKS_PER_INTERVAL).max(1)),
@@ -126,20 +127,20 @@
 
 /// Counts a call on a link.
 #[derive(Debug)]
-pub(crate) struct CallCount(Arc<Link>);
+pub(crate) struct CallGuard(Arc<Link>);
 
-impl Drop for CallCount {
+impl Drop for CallGuard {
     fn drop(&mut self) {
-        self.0.calls.fetch_sub(1, Ordering::Relaxed);
+        self.0.calls_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// What the owner of a link does with what arrives, and says of itself.
 pub(crate) struct LinkEvents<'a> {
-    pub(crate) on_beat: &'a (dyn Fn(bool, Vec<Load>) + Send + Sync),
-    pub(crate) on_confirmed: &'a (dyn Fn(Vec<KeyHash>) + Send + Sync),
-    pub(crate) on_hold: &'a (dyn Fn(Vec<Bill>) -> Vec<KeyHash> + Send + Sync),
-    pub(crate) on_held: &'a (dyn Fn(Vec<KeyHash>) + Send + Sync),
+    pub(crate) on_heartbeat: &'a (dyn Fn(bool, Vec<Load>) + Send + Sync),
+    pub(crate) on_bills_confirmed: &'a (dyn Fn(Vec<KeyHash>) + Send + Sync),
+    pub(crate) on_hold_bills: &'a (dyn Fn(Vec<Bill>) -> Vec<KeyHash> + Send + Sync),
+    pub(crate) on_bills_held: &'a (dyn Fn(Vec<KeyHash>) + Send + Sync),
     pub(crate) is_leaving: &'a (dyn Fn() -> bool + Send + Sync),
     /// Loads that changed since they were last told on this link.
     pub(crate) loads: &'a (dyn Fn() -> Vec<Load> + Send + Sync),
@@ -154,13 +155,13 @@
     mut rx: FrameReader<Control>,
     events: &LinkEvents<'_>,
 ) -> WireError {
-    link.send(beat(daemon, events, link.asks));
+    link.send(heartbeat(daemon, events, link.sends_heartbeats));
     let read = async {
         loop {
             match rx.next().await {
                 Ok(Some(message)) => {
-                    link.heard(daemon.now());
-                    receive(daemon, link, peer, message, events);
+                    link.record_receipt(daemon.now());
+                    handle_message(daemon, link, peer, message, events);
                 }
                 Ok(None) => return WireError::Lost("control stream ended".to_owned()),
                 Err(e) => return e,
@@ -178,38 +179,39 @@
             }
         }
     };
-    let ask = async {
+    let monitor = async {
         let mut last = Health::Live;
-        let mut counted = (0, 0);
+        let mut counted_bytes = (0, 0);
         loop {
-            Timer::after(span(link.next_check(daemon))).await;
-            counted = count_traffic(daemon, conn, counted);
+            Timer::after(span(link.check_interval(daemon))).await;
+            counted_bytes = count_traffic(daemon, conn, counted_bytes);
             let now = daemon.now();
             let health = link.health(now);
             if std::mem::replace(&mut last, health) != health {
-                link.moved.notify(usize::MAX);
+                link.health_changed.notify(usize::MAX);
             }
             if health == Health::Dead {
                 return WireError::Lost("silent for too long".to_owned());
             }
-            let is_busy = link.calls.load(Ordering::Relaxed) > 0;
-            if link.asks && link.with(|d| d.should_ask(now, is_busy)) {
-                link.with(|d| d.asked(now));
-                link.send(beat(daemon, events, true));
+            let is_busy = link.calls_in_flight.load(Ordering::Relaxed) > 0;
+            if link.sends_heartbeats && link.with_detector(|d| d.should_ask(now, is_busy)) {
+                link.with_detector(|d| d.asked(now));
+                link.send(heartbeat(daemon, events, true));
             }
         }
     };
-    let tell = async {
+    let announce = async {
         loop {
             daemon.store.changed().await;
             // The one that a change came from, or that has it already, need not be told.
-            if link.theirs.load(Ordering::Relaxed) < daemon.store.mark().offset.0 {
-                link.send(beat(daemon, events, false));
+            if link.peer_offset.load(Ordering::Relaxed) < daemon.store.mark().offset.0 {
+                link.send(heartbeat(daemon, events, false));
             }
         }
     };
-    let ended = smol::future::or(smol::future::or(read, write), smol::future::or(ask, tell)).await;
-    link.give_up();
+    let ended =
+        smol::future::or(smol::future::or(read, write), smol::future::or(monitor, announce)).await;
+    link.mark_closed();
     ended
 }
 
@@ -222,7 +224,7 @@
     now
 }
 
-fn beat(daemon: &Daemon, events: &LinkEvents<'_>, ask: bool) -> Control {
+fn heartbeat(daemon: &Daemon, events: &LinkEvents<'_>, ask: bool) -> Control {
     Control::Beat(Beat {
         config: daemon.store.mark(),
         leaving: (events.is_leaving)(),
@@ -231,36 +233,42 @@
     })
 }
 
-fn receive(daemon: &Daemon, link: &Link, peer: &str, message: Control, events: &LinkEvents<'_>) {
+fn handle_message(
+    daemon: &Daemon,
+    link: &Link,
+    peer: &str,
+    message: Control,
+    events: &LinkEvents<'_>,
+) {
     match message {
-        Control::Beat(theirs) => {
-            daemon.store.check_peer(peer, theirs.config);
-            link.note_theirs(theirs.config.offset);
+        Control::Beat(received) => {
+            daemon.store.check_peer(peer, received.config);
+            link.raise_peer_offset(received.config.offset);
             let ours = daemon.store.mark();
-            if theirs.config.offset > ours.offset {
+            if received.config.offset > ours.offset {
                 link.send(Control::Want(ours.offset));
             }
-            if theirs.ask {
-                link.send(beat(daemon, events, false));
+            if received.ask {
+                link.send(heartbeat(daemon, events, false));
             }
-            (events.on_beat)(theirs.leaving, theirs.loads);
+            (events.on_heartbeat)(received.leaving, received.loads);
         }
-        Control::Confirmed(ids) => (events.on_confirmed)(ids),
-        Control::Held(ids) => (events.on_held)(ids),
+        Control::Confirmed(ids) => (events.on_bills_confirmed)(ids),
+        Control::Held(ids) => (events.on_bills_held)(ids),
         Control::Hello(_) => {}
-        Control::Hold(bills) => link.send(Control::Held((events.on_hold)(bills))),
+        Control::Hold(bills) => link.send(Control::Held((events.on_hold_bills)(bills))),
         Control::Records(records) => {
-            let lacks =
+            let has_gap =
                 records.first().is_some_and(|(o, _)| o.0 > daemon.store.mark().offset.0 + 1);
             daemon.store.apply(&records);
-            if lacks {
+            if has_gap {
                 link.send(Control::Want(Offset(0)));
             }
         }
         Control::Snapshot(json) => match serde_json::from_slice(&json) {
             Ok(snapshot) => {
                 let snapshot: Snapshot = snapshot;
-                link.note_theirs(snapshot.config.offset);
+                link.raise_peer_offset(snapshot.config.offset);
                 daemon.store.install(snapshot);
             }
             Err(e) => daemon.telemetry.warn("bad_snapshot", &[("peer", &peer), ("why", &e)]),
@@ -272,7 +280,7 @@
                 Catchup::Records(records) => link.send(Control::Records(records)),
                 Catchup::Snapshot(json) => link.send(Control::Snapshot(json)),
             }
-            link.note_theirs(ours);
+            link.raise_peer_offset(ours);
         }
     }
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -7,5 +7,5 @@
 mod tests;
 
 pub(crate) use connect::{Connected, call, connect, dial};
-pub(crate) use control::{CallCount, Link, LinkEvents, run_control};
+pub(crate) use control::{CallGuard, Link, LinkEvents, run_control};
 pub(crate) use serve::{bind, serve};
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -15,29 +15,29 @@
 const TIMEOUT: Millis = Millis(5_000);
 
 /// A folder that goes with its test.
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
 }
 
-fn folder(name: &str) -> Folder {
+fn temp_dir_for(name: &str) -> TempDir {
     let path = std::env::temp_dir().join(format!("redwingfold-peer-{name}-{}", std::process::id()));
-    Folder(path)
+    TempDir(path)
 }
 
-fn ends(dir: &Path, name: &str) -> TlsEnds {
-    let file = |ending: &str| dir.join(format!("{name}.{ending}"));
+fn tls_for(dir: &Path, name: &str) -> TlsEnds {
+    let file = |extension: &str| dir.join(format!("{name}.{extension}"));
     let settings =
         TlsSettings { fleet: dir.join("fleet.pem"), cert: file("pem"), key: file("key") };
     tls_ends(&settings).expect("keys that were just made")
 }
 
 /// Starts a process's listening end that answers every call with [`Reply::Held`].
-fn listen(ends: &TlsEnds) -> (SocketAddr, smol::Task<()>) {
-    let endpoint = bind(ends.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
+fn listen(tls: &TlsEnds) -> (SocketAddr, smol::Task<()>) {
+    let endpoint = bind(tls.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
     let addr = endpoint.local_addr().expect("bound");
     let telemetry = Telemetry::disabled().expect("a quiet logger");
     let handler = |_, _, mut tx: FrameWriter<Reply>, _: FrameReader<Call>| async move {
@@ -51,14 +51,15 @@
 /// four gigabytes, gets no answer on that stream; the connection and the process go on.
 #[test]
 fn torn_frames_end_their_stream_only() {
-    let dir = folder("torn");
+    let dir = temp_dir_for("torn");
     make_keys(&dir.0, &["a".to_owned(), "b".to_owned()]).expect("keys");
     smol::block_on(async {
-        let (addr, _listening) = listen(&ends(&dir.0, "a"));
-        let (_endpoint, conn) = dial(&ends(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
-        let torn: [&[u8]; 4] =
+        let (addr, _listening) = listen(&tls_for(&dir.0, "a"));
+        let (_endpoint, conn) =
+            dial(&tls_for(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
+        let malformed: [&[u8]; 4] =
             [b"\0\0\0\x05garba", b"\0\0\0\x40short", b"\xff\xff\xff\xff", b"\0\0"];
-        for bytes in torn {
+        for bytes in malformed {
             let (mut send, recv) = conn.open_bi().await.expect("stream");
             send.write_all(bytes).await.expect("sent");
             send.finish().ok();
@@ -73,12 +74,12 @@
 /// name, has none of its calls answered.
 #[test]
 fn another_fleets_certificate_is_refused() {
-    let (ours, theirs) = (folder("ours"), folder("theirs"));
+    let (ours, theirs) = (temp_dir_for("ours"), temp_dir_for("theirs"));
     make_keys(&ours.0, &["a".to_owned()]).expect("keys");
     make_keys(&theirs.0, &["a".to_owned()]).expect("keys");
     smol::block_on(async {
-        let (addr, _listening) = listen(&ends(&ours.0, "a"));
-        let answer = match dial(&ends(&theirs.0, "a").client, addr, TIMEOUT).await {
+        let (addr, _listening) = listen(&tls_for(&ours.0, "a"));
+        let answer = match dial(&tls_for(&theirs.0, "a").client, addr, TIMEOUT).await {
             Ok((_endpoint, conn)) => call(&conn, &Call::Status, TIMEOUT).await,
             Err(e) => Err(e),
         };
@@ -89,15 +90,16 @@
 /// Keys are never written over: a second call adds names under the same authority.
 #[test]
 fn keys_are_added_and_not_replaced() {
-    let dir = folder("added");
+    let dir = temp_dir_for("added");
     make_keys(&dir.0, &["a".to_owned()]).expect("keys");
     let fleet = std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem");
     make_keys(&dir.0, &["b".to_owned()]).expect("more keys");
     assert_eq!(std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem"), fleet);
     assert!(make_keys(&dir.0, &["a".to_owned()]).is_err(), "a.pem was there");
     smol::block_on(async {
-        let (addr, _listening) = listen(&ends(&dir.0, "a"));
-        let (_endpoint, conn) = dial(&ends(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
+        let (addr, _listening) = listen(&tls_for(&dir.0, "a"));
+        let (_endpoint, conn) =
+            dial(&tls_for(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
         assert_eq!(call(&conn, &Call::Status, TIMEOUT).await, Ok(Reply::Held));
     });
 }
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -139,10 +139,10 @@
     side.add_link(&link);
     let sent_loads = Mutex::new(SentLoads::default());
     let events = LinkEvents {
-        on_beat: &|_, _| {},
-        on_confirmed: &|ids| side.bills.forget(&ids),
-        on_hold: &|bills| hold_bills(side, bills),
-        on_held: &|ids| side.bills.forget(&ids),
+        on_heartbeat: &|_, _| {},
+        on_bills_confirmed: &|ids| side.bills.forget(&ids),
+        on_hold_bills: &|bills| hold_bills(side, bills),
+        on_bills_held: &|ids| side.bills.forget(&ids),
         is_leaving: &|| side.is_leaving(),
         loads: &|| {
             let mut sent_loads = sent_loads.lock().unwrap_or_else(PoisonError::into_inner);
