--- a/src/billing/shipper.rs
+++ b/src/billing/bill_outbox.rs
@@ -21,26 +21,26 @@
 
 /// A bill, and the side that holds the other copy.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldBill {
     pub(crate) bill: Bill,
     pub(crate) side: Option<HostId>,
 }
 
 /// The unconfirmed bills of a daemon.
 #[derive(Debug)]
-pub(crate) struct BillBox {
-    outbox: Mutex<Outbox<KeyHash, Held>>,
+pub(crate) struct BillOutbox {
+    outbox: Mutex<Outbox<KeyHash, HeldBill>>,
     settings: BatchSettings,
-    hurry: (Sender<()>, Receiver<()>),
+    flush_signal: (Sender<()>, Receiver<()>),
 }
 
-impl BillBox {
+impl BillOutbox {
     pub(crate) fn new(settings: BatchSettings) -> Self {
         let outbox = Mutex::new(Outbox::new(settings.max_bytes));
-        Self { outbox, settings, hurry: bounded(1) }
+        Self { outbox, settings, flush_signal: bounded(1) }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Outbox<KeyHash, Held>> {
+    fn lock(&self) -> MutexGuard<'_, Outbox<KeyHash, HeldBill>> {
         self.outbox.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -50,18 +50,18 @@
     }
 
     /// Holds a bill that is appended from `not_before` on.
-    pub(crate) fn hold(&self, held: Held, not_before: Millis) -> Result<(), OutboxFull> {
+    pub(crate) fn hold(&self, held: HeldBill, not_before: Millis) -> Result<(), OutboxFull> {
         self.lock().push(held.bill.id, held, BILL_BYTES, not_before)
     }
 
     /// Forgets bills that are in the log.
-    pub(crate) fn forget(&self, ids: &[KeyHash]) {
+    pub(crate) fn remove(&self, ids: &[KeyHash]) {
         let mut outbox = self.lock();
         ids.iter().for_each(|id| outbox.forget(id));
     }
 
     /// Returns all unconfirmed bills.
-    pub(crate) fn all(&self) -> Vec<Bill> {
+    pub(crate) fn unconfirmed(&self) -> Vec<Bill> {
         self.lock().records().map(|(_, held)| held.bill.clone()).collect()
     }
 
@@ -70,22 +70,22 @@
     }
 
     /// Appends batches for ever; `confirmed` is told what the log has.
-    pub(crate) async fn ship(&self, daemon: &Daemon, confirmed: impl Fn(Vec<Held>)) {
+    pub(crate) async fn run_appender(&self, daemon: &Daemon, on_confirmed: impl Fn(Vec<HeldBill>)) {
         loop {
-            self.pause_for(jittered(self.settings.every_ms)).await;
-            while self.ship_batch(daemon, &confirmed).await {}
+            self.sleep_unless_flushed(jittered(self.settings.every_ms)).await;
+            while self.append_batch(daemon, &on_confirmed).await {}
             daemon.telemetry.gauge("bills.unconfirmed", self.len() as u64);
         }
     }
 
     /// Appends one batch until the log has it; says whether there was one.
-    async fn ship_batch(&self, daemon: &Daemon, confirmed: &impl Fn(Vec<Held>)) -> bool {
+    async fn append_batch(&self, daemon: &Daemon, on_confirmed: &impl Fn(Vec<HeldBill>)) -> bool {
         let id = new_claim_id();
         let batch = self.lock().take_batch(id, self.settings.max_records, wall());
         if batch.is_empty() {
             return false;
         }
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
             // Bills that another holder appended in the meantime are left out of the next try.
             let bills: Vec<_> = self.lock().batch(id).into_iter().map(|h| h.bill).collect();
@@ -93,47 +93,49 @@
             match daemon.log.append(stream::BILLS, json).await {
                 Ok(_) => break,
                 Err(e) => {
-                    tries += 1;
+                    attempts += 1;
                     daemon.telemetry.count("bills.append_failed", 1);
-                    daemon.telemetry.warn("bills_not_appended", &[("tries", &tries), ("why", &e)]);
-                    self.pause_for(self.retry_pause(&e)).await;
+                    daemon
+                        .telemetry
+                        .warn("bills_not_appended", &[("tries", &attempts), ("why", &e)]);
+                    self.sleep_unless_flushed(self.retry_delay(&e)).await;
                 }
             }
         }
         self.lock().confirm(id);
         daemon.telemetry.count("bills.appended", batch.len() as i64);
-        confirmed(batch);
+        on_confirmed(batch);
         true
     }
 
     /// Waits for a span, or until a stop makes everything due.
-    async fn pause_for(&self, span: std::time::Duration) {
+    async fn sleep_unless_flushed(&self, duration: std::time::Duration) {
         let timer = async {
-            Timer::after(span).await;
+            Timer::after(duration).await;
         };
-        let hurried = async {
-            self.hurry.1.recv().await.ok();
+        let flushed = async {
+            self.flush_signal.1.recv().await.ok();
         };
-        smol::future::or(timer, hurried).await;
+        smol::future::or(timer, flushed).await;
     }
 
-    fn retry_pause(&self, e: &LogError) -> std::time::Duration {
-        let at_least = match e {
+    fn retry_delay(&self, e: &LogError) -> std::time::Duration {
+        let min_delay = match e {
             LogError::Refused { retry_after, .. } => *retry_after,
             LogError::Unknown(_) => Millis(500),
         };
-        jittered(Millis(at_least.0.max(self.settings.every_ms.0 / 2)))
+        jittered(Millis(min_delay.0.max(self.settings.every_ms.0 / 2)))
     }
 
     /// Makes every bill due and waits until the log has them all; says whether it has.
-    pub(crate) async fn flush(&self, limit: Millis) -> bool {
+    pub(crate) async fn flush(&self, timeout: Millis) -> bool {
         self.lock().make_due();
-        self.hurry.0.try_send(()).ok();
+        self.flush_signal.0.try_send(()).ok();
         let done = async {
             while self.len() > 0 {
                 Timer::after(span(Millis(20))).await;
             }
         };
-        crate::clock::within(limit, done).await.is_some()
+        crate::clock::within(timeout, done).await.is_some()
     }
 }
--- a/src/billing/mod.rs
+++ b/src/billing/mod.rs
@@ -1,5 +1,5 @@
 //! Billing records on their way to the log.
 
-mod shipper;
+mod bill_outbox;
 
-pub(crate) use shipper::{BillBox, Held};
+pub(crate) use bill_outbox::{BillOutbox, HeldBill};
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -19,7 +19,7 @@
 use super::response::{RequestError, error_body};
 use super::sessions::session_version;
 use super::sides::SideLink;
-use crate::billing::Held;
+use crate::billing::HeldBill;
 use crate::clock::span;
 use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
 
@@ -493,7 +493,7 @@
 
 /// Stores a bill until it is in the log; its side has the second copy.
 pub(crate) fn hold_bill(entry: &Entry, bill: Bill, link: &SideLink) {
-    let held = Held { bill, side: Some(link.host.clone()) };
+    let held = HeldBill { bill, side: Some(link.host.clone()) };
     if entry.bills.hold(held, Millis(0)).is_err() {
         entry.daemon.telemetry.count("bills.one_copy", 1);
     }
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -10,7 +10,7 @@
 use super::context::Entry;
 use super::sessions::replicate_pins;
 use super::sides::{SideLink, is_live};
-use crate::billing::Held;
+use crate::billing::HeldBill;
 use crate::clock::{jittered, span};
 use crate::peer::{Connected, Link, LinkEvents, connect, dial, run_control};
 use crate::platform::{HostRecord, HostState};
@@ -189,7 +189,7 @@
             }
             link.update_loads(loads);
         },
-        on_bills_confirmed: &|ids| entry.bills.forget(&ids),
+        on_bills_confirmed: &|ids| entry.bills.remove(&ids),
         on_hold_bills: &|bills| store_bills(&entry, bills),
         on_bills_held: &|_| {},
         is_leaving: &|| entry.drain.is_draining(),
@@ -247,7 +247,7 @@
     let mut stored = Vec::new();
     for bill in bills {
         let id = bill.id;
-        if entry.bills.hold(Held { bill, side: None }, Millis(0)).is_ok() {
+        if entry.bills.hold(HeldBill { bill, side: None }, Millis(0)).is_ok() {
             stored.push(id);
         }
     }
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -13,7 +13,7 @@
 use super::quality::QualityTracker;
 use super::sessions::SessionCache;
 use super::sides::Sides;
-use crate::billing::BillBox;
+use crate::billing::BillOutbox;
 use crate::daemon::Daemon;
 use crate::settings::EntrySettings;
 
@@ -24,7 +24,7 @@
     pub(crate) settings: EntrySettings,
     pub(crate) client_config: ClientConfig,
     pub(crate) sides: Sides,
-    pub(crate) bills: BillBox,
+    pub(crate) bills: BillOutbox,
     pub(crate) claims: ClaimFolds,
     pub(crate) sessions: SessionCache,
     pub(crate) decisions: Decisions,
@@ -56,7 +56,7 @@
         let per_request = f64::from(retry.budget_per_mille) / 1000.0;
         Self {
             sides: Sides::default(),
-            bills: BillBox::new(settings.batch.clone()),
+            bills: BillOutbox::new(settings.batch.clone()),
             claims: ClaimFolds::default(),
             sessions: SessionCache::new(settings.sessions.cache),
             decisions: Decisions::new(settings.limits.decisions),
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -16,7 +16,7 @@
 use super::response::refusal_response;
 use super::rollouts::run_rating_loop;
 use super::serve::handle;
-use crate::billing::Held;
+use crate::billing::HeldBill;
 use crate::clock::{span, wall, within};
 use crate::config_store::{feed, write_snapshots};
 use crate::daemon::Daemon;
@@ -70,7 +70,7 @@
         write_snapshots(&d.store, &d.log, &d.log_settings, &d.telemetry, || d.is_reader()).await;
     }));
     tasks.push(spawn(&entry, |e| async move {
-        e.bills.ship(&e.daemon, |batch| confirm_bills(&e, batch)).await;
+        e.bills.run_appender(&e.daemon, |batch| confirm_bills(&e, batch)).await;
     }));
     tasks.push(spawn(&entry, |e| async move { run_rating_loop(&e).await }));
     let peer_server = {
@@ -103,7 +103,7 @@
 }
 
 /// Confirms to each side the bills it holds that are now in the log.
-fn confirm_bills(entry: &Entry, batch: Vec<Held>) {
+fn confirm_bills(entry: &Entry, batch: Vec<HeldBill>) {
     for link in entry.sides.all() {
         let of_side = batch.iter().filter(|held| held.side.as_ref() == Some(&link.host));
         let ids: Vec<_> = of_side.map(|held| held.bill.id).collect();
@@ -181,13 +181,13 @@
 
 /// Hands over the unconfirmed bills to the first side that accepts them.
 async fn hand_over_bills(entry: &Arc<Entry>) {
-    let bills = entry.bills.all();
+    let bills = entry.bills.unconfirmed();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
     for link in entry.sides.all() {
         let Some(connection) = side_connection(entry, &link.host).await else { continue };
         let reply = call(&connection.conn, &Call::Hold(bills.clone()), HAND_OVER_TIMEOUT).await;
         if reply == Ok(Reply::Held) {
-            entry.bills.forget(&ids);
+            entry.bills.remove(&ids);
             entry.daemon.telemetry.info("bills_handed_over", &[("side", &link.host)]);
             return;
         }
--- a/src/side/context.rs
+++ b/src/side/context.rs
@@ -7,7 +7,7 @@
 use redwingfold_core::{ByteBudget, CallTable, ErrorKind, PinTable};
 
 use super::backend::Backend;
-use crate::billing::BillBox;
+use crate::billing::BillOutbox;
 use crate::daemon::Daemon;
 use crate::peer::Link;
 use crate::settings::SideSettings;
@@ -23,7 +23,7 @@
     pub(crate) backends: BTreeMap<String, Arc<Backend>>,
     pub(crate) pins: Mutex<PinTable>,
     pub(crate) calls: Mutex<CallTable>,
-    pub(crate) bills: BillBox,
+    pub(crate) bills: BillOutbox,
     pub(crate) report_budget: Mutex<ByteBudget>,
     is_leaving: AtomicBool,
     running_count: AtomicUsize,
@@ -58,7 +58,7 @@
                 limits.max_remembered_calls,
                 MAX_CALL_BODY_BYTES,
             )),
-            bills: BillBox::new(settings.batch.clone()),
+            bills: BillOutbox::new(settings.batch.clone()),
             report_budget: Mutex::new(ByteBudget::new(
                 settings.heartbeat.report_bytes_per_second,
                 daemon.now(),
--- a/src/side/requests.rs
+++ b/src/side/requests.rs
@@ -5,7 +5,7 @@
 use redwingfold_core::{Bill, CallState, Claim, ErrorKind, KeyHash, Millis};
 
 use super::context::Side;
-use crate::billing::Held;
+use crate::billing::HeldBill;
 use crate::clock::wall;
 use crate::wire::{Call, Closed, Outcome, Reply};
 
@@ -66,7 +66,7 @@
     let mut held_ids = Vec::new();
     for bill in bills {
         let id = bill.id;
-        if side.bills.hold(Held { bill, side: None }, Millis(0)).is_ok() {
+        if side.bills.hold(HeldBill { bill, side: None }, Millis(0)).is_ok() {
             held_ids.push(id);
         }
     }
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -12,7 +12,7 @@
 
 use super::backend::{Admission, Backend};
 use super::context::Side;
-use crate::billing::Held;
+use crate::billing::HeldBill;
 use crate::clock::{span, wall, within};
 use crate::platform::{engine_request, last_usage, plain_request};
 use crate::wire::{
@@ -376,7 +376,7 @@
         at: wall(),
     };
     let not_before = wall().after(side.settings.batch.side_grace_ms);
-    if side.bills.hold(Held { bill: bill.clone(), side: None }, not_before).is_err() {
+    if side.bills.hold(HeldBill { bill: bill.clone(), side: None }, not_before).is_err() {
         side.daemon.telemetry.count("bills.one_copy", 1);
     }
     Some(bill)
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -81,7 +81,10 @@
         )
         .await;
     }));
-    tasks.push(spawn(&side, |side| async move { side.bills.ship(&side.daemon, |_| {}).await }));
+    tasks.push(spawn(
+        &side,
+        |side| async move { side.bills.run_appender(&side.daemon, |_| {}).await },
+    ));
     let accepting = {
         let side = side.clone();
         let handler = move |conn, call, tx, rx| handle_call(side.clone(), conn, call, tx, rx);
@@ -140,9 +143,9 @@
     let sent_loads = Mutex::new(SentLoads::default());
     let events = LinkEvents {
         on_heartbeat: &|_, _| {},
-        on_bills_confirmed: &|ids| side.bills.forget(&ids),
+        on_bills_confirmed: &|ids| side.bills.remove(&ids),
         on_hold_bills: &|bills| hold_bills(side, bills),
-        on_bills_held: &|ids| side.bills.forget(&ids),
+        on_bills_held: &|ids| side.bills.remove(&ids),
         is_leaving: &|| side.is_leaving(),
         loads: &|| {
             let mut sent_loads = sent_loads.lock().unwrap_or_else(PoisonError::into_inner);
@@ -200,7 +203,7 @@
 /// stream that it holds them.
 async fn transfer_bills(side: &Arc<Side>) {
     for link in side.links() {
-        link.send(Control::Hold(side.bills.all()));
+        link.send(Control::Hold(side.bills.unconfirmed()));
         let held = async {
             while side.bills.len() > 0 {
                 Timer::after(span(STOP_POLL_INTERVAL)).await;
