--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -14,7 +14,7 @@
 use redwingfold_telemetry::Telemetry;
 
 /// Records that are kept for peers that are a little behind; others get a snapshot.
-const KEPT_RECORDS: usize = 512;
+const MAX_RECENT_RECORDS: usize = 512;
 
 /// What a peer that is behind is sent.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     inner: Mutex<Inner>,
     current: ArcSwap<Config>,
     mark: ArcSwap<ConfigMark>,
-    moved: Event,
+    change_event: Event,
     telemetry: Telemetry,
 }
 
@@ -46,7 +46,7 @@
             inner: Mutex::default(),
             current: ArcSwap::default(),
             mark: ArcSwap::default(),
-            moved: Event::new(),
+            change_event: Event::new(),
             telemetry,
         }
     }
@@ -68,7 +68,7 @@
     /// Folds records; those that were folded before have no effect.
     pub(crate) fn apply(&self, records: &[(Offset, Vec<u8>)]) {
         let mut inner = self.lock();
-        let before = inner.fold.config().offset;
+        let previous_offset = inner.fold.config().offset;
         for (offset, raw) in records {
             // A gap would fold a state that no other daemon has. The sender had nothing older, so
             // what is missing is fetched as a snapshot.
@@ -76,14 +76,14 @@
                 break;
             }
             if let Some(verdict) = inner.fold.apply(*offset, raw) {
-                self.note(*offset, &verdict);
+                self.log_verdict(*offset, &verdict);
                 inner.recent.push_back((*offset, raw.clone()));
-                if inner.recent.len() > KEPT_RECORDS {
+                if inner.recent.len() > MAX_RECENT_RECORDS {
                     inner.recent.pop_front();
                 }
             }
         }
-        if inner.fold.config().offset > before {
+        if inner.fold.config().offset > previous_offset {
             self.publish(&mut inner);
         }
     }
@@ -115,7 +115,7 @@
             ConfigMark { offset: config.offset, hash: inner.fold.state_hash(), rules: RULES };
         self.current.store(Arc::new(config));
         self.mark.store(Arc::new(mark));
-        self.moved.notify(usize::MAX);
+        self.change_event.notify(usize::MAX);
         self.telemetry.gauge("config.offset", mark.offset.0);
         self.telemetry.info(
             "config_in_force",
@@ -123,7 +123,7 @@
         );
     }
 
-    fn note(&self, offset: Offset, verdict: &Verdict) {
+    fn log_verdict(&self, offset: Offset, verdict: &Verdict) {
         match verdict {
             Verdict::Accepted | Verdict::Duplicate { .. } => {}
             Verdict::Rejected { why } => {
@@ -137,7 +137,7 @@
     }
 
     /// Returns what a peer at `offset` lacks.
-    pub(crate) fn after(&self, offset: Offset) -> Catchup {
+    pub(crate) fn catchup_after(&self, offset: Offset) -> Catchup {
         let inner = self.lock();
         if inner.fold.config().offset <= offset {
             return Catchup::Nothing;
@@ -170,17 +170,17 @@
 
     /// Returns a future that ends at the next change; take it before looking at the present.
     pub(crate) fn changed(&self) -> EventListener {
-        self.moved.listen()
+        self.change_event.listen()
     }
 
     /// Returns how many wait for a change.
     #[cfg(test)]
-    pub(crate) fn listeners(&self) -> usize {
-        self.moved.total_listeners()
+    pub(crate) fn listener_count(&self) -> usize {
+        self.change_event.total_listeners()
     }
 
     /// Waits until the configuration goes at least to `offset`; says whether it does.
-    pub(crate) async fn reaches(&self, offset: Offset, limit: Millis) -> bool {
+    pub(crate) async fn wait_for_offset(&self, offset: Offset, timeout: Millis) -> bool {
         let reached = async {
             loop {
                 let changed = self.changed();
@@ -190,11 +190,11 @@
                 changed.await;
             }
         };
-        within(limit, reached).await.is_some()
+        within(timeout, reached).await.is_some()
     }
 
     /// Compares a peer's mark with ours: equal offsets and rules must have equal hashes.
-    pub(crate) fn check_peer(&self, peer: &str, theirs: ConfigMark) {
+    pub(crate) fn check_divergence(&self, peer: &str, theirs: ConfigMark) {
         let ours = self.mark();
         if ours.offset == theirs.offset && ours.rules == theirs.rules && ours.hash != theirs.hash {
             self.telemetry.count("config.diverged", 1);
--- a/src/config_store/feed.rs
+++ b/src/config_store/stream_reader.rs
@@ -9,7 +9,7 @@
 use crate::settings::LogSettings;
 use redwingfold_telemetry::Telemetry;
 
-const PAGE: usize = 500;
+const PAGE_RECORDS: usize = 500;
 const MAX_BACKOFF: Millis = Millis(5_000);
 const MIN_BACKOFF: Millis = Millis(100);
 
@@ -17,22 +17,22 @@
 ///
 /// `is_relaxed` says whether this daemon gets the configuration from its peers; it then reads only
 /// now and then, so that hundreds of daemons do not all wait at the log service.
-pub(crate) async fn feed(
+pub(crate) async fn follow_stream(
     store: &ConfigStore,
     log: &LogClient,
     settings: &LogSettings,
     telemetry: &Telemetry,
-    is_relaxed: impl Fn() -> bool,
+    has_peer_updates: impl Fn() -> bool,
 ) {
     let mut backoff = MIN_BACKOFF;
     loop {
         let from = Offset(store.mark().offset.0 + 1);
-        let relaxed = from.0 > 1 && is_relaxed();
-        let wait = if relaxed { Millis(0) } else { settings.wait_ms };
-        match log.read(stream::CONFIG, from, PAGE, wait).await {
+        let relies_on_peers = from.0 > 1 && has_peer_updates();
+        let wait = if relies_on_peers { Millis(0) } else { settings.wait_ms };
+        match log.read(stream::CONFIG, from, PAGE_RECORDS, wait).await {
             Ok(page) => {
                 backoff = MIN_BACKOFF;
-                if page.first > from && !load_snapshot(store, log).await {
+                if page.first > from && !install_newest_snapshot(store, log).await {
                     telemetry.warn(
                         "config_gap",
                         &[
@@ -48,15 +48,15 @@
             Err(e) => {
                 telemetry.count("log.read_failed", 1);
                 telemetry.warn("log_read_failed", &[("stream", &stream::CONFIG), ("why", &e)]);
-                let at_least = match e {
+                let min_delay = match e {
                     LogError::Refused { retry_after, .. } => retry_after,
                     LogError::Unknown(_) => MIN_BACKOFF,
                 };
-                Timer::after(jittered(Millis(backoff.0.max(at_least.0)))).await;
+                Timer::after(jittered(Millis(backoff.0.max(min_delay.0)))).await;
                 backoff = Millis((backoff.0 * 2).min(MAX_BACKOFF.0));
             }
         }
-        if relaxed {
+        if relies_on_peers {
             Timer::after(jittered(settings.relaxed_ms)).await;
         }
     }
@@ -66,8 +66,8 @@
 pub(crate) async fn read_all(store: &ConfigStore, log: &LogClient) -> Result<(), LogError> {
     loop {
         let from = Offset(store.mark().offset.0 + 1);
-        let page = log.read(stream::CONFIG, from, PAGE, Millis(0)).await?;
-        if page.first > from && !load_snapshot(store, log).await {
+        let page = log.read(stream::CONFIG, from, PAGE_RECORDS, Millis(0)).await?;
+        if page.first > from && !install_newest_snapshot(store, log).await {
             let why = format!("records before {} are gone and no snapshot covers them", page.first);
             return Err(LogError::Unknown(why));
         }
@@ -79,7 +79,7 @@
 }
 
 /// Installs the newest snapshot of the log; says whether there was a newer one.
-async fn load_snapshot(store: &ConfigStore, log: &LogClient) -> bool {
+async fn install_newest_snapshot(store: &ConfigStore, log: &LogClient) -> bool {
     let Ok(tail) = log.read(stream::SNAPSHOTS, Offset(u64::MAX), 1, Millis(0)).await else {
         return false;
     };
@@ -104,25 +104,25 @@
     telemetry: &Telemetry,
     is_reader: impl Fn() -> bool,
 ) {
-    let mut covered = Offset(0);
+    let mut snapshot_offset = Offset(0);
     loop {
         let changed = store.changed();
         let offset = store.mark().offset;
-        if offset.0 < covered.0 + settings.snapshot_every || !is_reader() {
+        if offset.0 < snapshot_offset.0 + settings.snapshot_every || !is_reader() {
             changed.await;
             continue;
         }
         Timer::after(jittered(Millis(2_000))).await;
-        covered = newest_snapshot(log).await.unwrap_or(covered);
-        if offset.0 < covered.0 + settings.snapshot_every {
+        snapshot_offset = newest_snapshot_offset(log).await.unwrap_or(snapshot_offset);
+        if offset.0 < snapshot_offset.0 + settings.snapshot_every {
             continue;
         }
         let snapshot = store.snapshot();
         let json = serde_json::to_vec(&snapshot).unwrap_or_default();
         match log.append(stream::SNAPSHOTS, json).await {
             Ok(_) => {
-                covered = snapshot.config.offset;
-                telemetry.info("snapshot_written", &[("offset", &covered)]);
+                snapshot_offset = snapshot.config.offset;
+                telemetry.info("snapshot_written", &[("offset", &snapshot_offset)]);
             }
             // One that took effect without an answer is found at the next look.
             Err(e) => {
@@ -133,7 +133,7 @@
     }
 }
 
-async fn newest_snapshot(log: &LogClient) -> Option<Offset> {
+async fn newest_snapshot_offset(log: &LogClient) -> Option<Offset> {
     let tail = log.read(stream::SNAPSHOTS, Offset(u64::MAX), 1, Millis(0)).await.ok()?;
     let from = Offset(tail.next.0.saturating_sub(1).max(1));
     let page = log.read(stream::SNAPSHOTS, from, 1, Millis(0)).await.ok()?;
--- a/src/config_store/tests.rs
+++ b/src/config_store/tests.rs
@@ -20,9 +20,9 @@
     let store = store();
     for _ in 0..1000 {
         drop(store.changed());
-        assert!(!smol::block_on(store.reaches(Offset(1), Millis(0))));
+        assert!(!smol::block_on(store.wait_for_offset(Offset(1), Millis(0))));
     }
-    assert_eq!(store.listeners(), 0);
+    assert_eq!(store.listener_count(), 0);
 }
 
 /// A gap is not folded over: the state behind it would be one that no other daemon has.
@@ -41,10 +41,10 @@
     let store = store();
     let all: Vec<_> = (1..=600).map(record).collect();
     store.apply(&all);
-    assert!(matches!(store.after(Offset(600)), Catchup::Nothing));
-    match store.after(Offset(590)) {
+    assert!(matches!(store.catchup_after(Offset(600)), Catchup::Nothing));
+    match store.catchup_after(Offset(590)) {
         Catchup::Records(records) => assert_eq!(records.len(), 10),
         other => panic!("{other:?}"),
     }
-    assert!(matches!(store.after(Offset(1)), Catchup::Snapshot(_)));
+    assert!(matches!(store.catchup_after(Offset(1)), Catchup::Snapshot(_)));
 }
--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -167,7 +167,7 @@
 /// withdrawal would then be accepted and in force nowhere. Here it needs no more than one daemon
 /// in reach, since daemons tell each other.
 async fn push(ctl: &Ctl) {
-    let Catchup::Records(mut records) = ctl.store.after(Offset(0)) else { return };
+    let Catchup::Records(mut records) = ctl.store.catchup_after(Offset(0)) else { return };
     records.drain(..records.len().saturating_sub(PUSHED_RECORDS));
     let offset = ctl.store.mark().offset;
     match ctl.ask_all(&Call::Install(records), |_| true).await {
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -195,7 +195,7 @@
                     replans += 1;
                     let offset = e.side_offset;
                     self.step("stale", format!("the side is at offset {offset}"));
-                    self.entry.daemon.store.reaches(offset, CATCH_UP_TIMEOUT).await;
+                    self.entry.daemon.store.wait_for_offset(offset, CATCH_UP_TIMEOUT).await;
                 }
                 Err(e) => {
                     return Err(RequestError {
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -18,7 +18,7 @@
 use super::serve::handle;
 use crate::billing::HeldBill;
 use crate::clock::{span, wall, within};
-use crate::config_store::{feed, write_snapshots};
+use crate::config_store::{follow_stream, write_snapshots};
 use crate::daemon::Daemon;
 use crate::peer::{bind, call, serve as serve_peers};
 use crate::settings::EntrySettings;
@@ -63,7 +63,7 @@
     tasks.push(spawn(&entry, |e| async move {
         let is_relaxed = || !e.sides.all().is_empty() && !e.daemon.is_reader();
         let d = &e.daemon;
-        feed(&d.store, &d.log, &d.log_settings, &d.telemetry, is_relaxed).await;
+        follow_stream(&d.store, &d.log, &d.log_settings, &d.telemetry, is_relaxed).await;
     }));
     tasks.push(spawn(&entry, |e| async move {
         let d = &e.daemon;
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -242,7 +242,7 @@
 ) {
     match message {
         Control::Beat(received) => {
-            daemon.store.check_peer(peer, received.config);
+            daemon.store.check_divergence(peer, received.config);
             link.raise_peer_offset(received.config.offset);
             let ours = daemon.store.mark();
             if received.config.offset > ours.offset {
@@ -275,7 +275,7 @@
         },
         Control::Want(offset) => {
             let ours = daemon.store.mark().offset;
-            match daemon.store.after(offset) {
+            match daemon.store.catchup_after(offset) {
                 Catchup::Nothing => {}
                 Catchup::Records(records) => link.send(Control::Records(records)),
                 Catchup::Snapshot(json) => link.send(Control::Snapshot(json)),
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -128,7 +128,7 @@
 /// Waits until this side has the configuration by which the entry made its decision.
 async fn wait_for_config(side: &Side, offset: Offset) -> Result<(), Failure> {
     let limit = side.settings.queue.config_wait_ms;
-    match side.daemon.store.reaches(offset, limit).await {
+    match side.daemon.store.wait_for_offset(offset, limit).await {
         true => Ok(()),
         false => Err(Failure::new(ErrorKind::NoConfig, format!("has no record {offset} yet"))),
     }
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -13,7 +13,7 @@
 use super::requests::{answer_call, hold_bills};
 use super::run::run_request;
 use crate::clock::{span, within};
-use crate::config_store::{feed, write_snapshots};
+use crate::config_store::{follow_stream, write_snapshots};
 use crate::daemon::Daemon;
 use crate::peer::{Link, LinkEvents, bind, run_control, serve};
 use crate::settings::SideSettings;
@@ -66,9 +66,16 @@
     tasks.push(spawn(&side, |side| async move { reconcile_engines(&side).await }));
     tasks.push(spawn(&side, |side| async move { reject_withdrawn(&side).await }));
     tasks.push(spawn(&side, |side| async move {
-        let is_relaxed = || !side.links().is_empty() && !side.daemon.is_reader();
+        let has_peer_updates = || !side.links().is_empty() && !side.daemon.is_reader();
         let daemon = &side.daemon;
-        feed(&daemon.store, &daemon.log, &daemon.log_settings, &daemon.telemetry, is_relaxed).await;
+        follow_stream(
+            &daemon.store,
+            &daemon.log,
+            &daemon.log_settings,
+            &daemon.telemetry,
+            has_peer_updates,
+        )
+        .await;
     }));
     tasks.push(spawn(&side, |side| async move {
         let daemon = &side.daemon;
