--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -10,7 +10,7 @@
 use super::sides::SideLink;
 use crate::peer::CallGuard;
 use crate::wire::{
-    Call, CallHead, FrameReader, FrameWriter, RunCall, RunEnd, RunFrame, RunHead, WireError,
+    Call, FrameReader, FrameWriter, RunCall, RunEnd, RunFrame, RunHead, RunId, WireError,
 };
 
 /// Why an attempt failed, and the offset of the side's configuration if the side reported it.
@@ -32,7 +32,7 @@
     // Kept open for the whole run; if it were dropped early, the sending half would finish, which
     // the side ignores.
     _tx: FrameWriter<Call>,
-    head: CallHead,
+    head: RunId,
     backend: String,
     link: Arc<SideLink>,
     entry: Arc<Entry>,
@@ -53,7 +53,7 @@
     link: &Arc<SideLink>,
     call: RunCall,
 ) -> Result<(RunHead, ResponseStream), AttemptError> {
-    let head = call.head;
+    let head = call.run_id;
     let backend = call.backend.clone();
     link.count_sent(&call.backend);
     let call_guard = link.peer_link.begin_call();
@@ -98,14 +98,14 @@
         self.link.peer_link.record_receipt(self.entry.daemon.now());
         match frame {
             None => Err(RequestError::new(ErrorKind::BackendLost, "answer has no end").into()),
-            Some(frame) if frame.head() != self.head => {
+            Some(frame) if frame.run_id() != self.head => {
                 Err(RequestError::new(ErrorKind::TornFrame, "frame of another run").into())
             }
             Some(RunFrame::Failed(_, failed)) => Err(AttemptError {
                 error: RequestError {
                     kind: failed.kind,
                     run_state: failed.run,
-                    detail: failed.why,
+                    detail: failed.reason,
                     retry_after: failed.retry_after,
                 },
                 side_offset: failed.config.offset,
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -21,7 +21,7 @@
 use super::sides::SideLink;
 use crate::billing::HeldBill;
 use crate::clock::span;
-use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
+use crate::wire::{Load, RunCall, RunEnd, RunHead, RunId, Usage};
 
 /// Bytes of a streamed response that are buffered for rating; collection stops at the first chunk
 /// that reaches it.
@@ -348,7 +348,7 @@
     ) -> RunCall {
         let key = self.caller.idempotency_key.as_deref();
         RunCall {
-            head: CallHead { request: self.request, attempt: progress.attempts },
+            run_id: RunId { request: self.request, attempt: progress.attempts },
             config: crate::wire::ConfigMark { offset, ..self.entry.daemon.store.mark() },
             customer: self.caller.customer.clone(),
             session: self.caller.session.clone(),
@@ -359,13 +359,13 @@
             target: self.target.clone(),
             content_type: None,
             body: self.req.body.clone(),
-            stream: self.req.stream,
-            deadline: self.deadline.since(self.entry.daemon.now()),
+            is_streamed: self.req.stream,
+            time_left: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: self.req.work_tokens,
+            work_tokens: self.req.work_tokens,
             claim: None,
             bill: Some(Bill::id_for(&self.caller.customer, key, self.request)),
-            spent: progress.usage,
+            prior_usage: progress.usage,
         }
     }
 
--- a/src/entry/service_call.rs
+++ b/src/entry/service_call.rs
@@ -16,7 +16,7 @@
 use super::pick::{BackendTarget, TriedBackends, pick_backend};
 use super::response::RequestError;
 use super::sides::SideLink;
-use crate::wire::{CallHead, Load, RunCall, Usage};
+use crate::wire::{Load, RunCall, RunId, Usage};
 
 /// Cost of a service call in the fair queue, in tokens.
 const SERVICE_CALL_WORK_TOKENS: u64 = 100;
@@ -124,7 +124,7 @@
             }
         }
         self.step("attempt", format!("1 at {}/{backend}", link.host));
-        call.deadline = self.deadline.since(self.entry.daemon.now());
+        call.time_left = self.deadline.since(self.entry.daemon.now());
         self.run_attempt(&link, call).await.map_err(|e| {
             self.step("attempt_failed", format!("{} ({})", e.error.kind, e.error.run_state));
             e.error
@@ -151,7 +151,7 @@
 
     fn run_call(&self, service: &str, backend: &str, attempt: u32) -> RunCall {
         RunCall {
-            head: CallHead { request: self.request, attempt },
+            run_id: RunId { request: self.request, attempt },
             config: self.entry.daemon.store.mark(),
             customer: self.caller.customer.clone(),
             session: self.caller.session.clone(),
@@ -162,13 +162,13 @@
             target: self.target.clone(),
             content_type: self.content_type.clone(),
             body: self.body.clone(),
-            stream: false,
-            deadline: self.deadline.since(self.entry.daemon.now()),
+            is_streamed: false,
+            time_left: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: SERVICE_CALL_WORK_TOKENS,
+            work_tokens: SERVICE_CALL_WORK_TOKENS,
             claim: None,
             bill: None,
-            spent: Usage::default(),
+            prior_usage: Usage::default(),
         }
     }
 
--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -60,7 +60,7 @@
     pub(crate) version: Option<VersionName>,
     pub(crate) weight: u32,
     pub(crate) priority: u8,
-    pub(crate) work: u64,
+    pub(crate) work_tokens: u64,
     pub(crate) deadline: Millis,
 }
 
@@ -161,7 +161,7 @@
             let waiting = Waiting {
                 item: queued,
                 customer: request.customer,
-                work: request.work,
+                work: request.work_tokens,
                 deadline: request.deadline,
             };
             state
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -58,7 +58,7 @@
 
 /// Runs a request and sends its response, or a [`RunFailed`] with the reason, to the entry.
 pub(crate) async fn run_request(side: &Side, call: RunCall, mut tx: FrameWriter<RunFrame>) {
-    let head = call.head;
+    let run_id = call.run_id;
     let mut claimed_id = None;
     let outcome = Box::pin(admit_and_forward(side, &call, &mut tx, &mut claimed_id)).await;
     if let Err(failure) = outcome {
@@ -70,8 +70,8 @@
         side.daemon.telemetry.info(
             "run_failed",
             &[
-                ("request", &head.request),
-                ("attempt", &head.attempt),
+                ("request", &run_id.request),
+                ("attempt", &run_id.attempt),
                 ("kind", &failure.kind),
                 ("run", &failure.run),
                 ("why", &failure.reason),
@@ -81,11 +81,11 @@
         let failed = RunFailed {
             kind: failure.kind,
             run: failure.run,
-            why: failure.reason,
+            reason: failure.reason,
             retry_after: failure.kind.row().retry_after,
             config: side.daemon.store.mark(),
         };
-        tx.send(&RunFrame::Failed(head, failed)).await.ok();
+        tx.send(&RunFrame::Failed(run_id, failed)).await.ok();
     }
     tx.finish();
 }
@@ -96,7 +96,7 @@
     tx: &mut FrameWriter<RunFrame>,
     claimed_id: &mut Option<ClaimId>,
 ) -> Result<(), Failure> {
-    let deadline = side.daemon.now().after(call.deadline);
+    let deadline = side.daemon.now().after(call.time_left);
     let _run_guard = side.begin_run()?;
     wait_for_config(side, call.config.offset).await?;
     check_allowed(side, call)?;
@@ -110,7 +110,7 @@
         version: call.version.clone(),
         weight: customer_weight(side, &call.customer),
         priority: call.priority,
-        work: call.work,
+        work_tokens: call.work_tokens,
         deadline,
     };
     let permit = unless_cancelled(tx, backend.admit(admission)).await??;
@@ -186,7 +186,7 @@
 }
 
 fn backend_request(call: &RunCall, backend: &Backend) -> Result<Request, Failure> {
-    let (addr, request) = (backend.settings.address, call.head.request);
+    let (addr, request) = (backend.settings.address, call.run_id.request);
     let built = match &call.version {
         Some(version) => {
             engine_request(addr, request, version, &call.target, &call.body, call.priority)
@@ -232,7 +232,7 @@
     }
     let content_type = res.header("content-type").map(|v| v.as_str().to_owned());
     let run_head = RunHead { status, content_type: content_type.clone() };
-    tx.send(&RunFrame::Head(call.head, run_head)).await?;
+    tx.send(&RunFrame::Head(call.run_id, run_head)).await?;
     let withdrawn = cancelling_withdrawal(side, call.version.as_ref());
     let body =
         smol::future::or(forward_body(side, call, backend, &mut res, tx, started_at), async {
@@ -254,7 +254,7 @@
         bill,
         load: LoadChange::from(&backend.load()),
     };
-    tx.send(&RunFrame::End(call.head, Box::new(end))).await?;
+    tx.send(&RunFrame::End(call.run_id, Box::new(end))).await?;
     side.daemon.telemetry.count("run.done", 1);
     let elapsed = side.daemon.now().since(started_at);
     side.daemon.telemetry.time("run.whole_ms", elapsed.0);
@@ -314,12 +314,12 @@
         hash.update(&buf[..n]);
         body.tail.extend_from_slice(&buf[..n]);
         let excess =
-            body.tail.len().saturating_sub(if call.stream { TAIL_BYTES } else { usize::MAX });
+            body.tail.len().saturating_sub(if call.is_streamed { TAIL_BYTES } else { usize::MAX });
         body.tail.drain(..excess);
         if let Some(full_body) = &mut body.full_body {
             full_body.extend_from_slice(&buf[..n]);
         }
-        tx.send(&RunFrame::Chunk(call.head, buf[..n].to_vec())).await?;
+        tx.send(&RunFrame::Chunk(call.run_id, buf[..n].to_vec())).await?;
     }
     body.checksum = hash.digest();
     match content_length {
@@ -336,7 +336,7 @@
 /// Returns whether an engine's response is truncated. Responses of plain services are checked only
 /// against their `Content-Length`.
 fn is_truncated(call: &RunCall, tail: &[u8]) -> bool {
-    match (call.version.is_some(), call.stream) {
+    match (call.version.is_some(), call.is_streamed) {
         (true, true) => !tail.windows(STREAM_END_EVENT.len()).any(|w| w == STREAM_END_EVENT),
         (true, false) => serde_json::from_slice::<serde::de::IgnoredAny>(tail).is_err(),
         (false, _) => false,
@@ -346,7 +346,7 @@
 fn compute_usage(side: &Side, call: &RunCall, status: u16, body: &ForwardedBody) -> Usage {
     let tokens = match call.version {
         Some(_) if status == 200 => {
-            last_usage(call.stream, &body.tail).unwrap_or(TOKENS_WITHOUT_USAGE)
+            last_usage(call.is_streamed, &body.tail).unwrap_or(TOKENS_WITHOUT_USAGE)
         }
         _ => 0,
     };
@@ -354,8 +354,8 @@
     let price =
         call.version.as_ref().and_then(|v| config.version(v)).map_or(0, |v| v.cost_per_ktok);
     Usage {
-        tokens: call.spent.tokens + tokens,
-        cost: call.spent.cost + (tokens * price).div_ceil(1000),
+        tokens: call.prior_usage.tokens + tokens,
+        cost: call.prior_usage.cost + (tokens * price).div_ceil(1000),
     }
 }
 
@@ -367,9 +367,9 @@
     let (id, version) = billed_version(call, status)?;
     let bill = Bill {
         id,
-        attempt: call.head.attempt,
+        attempt: call.run_id.attempt,
         customer: call.customer.clone(),
-        request: call.head.request,
+        request: call.run_id.request,
         version,
         tokens: usage.tokens,
         cost: usage.cost,
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -32,12 +32,12 @@
 
 /// Encodes a message with its length.
 pub(crate) fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, WireError> {
-    let torn = |e: String| WireError::Torn(e);
-    let mut buf =
-        postcard::to_extend(message, vec![0; LENGTH_BYTES]).map_err(|e| torn(e.to_string()))?;
+    let malformed = |e: String| WireError::Torn(e);
+    let mut buf = postcard::to_extend(message, vec![0; LENGTH_BYTES])
+        .map_err(|e| malformed(e.to_string()))?;
     let len = buf.len() - LENGTH_BYTES;
     if len > MAX_FRAME {
-        return Err(torn(format!("frame of {len} bytes")));
+        return Err(malformed(format!("frame of {len} bytes")));
     }
     buf[..LENGTH_BYTES].copy_from_slice(&(len as u32).to_be_bytes());
     Ok(buf)
@@ -55,12 +55,12 @@
 /// Writes messages of one type.
 pub(crate) struct FrameWriter<T> {
     stream: SendStream,
-    of: PhantomData<fn(T)>,
+    marker: PhantomData<fn(T)>,
 }
 
 impl<T: Serialize> FrameWriter<T> {
     pub(crate) fn new(stream: SendStream) -> Self {
-        Self { stream, of: PhantomData }
+        Self { stream, marker: PhantomData }
     }
 
     pub(crate) async fn send(&mut self, message: &T) -> Result<usize, WireError> {
@@ -88,12 +88,12 @@
 /// Reads messages of one type.
 pub(crate) struct FrameReader<T> {
     stream: RecvStream,
-    of: PhantomData<fn() -> T>,
+    marker: PhantomData<fn() -> T>,
 }
 
 impl<T: DeserializeOwned> FrameReader<T> {
     pub(crate) fn new(stream: RecvStream) -> Self {
-        Self { stream, of: PhantomData }
+        Self { stream, marker: PhantomData }
     }
 
     /// Reads the next message, or `None` at a clean end.
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -125,7 +125,7 @@
 
 /// Identifies a run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct CallHead {
+pub(crate) struct RunId {
     pub(crate) request: RequestId,
     pub(crate) attempt: u32,
 }
@@ -133,7 +133,7 @@
 /// A request for a backend server.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RunCall {
-    pub(crate) head: CallHead,
+    pub(crate) run_id: RunId,
     pub(crate) config: ConfigMark,
     pub(crate) customer: CustomerName,
     pub(crate) session: Option<SessionId>,
@@ -147,16 +147,16 @@
     pub(crate) target: String,
     pub(crate) content_type: Option<String>,
     pub(crate) body: Vec<u8>,
-    pub(crate) stream: bool,
+    pub(crate) is_streamed: bool,
     /// Time that is left.
-    pub(crate) deadline: Millis,
+    pub(crate) time_left: Millis,
     pub(crate) priority: u8,
     /// Work that it is expected to make, in tokens.
-    pub(crate) work: u64,
+    pub(crate) work_tokens: u64,
     pub(crate) claim: Option<Claim>,
     pub(crate) bill: Option<KeyHash>,
     /// Tokens and cost of earlier attempts.
-    pub(crate) spent: Usage,
+    pub(crate) prior_usage: Usage,
 }
 
 /// Tokens and cost.
@@ -169,19 +169,19 @@
 /// A message of a run's answer. Each names the run, so that one that belongs elsewhere is noticed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum RunFrame {
-    Chunk(CallHead, Vec<u8>),
-    End(CallHead, Box<RunEnd>),
-    Failed(CallHead, RunFailed),
-    Head(CallHead, RunHead),
+    Chunk(RunId, Vec<u8>),
+    End(RunId, Box<RunEnd>),
+    Failed(RunId, RunFailed),
+    Head(RunId, RunHead),
 }
 
 impl RunFrame {
-    pub(crate) fn head(&self) -> CallHead {
+    pub(crate) fn run_id(&self) -> RunId {
         match self {
-            Self::Chunk(head, _)
-            | Self::End(head, _)
-            | Self::Failed(head, _)
-            | Self::Head(head, _) => *head,
+            Self::Chunk(run_id, _)
+            | Self::End(run_id, _)
+            | Self::Failed(run_id, _)
+            | Self::Head(run_id, _) => *run_id,
         }
     }
 }
@@ -208,7 +208,7 @@
 pub(crate) struct RunFailed {
     pub(crate) kind: ErrorKind,
     pub(crate) run: RunState,
-    pub(crate) why: String,
+    pub(crate) reason: String,
     pub(crate) retry_after: Option<Millis>,
     pub(crate) config: ConfigMark,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -7,6 +7,6 @@
 
 pub(crate) use frame::{FrameReader, FrameWriter, MAX_FRAME, WireError};
 pub(crate) use message::{
-    Beat, Call, CallHead, Closed, ConfigMark, Control, Hello, Load, LoadChange, Outcome, PROTOCOL,
-    Reply, Role, RunCall, RunEnd, RunFailed, RunFrame, RunHead, Usage, new_claim_id,
+    Beat, Call, Closed, ConfigMark, Control, Hello, Load, LoadChange, Outcome, PROTOCOL, Reply,
+    Role, RunCall, RunEnd, RunFailed, RunFrame, RunHead, RunId, Usage, new_claim_id,
 };
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -3,16 +3,16 @@
 use redwingfold_core::{Offset, RequestId};
 
 use super::frame::{decode, encode};
-use super::message::{Call, CallHead, Control, Reply, RunFrame, RunHead};
+use super::message::{Call, Control, Reply, RunFrame, RunHead, RunId};
 
 const LENGTH_BYTES: usize = 4;
 
 #[test]
 fn messages_are_read_back_as_written() {
-    let head = CallHead { request: RequestId(7), attempt: 2 };
+    let run_id = RunId { request: RequestId(7), attempt: 2 };
     let frames = [
-        RunFrame::Head(head, RunHead { status: 200, content_type: None }),
-        RunFrame::Chunk(head, b"data".to_vec()),
+        RunFrame::Head(run_id, RunHead { status: 200, content_type: None }),
+        RunFrame::Chunk(run_id, b"data".to_vec()),
     ];
     for frame in frames {
         let bytes = encode(&frame).unwrap();
