--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -1,4 +1,4 @@
-//! Opening connections.
+//! Opens connections to other processes and makes calls on them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -15,15 +15,15 @@
     pub(crate) hello: Hello,
     pub(crate) tx: FrameWriter<Control>,
     pub(crate) rx: FrameReader<Control>,
-    /// Keeps the socket; it must live as long as the connection.
+    /// Owns the socket, so it must live as long as the connection.
     pub(crate) endpoint: Endpoint,
 }
 
-/// Opens a connection from a port of its own.
+/// Opens a connection from a new local port.
 ///
-/// When something on the way has lost track of a connection, it drops what belongs to its pair of
-/// ports: the peer looks dead although it is not. A new connection from the same port would be
-/// dropped like the old one, so each gets a new port.
+/// A network device that has lost its state for a connection drops all packets between that pair of
+/// ports, so that the peer appears dead although it is not. A new connection from the same port
+/// would be dropped too, so each connection gets a new one.
 pub(crate) async fn dial(
     config: &ClientConfig,
     addr: SocketAddr,
@@ -68,7 +68,7 @@
     Ok(Connected { conn, hello, tx, rx, endpoint })
 }
 
-/// Makes one call that is answered by one reply.
+/// Makes one call and waits for its single reply.
 pub(crate) async fn call(
     conn: &Connection,
     call: &Call,
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -1,4 +1,5 @@
-//! The control stream of a connection: heartbeats, loads, the configuration, confirmed bills.
+//! The control stream of a connection: heartbeats, loads, configuration records, bill
+//! confirmations.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,10 +15,10 @@
 use crate::daemon::Daemon;
 use crate::wire::{Beat, Control, FrameReader, FrameWriter, Load, WireError};
 
-/// How often the detector is looked at, as a part of the heartbeat interval.
+/// Checks of the failure detector per heartbeat interval, while a reply is awaited.
 const CHECKS_PER_INTERVAL: u64 = 5;
 
-/// What both tasks of a control stream, and the calls beside it, know of the connection.
+/// State of a connection that is shared by the tasks of its control stream and its calls.
 #[derive(Debug)]
 pub(crate) struct Link {
     detector: Mutex<Detector>,
@@ -25,7 +26,7 @@
     is_replaced: AtomicBool,
     health_changed: Event,
     calls_in_flight: AtomicUsize,
-    /// How far the peer's configuration goes, as far as is known here.
+    /// Highest configuration offset that the peer is known to have.
     peer_offset: AtomicU64,
     out_tx: Sender<Control>,
     out_rx: Receiver<Control>,
@@ -33,7 +34,8 @@
 }
 
 impl Link {
-    /// Makes a link; `asks` says whether this end sends heartbeats of its own.
+    /// Creates a link. `sends_heartbeats` selects whether this end sends heartbeats at intervals,
+    /// or only replies to those of the peer.
     pub(crate) fn new(daemon: &Daemon, sends_heartbeats: bool) -> Self {
         let (out_tx, out_rx) = unbounded();
         let detector = Detector::new(daemon.heartbeat.policy(), daemon.now());
@@ -54,7 +56,7 @@
         f(&mut self.detector.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Notes that something arrived on the connection.
+    /// Records for the failure detector that a message was received.
     pub(crate) fn record_receipt(&self, now: Millis) {
         self.with_detector(|d| d.heard(now));
     }
@@ -66,29 +68,29 @@
         }
     }
 
-    /// Counts a call whose answer is awaited, until it is dropped.
+    /// Counts a call as in flight until the returned guard is dropped.
     pub(crate) fn begin_call(self: &Arc<Self>) -> CallGuard {
         self.calls_in_flight.fetch_add(1, Ordering::Relaxed);
         CallGuard(self.clone())
     }
 
-    /// Notes that the peer has the configuration up to an offset.
+    /// Records that the peer has the configuration up to at least an offset.
     fn raise_peer_offset(&self, offset: Offset) {
         self.peer_offset.fetch_max(offset.0, Ordering::Relaxed);
     }
 
-    /// Gives the connection up: from now on it counts as dead.
+    /// Marks the connection as closed: from now on its health is [`Health::Dead`].
     pub(crate) fn mark_closed(&self) {
         self.is_closed.store(true, Ordering::Relaxed);
         self.health_changed.notify(usize::MAX);
     }
 
-    /// Queues a message; it is dropped if the connection is gone.
+    /// Queues a message for the control stream; it is dropped if the connection is closed.
     pub(crate) fn send(&self, message: Control) {
         self.out_tx.try_send(message).ok();
     }
 
-    /// Notes that another connection has taken this one's place while it was silent.
+    /// Records that a new connection to the same peer replaced this one while it was silent.
     pub(crate) fn mark_replaced(&self) {
         self.is_replaced.store(true, Ordering::Relaxed);
         self.health_changed.notify(usize::MAX);
@@ -98,9 +100,10 @@
         self.is_replaced.load(Ordering::Relaxed)
     }
 
-    /// Waits until the peer's health is one that `wanted` accepts. The control stream's clock looks
-    /// at the detector for all who wait: with a thousand answers under way, a timer for each would
-    /// cost more than the answers.
+    /// Waits until `wanted` accepts the peer's health.
+    ///
+    /// The control stream's timer checks the detector for all waiting tasks: with a thousand
+    /// responses in flight, a timer for each would cost more than the responses.
     pub(crate) async fn wait_for_health(&self, daemon: &Daemon, wanted: impl Fn(Health) -> bool) {
         loop {
             let health_changed = self.health_changed.listen();
@@ -111,9 +114,11 @@
         }
     }
 
-    /// Returns the time until the detector is looked at again: often only while an answer is awaited
-    /// or a heartbeat is out. Looking at sixty idle connections ten times a second took most of the
-    /// processor time of an idle entry.
+    /// Returns the time until the next check of the detector.
+    ///
+    /// The checks are frequent only while a call is in flight or a heartbeat is unanswered.
+    /// Frequent checks of sixty idle connections, ten times a second, took most of an idle entry's
+    /// CPU time.
     fn check_interval(&self, daemon: &Daemon) -> Millis {
         let interval = daemon.heartbeat.interval_ms;
         let is_idle = self.calls_in_flight.load(Ordering::Relaxed) == 0
@@ -125,7 +130,7 @@
     }
 }
 
-/// Counts a call on a link.
+/// Counts a call as in flight on a link until it is dropped.
 #[derive(Debug)]
 pub(crate) struct CallGuard(Arc<Link>);
 
@@ -135,14 +140,15 @@
     }
 }
 
-/// What the owner of a link does with what arrives, and says of itself.
+/// Callbacks of a link's owner: handlers for received messages, and the state to send in
+/// heartbeats.
 pub(crate) struct LinkEvents<'a> {
     pub(crate) on_heartbeat: &'a (dyn Fn(bool, Vec<Load>) + Send + Sync),
     pub(crate) on_bills_confirmed: &'a (dyn Fn(Vec<KeyHash>) + Send + Sync),
     pub(crate) on_hold_bills: &'a (dyn Fn(Vec<Bill>) -> Vec<KeyHash> + Send + Sync),
     pub(crate) on_bills_held: &'a (dyn Fn(Vec<KeyHash>) + Send + Sync),
     pub(crate) is_leaving: &'a (dyn Fn() -> bool + Send + Sync),
-    /// Loads that changed since they were last told on this link.
+    /// Returns the loads that changed since they were last sent on this link.
     pub(crate) loads: &'a (dyn Fn() -> Vec<Load> + Send + Sync),
 }
 
@@ -203,7 +209,7 @@
     let announce = async {
         loop {
             daemon.store.changed().await;
-            // The one that a change came from, or that has it already, need not be told.
+            // A peer that sent the change, or already has it, needs no heartbeat.
             if link.peer_offset.load(Ordering::Relaxed) < daemon.store.mark().offset.0 {
                 link.send(heartbeat(daemon, events, false));
             }
@@ -215,7 +221,8 @@
     ended
 }
 
-/// Adds what a connection has carried since it was last looked at.
+/// Adds the bytes sent and received since the last count to the daemon's traffic, and returns the
+/// connection's totals.
 fn count_traffic(daemon: &Daemon, conn: &Connection, before: (u64, u64)) -> (u64, u64) {
     let stats = conn.stats();
     let now = (stats.udp_tx.bytes, stats.udp_rx.bytes);
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Connections between the system's processes.
+//! QUIC connections between the processes of a fleet, with failure detection on a control stream.
 
 mod connect;
 mod control;
--- a/src/peer/serve.rs
+++ b/src/peer/serve.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections and dispatches their calls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::wire::{Call, FrameReader, FrameWriter, Reply};
 use redwingfold_telemetry::Telemetry;
 
-/// Listens on an address.
+/// Binds a server endpoint to an address.
 ///
 /// # Errors
 ///
@@ -17,9 +17,10 @@
     Endpoint::server(config, addr)
 }
 
-/// Accepts connections and hands each call to `handler` until the endpoint is closed.
+/// Accepts connections and passes each call to `handler`, until the endpoint is closed.
 ///
-/// A peer without a certificate of the fleet fails the handshake and never reaches the handler.
+/// A peer without a certificate of the fleet fails the TLS handshake, so its calls never reach the
+/// handler.
 pub(crate) async fn serve<F, Fut>(endpoint: Endpoint, telemetry: Telemetry, handler: F)
 where
     F: Fn(Connection, Call, FrameWriter<Reply>, FrameReader<Call>) -> Fut
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Connections between processes: certificates, and frames that are torn.
+//! Tests of connections between processes: certificates and malformed frames.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 
 const TIMEOUT: Millis = Millis(5_000);
 
-/// A folder that goes with its test.
+/// A temporary directory that is removed when the test ends.
 struct TempDir(PathBuf);
 
 impl Drop for TempDir {
@@ -35,7 +35,7 @@
     tls_ends(&settings).expect("keys that were just made")
 }
 
-/// Starts a process's listening end that answers every call with [`Reply::Held`].
+/// Starts a server that replies to every call with [`Reply::Held`].
 fn listen(tls: &TlsEnds) -> (SocketAddr, smol::Task<()>) {
     let endpoint = bind(tls.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
     let addr = endpoint.local_addr().expect("bound");
@@ -47,8 +47,8 @@
     (addr, smol::spawn(serve(endpoint, telemetry, handler)))
 }
 
-/// A peer of the fleet that sends bytes which are no message, cuts one short, or announces one of
-/// four gigabytes, gets no answer on that stream; the connection and the process go on.
+/// A peer of the fleet that sends an undecodable or truncated message, or announces a frame of four
+/// gigabytes, gets no reply on that stream. The connection and the process must stay usable.
 #[test]
 fn torn_frames_end_their_stream_only() {
     let dir = temp_dir_for("torn");
@@ -70,8 +70,8 @@
     });
 }
 
-/// A process with a certificate of another fleet, though made by the same program and for the same
-/// name, has none of its calls answered.
+/// Calls of a process with another fleet's certificate must get no reply, even if the certificate
+/// was made by the same program for the same name.
 #[test]
 fn another_fleets_certificate_is_refused() {
     let (ours, theirs) = (temp_dir_for("ours"), temp_dir_for("theirs"));
@@ -87,7 +87,8 @@
     });
 }
 
-/// Keys are never written over: a second call adds names under the same authority.
+/// Existing keys are never overwritten: a second call adds names under the same certificate
+/// authority.
 #[test]
 fn keys_are_added_and_not_replaced() {
     let dir = temp_dir_for("added");
