--- a/src/billing/bill_outbox.rs
+++ b/src/billing/bill_outbox.rs
@@ -1,8 +1,8 @@
-//! Holds billing records until the log has them, and appends them in batches.
+//! Stores billing records until the log confirms them, and appends them in batches.
 //!
-//! A batch whose answer was lost is appended again without a look at the log: each bill counts
-//! once by its id, so a second copy does no harm, while every daemon reading the whole stream back
-//! would cost more than its share of the bytes for control.
+//! A batch whose append had no clear result is appended again without reading the log. This is safe
+//! because bills are deduplicated by id. Reading the whole stream back in every daemon would exceed
+//! the byte budget for control traffic.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -16,10 +16,10 @@
 use crate::settings::BatchSettings;
 use crate::wire::new_claim_id;
 
-/// Memory that a bill takes, with what holds it.
+/// Estimated memory of one stored bill, including the overhead of the outbox.
 const BILL_BYTES: usize = 400;
 
-/// A bill, and the side that holds the other copy.
+/// A bill, and the side that stores the other copy, if any.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldBill {
     pub(crate) bill: Bill,
@@ -44,17 +44,21 @@
         self.outbox.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Says whether another request's bill would fit.
+    /// Returns whether the bill of another request would fit.
     pub(crate) fn has_room(&self) -> bool {
         self.lock().has_room(BILL_BYTES)
     }
 
-    /// Holds a bill that is appended from `not_before` on.
+    /// Stores a bill, to be appended at `not_before` or later.
+    ///
+    /// # Errors
+    ///
+    /// If the outbox is full.
     pub(crate) fn hold(&self, held: HeldBill, not_before: Millis) -> Result<(), OutboxFull> {
         self.lock().push(held.bill.id, held, BILL_BYTES, not_before)
     }
 
-    /// Forgets bills that are in the log.
+    /// Removes bills that are in the log or stored by another process.
     pub(crate) fn remove(&self, ids: &[KeyHash]) {
         let mut outbox = self.lock();
         ids.iter().for_each(|id| outbox.forget(id));
@@ -69,7 +73,7 @@
         self.lock().len()
     }
 
-    /// Appends batches for ever; `confirmed` is told what the log has.
+    /// Appends batches forever, and calls `on_confirmed` with each batch that is in the log.
     pub(crate) async fn run_appender(&self, daemon: &Daemon, on_confirmed: impl Fn(Vec<HeldBill>)) {
         loop {
             self.sleep_unless_flushed(jittered(self.settings.every_ms)).await;
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Appends one batch until the log has it; says whether there was one.
+    /// Appends one batch, with retries until the log confirms it. Returns whether any bill was due.
     async fn append_batch(&self, daemon: &Daemon, on_confirmed: &impl Fn(Vec<HeldBill>)) -> bool {
         let id = new_claim_id();
         let batch = self.lock().take_batch(id, self.settings.max_records, wall());
@@ -87,7 +91,8 @@
         }
         let mut attempts = 0;
         loop {
-            // Bills that another holder appended in the meantime are left out of the next try.
+            // Bills that were removed in the meantime, because the process with the other copy
+            // appended them, are left out of the next attempt.
             let bills: Vec<_> = self.lock().batch(id).into_iter().map(|h| h.bill).collect();
             let json = serde_json::to_vec(&bills).unwrap_or_default();
             match daemon.log.append(stream::BILLS, json).await {
@@ -108,7 +113,7 @@
         true
     }
 
-    /// Waits for a span, or until a stop makes everything due.
+    /// Waits for a duration, or until a flush makes every bill due.
     async fn sleep_unless_flushed(&self, duration: std::time::Duration) {
         let timer = async {
             Timer::after(duration).await;
@@ -127,7 +132,8 @@
         jittered(Millis(min_delay.0.max(self.settings.every_ms.0 / 2)))
     }
 
-    /// Makes every bill due and waits until the log has them all; says whether it has.
+    /// Makes every bill due and waits until all are confirmed. Returns whether they were within the
+    /// timeout.
     pub(crate) async fn flush(&self, timeout: Millis) -> bool {
         self.lock().make_due();
         self.flush_signal.0.try_send(()).ok();
--- a/src/billing/mod.rs
+++ b/src/billing/mod.rs
@@ -1,4 +1,4 @@
-//! Billing records on their way to the log.
+//! Billing records that are not yet confirmed by the log.
 
 mod bill_outbox;
 
