--- a/src/config_store/mod.rs
+++ b/src/config_store/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in this process, and how it stays up to date.
+//! The configuration in force in this process, kept up to date from the log and from peers.
 
 mod store;
 mod stream_reader;
--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -1,4 +1,5 @@
-//! The fold behind a lock, the objects in force for readers, and the records that peers may want.
+//! Folds configuration records into the objects in force, and keeps recent records for peers that
+//! are behind.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,10 +14,10 @@
 use crate::wire::ConfigMark;
 use redwingfold_telemetry::Telemetry;
 
-/// Records that are kept for peers that are a little behind; others get a snapshot.
+/// Records kept for peers that are a few records behind; peers further behind get a snapshot.
 const MAX_RECENT_RECORDS: usize = 512;
 
-/// What a peer that is behind is sent.
+/// What to send to a peer that may be behind.
 #[derive(Clone, Debug)]
 pub(crate) enum Catchup {
     Nothing,
@@ -60,18 +61,18 @@
         self.current.load_full()
     }
 
-    /// Returns how far they go.
+    /// Returns the offset, state hash and rules version of the objects in force.
     pub(crate) fn mark(&self) -> ConfigMark {
         **self.mark.load()
     }
 
-    /// Folds records; those that were folded before have no effect.
+    /// Folds records into the configuration. Records that were already folded have no effect.
     pub(crate) fn apply(&self, records: &[(Offset, Vec<u8>)]) {
         let mut inner = self.lock();
         let previous_offset = inner.fold.config().offset;
         for (offset, raw) in records {
-            // A gap would fold a state that no other daemon has. The sender had nothing older, so
-            // what is missing is fetched as a snapshot.
+            // Folding past a gap would give a state that no other daemon has. The sender has no
+            // older records, so the missing ones are fetched as a snapshot.
             if offset.0 > inner.fold.config().offset.0 + 1 {
                 break;
             }
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Installs a snapshot, if it is newer than what is in force.
+    /// Installs a snapshot if it is newer than the objects in force. Returns whether it was
+    /// installed.
     pub(crate) fn install(&self, snapshot: Snapshot) -> bool {
         let mut inner = self.lock();
         if snapshot.config.offset <= inner.fold.config().offset {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Returns what a peer at `offset` lacks.
+    /// Returns what a peer at `offset` needs to catch up.
     pub(crate) fn catchup_after(&self, offset: Offset) -> Catchup {
         let inner = self.lock();
         if inner.fold.config().offset <= offset {
@@ -153,33 +155,36 @@
         }
     }
 
-    /// Returns a snapshot of the fold.
+    /// Returns a snapshot of the folded state.
     pub(crate) fn snapshot(&self) -> Snapshot {
         self.lock().fold.snapshot()
     }
 
-    /// Returns the remembered part of the audit trail.
+    /// Returns the retained part of the audit trail.
     pub(crate) fn audit(&self) -> Vec<AuditEntry> {
         self.lock().fold.audit().iter().cloned().collect()
     }
 
-    /// Returns what the fold said about a record, if it is still remembered.
+    /// Returns the verdict on a record, if its audit entry is still retained.
     pub(crate) fn verdict_of(&self, id: RequestId) -> Option<AuditEntry> {
         self.lock().fold.verdict_of(id).cloned()
     }
 
-    /// Returns a future that ends at the next change; take it before looking at the present.
+    /// Returns a future that completes at the next change.
+    ///
+    /// Call this before reading the current state, so that no change in between is missed.
     pub(crate) fn changed(&self) -> EventListener {
         self.change_event.listen()
     }
 
-    /// Returns how many wait for a change.
+    /// Returns the number of tasks waiting for a change.
     #[cfg(test)]
     pub(crate) fn listener_count(&self) -> usize {
         self.change_event.total_listeners()
     }
 
-    /// Waits until the configuration goes at least to `offset`; says whether it does.
+    /// Waits until the configuration is at `offset` or later. Returns whether it was within the
+    /// timeout.
     pub(crate) async fn wait_for_offset(&self, offset: Offset, timeout: Millis) -> bool {
         let reached = async {
             loop {
@@ -193,7 +198,7 @@
         within(timeout, reached).await.is_some()
     }
 
-    /// Compares a peer's mark with ours: equal offsets and rules must have equal hashes.
+    /// Reports a divergence if a peer's mark has the same offset and rules but another hash.
     pub(crate) fn check_divergence(&self, peer: &str, theirs: ConfigMark) {
         let ours = self.mark();
         if ours.offset == theirs.offset && ours.rules == theirs.rules && ours.hash != theirs.hash {
--- a/src/config_store/stream_reader.rs
+++ b/src/config_store/stream_reader.rs
@@ -13,10 +13,11 @@
 const MAX_BACKOFF: Millis = Millis(5_000);
 const MIN_BACKOFF: Millis = Millis(100);
 
-/// Follows the configuration stream for ever.
+/// Follows the configuration stream forever.
 ///
-/// `is_relaxed` says whether this daemon gets the configuration from its peers; it then reads only
-/// now and then, so that hundreds of daemons do not all wait at the log service.
+/// `has_peer_updates` returns whether this daemon receives the configuration from its peers. It
+/// then reads the log only at long intervals, so that hundreds of daemons do not all long-poll the
+/// log service.
 pub(crate) async fn follow_stream(
     store: &ConfigStore,
     log: &LogClient,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Reads the configuration stream up to its end, once.
+/// Reads the configuration stream once, up to its end.
 pub(crate) async fn read_all(store: &ConfigStore, log: &LogClient) -> Result<(), LogError> {
     loop {
         let from = Offset(store.mark().offset.0 + 1);
@@ -78,7 +79,8 @@
     }
 }
 
-/// Installs the newest snapshot of the log; says whether there was a newer one.
+/// Installs the newest snapshot in the log. Returns whether it was newer than the configuration in
+/// force.
 async fn install_newest_snapshot(store: &ConfigStore, log: &LogClient) -> bool {
     let Ok(tail) = log.read(stream::SNAPSHOTS, Offset(u64::MAX), 1, Millis(0)).await else {
         return false;
@@ -93,10 +95,10 @@
     newest.is_some_and(|snapshot| store.install(snapshot))
 }
 
-/// Writes a snapshot whenever the configuration has moved far enough since the last one.
+/// Writes a snapshot after every `snapshot_every` records of the configuration stream.
 ///
-/// Any daemon that reads the log may write one, and two do no harm. Each waits a random while and
-/// looks whether another was faster.
+/// Any daemon that reads the log may write one, and duplicates are harmless. To avoid them, each
+/// waits for a random time and then checks whether another daemon has written one.
 pub(crate) async fn write_snapshots(
     store: &ConfigStore,
     log: &LogClient,
@@ -124,7 +126,7 @@
                 snapshot_offset = snapshot.config.offset;
                 telemetry.info("snapshot_written", &[("offset", &snapshot_offset)]);
             }
-            // One that took effect without an answer is found at the next look.
+            // If the append took effect without an answer, the next check finds the snapshot.
             Err(e) => {
                 telemetry.warn("snapshot_failed", &[("why", &e)]);
                 Timer::after(span(MAX_BACKOFF)).await;
--- a/src/config_store/tests.rs
+++ b/src/config_store/tests.rs
@@ -1,4 +1,4 @@
-//! The store of the configuration.
+//! Tests of the configuration store.
 
 use redwingfold_core::{Millis, Offset};
 
@@ -13,8 +13,9 @@
     (Offset(offset), b"of a kind that is not known".to_vec())
 }
 
-/// Every request waits for a change beside its answer. One that ended must leave nothing behind:
-/// such waits once made a side hold 10 kB for each request that it had served.
+/// Every request waits for a configuration change while its response is in flight. A dropped wait
+/// must unregister its listener: listeners that stayed once leaked 10 kB in a side for each
+/// request.
 #[test]
 fn waits_that_were_dropped_leave_nothing() {
     let store = store();
@@ -25,7 +26,7 @@
     assert_eq!(store.listener_count(), 0);
 }
 
-/// A gap is not folded over: the state behind it would be one that no other daemon has.
+/// Records after a gap must not be folded: the state would be one that no other daemon has.
 #[test]
 fn records_behind_a_gap_are_left_out() {
     let store = store();
@@ -35,7 +36,7 @@
     assert_eq!(store.mark().offset, Offset(3));
 }
 
-/// A peer that is a little behind gets records, one that is far behind a snapshot.
+/// A peer that is a few records behind gets records, and one that is far behind gets a snapshot.
 #[test]
 fn peers_get_what_they_lack() {
     let store = store();
