--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length of four bytes, then a message in postcard.
+//! Frames: a big-endian length of four bytes, then a message encoded with postcard.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -7,7 +7,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest frame; a longer one is an attack or a fault.
+/// Longest frame in bytes, without the length prefix. A longer one is rejected as an attack or a
+/// fault.
 pub(crate) const MAX_FRAME: usize = 24 * 1024 * 1024;
 
 const LENGTH_BYTES: usize = 4;
@@ -15,9 +16,9 @@
 /// Why a frame could not be read or written.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum WireError {
-    /// The stream or its connection is gone.
+    /// The stream or its connection was lost.
     Lost(String),
-    /// The bytes are no message.
+    /// The frame is malformed: truncated, too long or not decodable.
     Torn(String),
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Encodes a message with its length.
+/// Encodes a message with its length prefix.
 pub(crate) fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, WireError> {
     let malformed = |e: String| WireError::Torn(e);
     let mut buf = postcard::to_extend(message, vec![0; LENGTH_BYTES])
@@ -43,7 +44,7 @@
     Ok(buf)
 }
 
-/// Decodes a message without its length. Bytes left over make it torn.
+/// Decodes a message without its length prefix. Trailing bytes are an error.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WireError> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
@@ -69,17 +70,17 @@
         Ok(buf.len())
     }
 
-    /// Ends the stream; what was sent still arrives.
+    /// Finishes the stream. Messages already sent are still delivered.
     pub(crate) fn finish(&mut self) {
         self.stream.finish().ok();
     }
 
-    /// Waits until the other end wants no more.
+    /// Waits until the peer stops reading the stream.
     pub(crate) async fn stopped(&self) {
         self.stream.stopped().await.ok();
     }
 
-    /// Goes on with messages of another type.
+    /// Continues the stream with messages of another type.
     pub(crate) fn into<U: Serialize>(self) -> FrameWriter<U> {
         FrameWriter::new(self.stream)
     }
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Goes on with messages of another type.
+    /// Continues the stream with messages of another type.
     pub(crate) fn into<U: DeserializeOwned>(self) -> FrameReader<U> {
         FrameReader::new(self.stream)
     }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -1,7 +1,7 @@
-//! The messages.
+//! The messages between processes.
 //!
-//! Objects of the configuration travel as the JSON in which they stand in the log: their JSON form
-//! is made for people and is not what a codec without field names can carry.
+//! Configuration objects are sent as the JSON that is stored in the log. Their JSON form is
+//! designed for people to edit, and a codec without field names can't encode it.
 
 use redwingfold_core::{
     Bill, Claim, ClaimId, CustomerName, ErrorKind, HostId, Incarnation, KeyHash, Millis, Offset,
@@ -9,10 +9,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Number of this protocol; processes with another do not talk.
+/// Protocol version. A connection to a peer with another version is rejected.
 pub(crate) const PROTOCOL: u16 = 1;
 
-/// What a process is.
+/// The kind of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Role {
     Ctl,
@@ -29,7 +29,7 @@
     pub(crate) incarnation: Incarnation,
 }
 
-/// How far a process's configuration goes.
+/// The position and state hash of a process's configuration.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct ConfigMark {
     pub(crate) offset: Offset,
@@ -41,19 +41,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Load {
     pub(crate) backend: String,
-    /// Name of the plain service, if it is none of the engines.
+    /// Name of the service, if the backend server is a plain service rather than an engine.
     pub(crate) service: Option<String>,
     pub(crate) versions: Vec<VersionName>,
     pub(crate) slots: u32,
-    /// Requests running or waiting, at the side or at the engine.
+    /// Requests running or waiting, as counted by the side or by the engine, whichever is higher.
     pub(crate) busy: u32,
     pub(crate) first_token: Millis,
-    /// Whether it answers the side.
+    /// Whether the backend server responds to the side.
     pub(crate) up: bool,
 }
 
-/// What changes in a backend server's load from request to request. The rest of a [`Load`] would be
-/// a hundred bytes with each answer.
+/// The fields of a [`Load`] that change with each request.
+///
+/// The rest of the load would add a hundred bytes to each response.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct LoadChange {
     pub(crate) busy: u32,
@@ -66,13 +67,13 @@
     }
 }
 
-/// A heartbeat. It also carries what changed since the last one.
+/// A heartbeat, with the loads that changed since the last one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Beat {
     pub(crate) config: ConfigMark,
     pub(crate) leaving: bool,
     pub(crate) loads: Vec<Load>,
-    /// Whether an answer is wanted.
+    /// Whether the sender requests a reply.
     pub(crate) ask: bool,
 }
 
@@ -83,47 +84,47 @@
     /// Bills that are in the log.
     Confirmed(Vec<KeyHash>),
     Hello(Hello),
-    /// Bills that a stopping process hands over.
+    /// Bills that a stopping process transfers to its peer.
     Hold(Vec<Bill>),
-    /// The bills are held.
+    /// Ids of the transferred bills that the peer has stored.
     Held(Vec<KeyHash>),
-    /// Records of the configuration stream as they stand in the log.
+    /// Records of the configuration stream, as stored in the log.
     Records(Vec<(Offset, Vec<u8>)>),
     /// A snapshot, as JSON.
     Snapshot(Vec<u8>),
-    /// Asks for what follows an offset.
+    /// Requests the configuration after an offset.
     Want(Offset),
 }
 
 /// First message of a call's stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum Call {
-    /// Promise never to run a claim.
+    /// Requests a promise never to run a claim.
     Close(Claim),
-    /// What was decided about a request.
+    /// Requests the decision trace of a request.
     Explain(RequestId),
-    /// Hold bills for a stopping process.
+    /// Stores bills for a stopping process.
     Hold(Vec<Bill>),
-    /// The stream becomes the connection's control stream.
+    /// Makes this stream the connection's control stream.
     Control(Hello),
-    /// Records of the configuration, from the operator's tool. Answered with the process's mark.
+    /// Applies configuration records sent by the operator's tool. The reply is the process's mark.
     Install(Vec<(Offset, Vec<u8>)>),
-    /// What became of a claim.
+    /// Requests the outcome of a claim.
     Outcome(Claim),
-    /// The pin of a session, if one is held.
+    /// Requests the pin of a session, if this process stores one.
     PinGet(PinKey),
-    /// The pin of a session; the proposal if none is held.
+    /// Requests the pin of a session, and stores the proposed one if there is none.
     PinSet(PinKey, Pin),
-    /// Takes a pin that another holder has.
+    /// Merges a pin that another process stores.
     PinMerge(PinKey, Pin),
-    /// Takes many.
+    /// Merges several pins.
     PinMergeAll(Vec<(PinKey, Pin)>),
     Run(Box<RunCall>),
-    /// The process's state, as JSON.
+    /// Requests the process's state, as JSON.
     Status,
 }
 
-/// Identifies a run.
+/// Identifies a run: one attempt of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct RunId {
     pub(crate) request: RequestId,
@@ -148,10 +149,10 @@
     pub(crate) content_type: Option<String>,
     pub(crate) body: Vec<u8>,
     pub(crate) is_streamed: bool,
-    /// Time that is left.
+    /// Time left until the request's deadline.
     pub(crate) time_left: Millis,
     pub(crate) priority: u8,
-    /// Work that it is expected to make, in tokens.
+    /// Expected work, in tokens.
     pub(crate) work_tokens: u64,
     pub(crate) claim: Option<Claim>,
     pub(crate) bill: Option<KeyHash>,
@@ -159,14 +160,16 @@
     pub(crate) prior_usage: Usage,
 }
 
-/// Tokens and cost.
+/// Tokens and their cost.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Usage {
     pub(crate) tokens: u64,
     pub(crate) cost: u64,
 }
 
-/// A message of a run's answer. Each names the run, so that one that belongs elsewhere is noticed.
+/// A message of a run's response.
+///
+/// Each has the run's id, so that the entry detects a message that belongs to another run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum RunFrame {
     Chunk(RunId, Vec<u8>),
@@ -186,14 +189,14 @@
     }
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RunHead {
     pub(crate) status: u16,
     pub(crate) content_type: Option<String>,
 }
 
-/// End mark of an answer.
+/// End of a complete response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RunEnd {
     pub(crate) length: u64,
@@ -203,7 +206,7 @@
     pub(crate) load: LoadChange,
 }
 
-/// End of an answer that is not whole, or of a request that was refused.
+/// End of an incomplete response, or of a request that was rejected.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct RunFailed {
     pub(crate) kind: ErrorKind,
@@ -213,7 +216,7 @@
     pub(crate) config: ConfigMark,
 }
 
-/// Answer to a call that is not a run.
+/// Reply to a call other than a run or a control stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) enum Reply {
     Closed(Closed),
@@ -222,36 +225,37 @@
     Mark(ConfigMark),
     Outcome(Outcome),
     Pin(Option<Pin>),
-    /// The call is not for this process.
+    /// This process does not handle the call.
     Refused(ErrorKind),
 }
 
-/// Answer to [`Call::Close`].
+/// Reply to [`Call::Close`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Closed {
-    /// It will never run here.
+    /// The claim will never run in this process.
     Never,
-    /// It runs or has run.
+    /// The claim is running or has run.
     TooLate,
-    /// The claim names another start of this process.
+    /// The claim names another incarnation of this process.
     Unknown,
 }
 
-/// Answer to [`Call::Outcome`].
+/// Reply to [`Call::Outcome`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum Outcome {
-    /// The answer, as far as it is kept.
+    /// The response. The body is absent if it is not stored anymore.
     Done { status: u16, content_type: Option<String>, body: Option<Vec<u8>> },
-    /// It has not arrived here.
+    /// The claim has not run in this process: it was not received, was closed, or never reached its
+    /// backend server.
     NotSeen,
-    /// It is running.
+    /// The claim is running.
     Running,
-    /// It ran, or may have run, and its answer is not known.
+    /// The claim ran or may have run, and its response is not known.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the claim-independent part for logs.
+    /// Returns the name of the variant, for logs.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Done { .. } => "done",
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between the system's processes, and how they are framed.
+//! Messages between processes, and their framing.
 
 mod frame;
 mod message;
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages are read back as written, and no bytes break the reader.
+//! Tests of the message encoding: round trips, and decoding of malformed bytes.
 
 use redwingfold_core::{Offset, RequestId};
 
@@ -20,7 +20,8 @@
     }
 }
 
-/// A frame that was cut or has bytes behind its end is torn, never taken for a shorter message.
+/// A truncated frame, or one with trailing bytes, must be an error and never decode as a shorter
+/// message.
 #[test]
 fn cut_and_overlong_frames_are_torn() {
     let message = Control::Records(vec![(Offset(1), b"record".to_vec())]);
