--- a/src/billing/shipper.rs
+++ b/src/billing/shipper.rs
@@ -10,7 +10,7 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::clock::{jittered, span, wall};
+use crate::clock::{jittered, to_duration, unix_time};
 use crate::daemon::Daemon;
 use crate::platform::{LogError, stream};
 use crate::settings::BatchSettings;
@@ -81,7 +81,7 @@
     /// Appends one batch until the log has it; says whether there was one.
     async fn ship_batch(&self, daemon: &Daemon, confirmed: &impl Fn(Vec<Held>)) -> bool {
         let id = new_claim_id();
-        let batch = self.lock().take_batch(id, self.settings.max_records, wall());
+        let batch = self.lock().take_batch(id, self.settings.max_records, unix_time());
         if batch.is_empty() {
             return false;
         }
@@ -131,9 +131,9 @@
         self.hurry.0.try_send(()).ok();
         let done = async {
             while self.len() > 0 {
-                Timer::after(span(Millis(20))).await;
+                Timer::after(to_duration(Millis(20))).await;
             }
         };
-        crate::clock::within(limit, done).await.is_some()
+        crate::clock::with_timeout(limit, done).await.is_some()
     }
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -24,19 +24,19 @@
 }
 
 /// Returns the time since 1970, for records that other hosts read.
-pub fn wall() -> Millis {
+pub fn unix_time() -> Millis {
     Millis(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64))
 }
 
 /// Converts a span for timers.
-pub fn span(millis: Millis) -> Duration {
+pub fn to_duration(millis: Millis) -> Duration {
     Duration::from_millis(millis.0)
 }
 
 /// Waits for a future, at most for a span; `None` if the span ended first.
-pub async fn within<T>(limit: Millis, future: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(limit: Millis, future: impl Future<Output = T>) -> Option<T> {
     let late = async {
-        smol::Timer::after(span(limit)).await;
+        smol::Timer::after(to_duration(limit)).await;
         None
     };
     smol::future::or(async { Some(future.await) }, late).await
--- a/src/config_store/feed.rs
+++ b/src/config_store/feed.rs
@@ -4,7 +4,7 @@
 use smol::Timer;
 
 use super::store::ConfigStore;
-use crate::clock::{jittered, span};
+use crate::clock::{jittered, to_duration};
 use crate::platform::{LogClient, LogError, stream};
 use crate::settings::LogSettings;
 use redwingfold_telemetry::Telemetry;
@@ -127,7 +127,7 @@
             // One that took effect without an answer is found at the next look.
             Err(e) => {
                 telemetry.warn("snapshot_failed", &[("why", &e)]);
-                Timer::after(span(MAX_BACKOFF)).await;
+                Timer::after(to_duration(MAX_BACKOFF)).await;
             }
         }
     }
--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -9,7 +9,7 @@
     AuditEntry, Config, Fold, Millis, Offset, RULES, RequestId, Snapshot, Verdict,
 };
 
-use crate::clock::within;
+use crate::clock::with_timeout;
 use crate::wire::ConfigMark;
 use redwingfold_telemetry::Telemetry;
 
@@ -190,7 +190,7 @@
                 changed.await;
             }
         };
-        within(limit, reached).await.is_some()
+        with_timeout(limit, reached).await.is_some()
     }
 
     /// Compares a peer's mark with ours: equal offsets and rules must have equal hashes.
--- a/src/ctl/audit.rs
+++ b/src/ctl/audit.rs
@@ -5,7 +5,7 @@
 use super::Exit;
 use super::context::Ctl;
 use super::table::{print, print_json};
-use crate::clock::wall;
+use crate::clock::unix_time;
 
 /// Lists the newest changes.
 pub(crate) async fn audit(ctl: &Ctl, limit: usize) -> eyre::Result<Exit> {
@@ -33,7 +33,7 @@
     };
     vec![
         entry.offset.to_string(),
-        format!("{} s", wall().since(entry.at).0 / 1000),
+        format!("{} s", unix_time().since(entry.at).0 / 1000),
         entry.author.clone(),
         verdict,
         touches.join(" "),
--- a/src/ctl/context.rs
+++ b/src/ctl/context.rs
@@ -7,9 +7,9 @@
 use super::args::Args;
 use crate::config_store::{ConfigStore, read_all};
 use crate::peer::{call, dial};
-use crate::platform::{HostRecord, LogClient, read_hosts};
+use crate::platform::{HostRecord, LogClient, fetch_hosts};
 use crate::settings::{CtlSettings, read};
-use crate::tls::{TlsEnds, tls_ends};
+use crate::tls::{TlsConfigs, load_tls_configs};
 use crate::wire::{Call, Reply};
 use redwingfold_telemetry::Telemetry;
 
@@ -21,7 +21,7 @@
     pub(crate) store: ConfigStore,
     pub(crate) log: LogClient,
     settings: CtlSettings,
-    tls: TlsEnds,
+    tls: TlsConfigs,
 }
 
 /// What a daemon said, or why it said nothing.
@@ -34,7 +34,7 @@
             json: args.json,
             store: ConfigStore::new(Telemetry::disabled()?),
             log: LogClient::new(&settings.log),
-            tls: tls_ends(&settings.tls)?,
+            tls: load_tls_configs(&settings.tls)?,
             settings,
         })
     }
@@ -52,7 +52,7 @@
         wanted: impl Fn(&HostRecord) -> bool,
     ) -> eyre::Result<Vec<Said>> {
         let address = self.settings.host_list.address;
-        let hosts = read_hosts(&Client::default(), address).await;
+        let hosts = fetch_hosts(&Client::default(), address).await;
         let hosts = hosts.map_err(|e| eyre::eyre!("host list at {address}: {e}"))?;
         let asked: Vec<_> = hosts
             .into_iter()
--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -16,7 +16,7 @@
 use super::context::Ctl;
 use super::objects::read_objects;
 use super::table::{print, print_json};
-use crate::clock::{span, wall};
+use crate::clock::{to_duration, unix_time};
 use crate::config_store::{Catchup, read_all};
 use crate::platform::{LogError, stream};
 use crate::wire::{Call, Reply};
@@ -99,7 +99,7 @@
         id: RequestId(fastrand::u128(..)),
         author: args.author.clone(),
         reason: args.reason.clone(),
-        at: wall(),
+        at: unix_time(),
         expects,
         put,
         delete: args.delete.clone(),
@@ -117,7 +117,7 @@
         id: RequestId(fastrand::u128(..)),
         author: args.author.clone(),
         reason: args.reason.clone(),
-        at: wall(),
+        at: unix_time(),
         version: args.version.clone(),
         streams: match args.cut {
             true => StreamsOnWithdrawal::Cancel,
@@ -155,7 +155,7 @@
             }
             Err(e) => last = e.to_string(),
         }
-        Timer::after(span(pause)).await;
+        Timer::after(to_duration(pause)).await;
     }
     eprintln!("unknown: {last}; change {} may take effect yet: see audit", record.id());
     Ok(Exit::Unknown)
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::{Clock, jittered};
 use crate::config_store::ConfigStore;
-use crate::platform::{HostRecord, LogClient, read_hosts};
+use crate::platform::{HostRecord, LogClient, fetch_hosts};
 use crate::settings::{HeartbeatSettings, HostListSettings, LogSettings};
 use crate::wire::{Hello, PROTOCOL, Role};
 use redwingfold_telemetry::Telemetry;
@@ -46,7 +46,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct HostView {
     current: ArcSwap<Vec<HostRecord>>,
-    moved: Event,
+    changed_event: Event,
 }
 
 impl HostView {
@@ -56,7 +56,7 @@
 
     /// Returns a future that ends at the next change; take it before looking at the present.
     pub(crate) fn changed(&self) -> EventListener {
-        self.moved.listen()
+        self.changed_event.listen()
     }
 
     fn set(&self, hosts: Vec<HostRecord>) -> bool {
@@ -64,7 +64,7 @@
             return false;
         }
         self.current.store(Arc::new(hosts));
-        self.moved.notify(usize::MAX);
+        self.changed_event.notify(usize::MAX);
         true
     }
 }
@@ -116,9 +116,9 @@
     }
 
     /// Follows the host list for ever. An outage leaves the last list in force.
-    pub(crate) async fn follow_hosts(&self) {
+    pub(crate) async fn poll_hosts(&self) {
         loop {
-            match read_hosts(&self.http, self.host_list.address).await {
+            match fetch_hosts(&self.http, self.host_list.address).await {
                 Ok(hosts) => {
                     let count = hosts.len();
                     if self.hosts.set(hosts) {
--- a/src/daemon_main.rs
+++ b/src/daemon_main.rs
@@ -9,7 +9,7 @@
 
 use crate::settings::{TlsSettings, read};
 use crate::stop::stop_on_signal;
-use crate::tls::tls_ends;
+use crate::tls::load_tls_configs;
 
 /// A daemon's command line.
 #[derive(Debug, Parser)]
@@ -47,7 +47,7 @@
     };
     let settings = read(&path, &example)?;
     if args.check {
-        tls_ends(tls(&settings))?;
+        load_tls_configs(tls(&settings))?;
         println!("{}: ok", path.display());
         return Ok(());
     }
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -20,7 +20,7 @@
 use super::sessions::session_version;
 use super::sides::SideLink;
 use crate::billing::Held;
-use crate::clock::span;
+use crate::clock::to_duration;
 use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
 
 /// Bytes of a streamed response that are buffered for rating; collection stops at the first chunk
@@ -305,13 +305,13 @@
     ) -> bool {
         let backend_available = async {
             while self.pick(version, tried).is_none() {
-                Timer::after(span(RECONNECT_POLL_INTERVAL)).await;
+                Timer::after(to_duration(RECONNECT_POLL_INTERVAL)).await;
             }
         };
         match kind {
             ErrorKind::BackendLost => {
                 let timeout = Millis(self.entry.settings.heartbeat.interval_ms.0 * 2);
-                crate::clock::within(timeout, backend_available).await.is_some()
+                crate::clock::with_timeout(timeout, backend_available).await.is_some()
             }
             _ => self.pick(version, tried).is_some(),
         }
@@ -465,7 +465,7 @@
             Err(RequestError::new(ErrorKind::BackendLost, "the caller has gone"))
         };
         let forwarded =
-            crate::clock::within(time_left, smol::future::or(forwarded, disconnected)).await;
+            crate::clock::with_timeout(time_left, smol::future::or(forwarded, disconnected)).await;
         match forwarded.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into())) {
             Ok(()) => {
                 self.step("stream_done", version.to_string());
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -47,7 +47,7 @@
 }
 
 fn partition_of(key: KeyHash) -> String {
-    format!("{}{}", stream::CLAIMS, key.0 % PARTITION_COUNT)
+    format!("{}{}", stream::CLAIMS_PREFIX, key.0 % PARTITION_COUNT)
 }
 
 /// The result of claiming a call.
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -11,7 +11,7 @@
 use super::sessions::replicate_pins;
 use super::sides::{SideLink, is_live};
 use crate::billing::Held;
-use crate::clock::{jittered, span};
+use crate::clock::{jittered, to_duration};
 use crate::peer::{Connected, Link, LinkEvents, connect, dial, run_control};
 use crate::platform::{HostRecord, HostState};
 use crate::wire::{Control, FrameReader, FrameWriter};
@@ -204,7 +204,7 @@
     let replaced_and_unused = async {
         link.until_dead_or_replaced(&entry.daemon).await;
         while Arc::strong_count(&link) > 1 {
-            Timer::after(span(REPLACED_POLL_INTERVAL)).await;
+            Timer::after(to_duration(REPLACED_POLL_INTERVAL)).await;
         }
     };
     smol::future::or(run, replaced_and_unused).await;
@@ -237,7 +237,7 @@
             }
             (Err(_), Health::Dead) => return None,
             (Err(_), Health::Suspect) => {
-                Timer::after(span(Millis(daemon.heartbeat.interval_ms.0 / 2))).await;
+                Timer::after(to_duration(Millis(daemon.heartbeat.interval_ms.0 / 2))).await;
             }
         }
     }
--- a/src/entry/quality.rs
+++ b/src/entry/quality.rs
@@ -10,8 +10,8 @@
 
 use super::context::Entry;
 use super::rollouts::append_withdrawal;
-use crate::clock::wall;
-use crate::platform::rate;
+use crate::clock::unix_time;
+use crate::platform::rate_answer;
 
 const MILLION: f64 = 1_000_000.0;
 
@@ -44,7 +44,7 @@
             incarnation: entry.daemon.incarnation,
             version: version.clone(),
             since: local.since,
-            at: wall(),
+            at: unix_time(),
             total: local.counter.total(),
             recent: local.counter.recent(),
         })
@@ -142,7 +142,10 @@
         if let Some(record) = state.tally_record(entry, version) {
             state.all_entries.add(record);
         }
-        (state.all_entries.total(version, since), state.all_entries.recent(version, since, wall()))
+        (
+            state.all_entries.total(version, since),
+            state.all_entries.recent(version, since, unix_time()),
+        )
     }
 
     /// Marks a version as stopped; returns whether it was not stopped before.
@@ -177,7 +180,7 @@
     let rating = &entry.settings.rating;
     let since = in_service_since(&entry.daemon.store.current(), version);
     let timeout = rating.timeout_ms;
-    let score = rate(&entry.daemon.http, rating.address?, version, text, timeout).await?;
+    let score = rate_answer(&entry.daemon.http, rating.address?, version, text, timeout).await?;
     let is_good = score.0 >= rating.good_from;
     entry.daemon.telemetry.count(if is_good { "rating.good" } else { "rating.bad" }, 1);
     entry.quality.add_rating(version, since, class, is_good);
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -10,7 +10,7 @@
 
 use super::context::Entry;
 use super::quality::{in_service_since, test_version};
-use crate::clock::{jittered, wall};
+use crate::clock::{jittered, unix_time};
 use crate::platform::{LogError, stream};
 
 const PAGE_RECORDS: usize = 500;
@@ -99,7 +99,7 @@
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
-        at: wall(),
+        at: unix_time(),
         expects: [(key.clone(), stored.revision)].into(),
         put: vec![object],
         delete: Vec::new(),
@@ -123,7 +123,7 @@
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
-        at: wall(),
+        at: unix_time(),
         version,
         streams: StreamsOnWithdrawal::Finish,
     });
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -13,7 +13,7 @@
 use super::response::{RequestError, ResponseMetadata, error_response, json_response};
 use super::service_call::{ServiceCall, find_service};
 use super::sides::usable_links;
-use crate::clock::{wall, within};
+use crate::clock::{unix_time, with_timeout};
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 const LIVE_PATH: &str = "/healthz";
@@ -34,7 +34,7 @@
     }
     let request = metadata.request;
     let started_at = entry.daemon.now();
-    let trace = entry.decisions.start_trace(request, wall(), started_at);
+    let trace = entry.decisions.start_trace(request, unix_time(), started_at);
     let metadata = Arc::new(Mutex::new(metadata));
     let (method, path) = (req.method().to_string(), req.url().path().to_owned());
     let result = Box::pin(route(&entry, req, &peer, &metadata, &trace)).await;
@@ -175,7 +175,7 @@
         Err(RequestError::new(ErrorKind::DeadlineInRun, "the caller has gone"))
     };
     let left = deadline.since(entry.daemon.now());
-    let result = within(left, smol::future::or(result, disconnected)).await;
+    let result = with_timeout(left, smol::future::or(result, disconnected)).await;
     result.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into()))
 }
 
@@ -205,7 +205,7 @@
     let mut body = Vec::new();
     let reader = req.take_body().into_reader();
     let mut reader = reader.take(limits.body_bytes as u64 + 1);
-    match within(limits.body_timeout_ms, reader.read_to_end(&mut body)).await {
+    match with_timeout(limits.body_timeout_ms, reader.read_to_end(&mut body)).await {
         None => Err(RequestError::new(ErrorKind::SlowSender, "the body took too long")),
         Some(Err(e)) => Err(RequestError::new(ErrorKind::BadRequest, format!("body: {e}"))),
         Some(Ok(_)) if body.len() > limits.body_bytes => Err(too_large()),
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -13,7 +13,7 @@
 use super::context::Entry;
 use super::response::RequestError;
 use super::sides::SideLink;
-use crate::clock::wall;
+use crate::clock::unix_time;
 use crate::peer::call;
 use crate::wire::{Call, Reply};
 
@@ -152,7 +152,8 @@
                 (pin, None)
             }
             Err(ErrorKind::Withdrawn) => {
-                let moved_pin = Pin { moves: pin.moves + 1, since: wall(), version: proposed? };
+                let moved_pin =
+                    Pin { moves: pin.moves + 1, since: unix_time(), version: proposed? };
                 (set_pin(entry, &key, moved_pin).await?, Some(pin.version))
             }
             Err(kind) => {
@@ -161,7 +162,7 @@
             }
         },
         None => {
-            let first_pin = Pin { moves: 0, since: wall(), version: proposed? };
+            let first_pin = Pin { moves: 0, since: unix_time(), version: proposed? };
             (set_pin(entry, &key, first_pin).await?, None)
         }
     };
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -17,12 +17,12 @@
 use super::rollouts::run_rating_loop;
 use super::serve::handle;
 use crate::billing::Held;
-use crate::clock::{span, wall, within};
+use crate::clock::{to_duration, unix_time, with_timeout};
 use crate::config_store::{feed, write_snapshots};
 use crate::daemon::Daemon;
 use crate::peer::{bind, call, serve as serve_peers};
 use crate::settings::EntrySettings;
-use crate::tls::tls_ends;
+use crate::tls::load_tls_configs;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Reply, Role};
 use redwingfold_telemetry::Telemetry;
 
@@ -37,7 +37,7 @@
 /// If the settings name files or addresses that cannot be used.
 pub async fn run_entry(settings: EntrySettings, stop: Receiver<()>) -> eyre::Result<()> {
     let telemetry = Telemetry::new(settings.metrics.statsd)?;
-    let tls_configs = tls_ends(&settings.tls)?;
+    let tls_configs = load_tls_configs(&settings.tls)?;
     let daemon = Daemon::new(
         (settings.host.clone(), settings.failure_domain.clone(), Role::Entry),
         settings.log.clone(),
@@ -50,7 +50,7 @@
     let (local, peer_local) = (listener.local_addr()?, endpoint.local_addr()?);
     let limits = Limits {
         connections: settings.limits.connections,
-        head_timeout: span(settings.limits.head_timeout_ms),
+        head_timeout: to_duration(settings.limits.head_timeout_ms),
     };
     let entry = Arc::new(Entry::new(daemon, settings, tls_configs.client));
     entry.daemon.telemetry.info(
@@ -58,7 +58,7 @@
         &[("host", &entry.daemon.host), ("listen", &local), ("peer", &peer_local)],
     );
     let mut tasks = Vec::new();
-    tasks.push(spawn(&entry, |e| async move { e.daemon.follow_hosts().await }));
+    tasks.push(spawn(&entry, |e| async move { e.daemon.poll_hosts().await }));
     tasks.push(spawn(&entry, keep_connected));
     tasks.push(spawn(&entry, |e| async move {
         let is_relaxed = || !e.sides.all().is_empty() && !e.daemon.is_reader();
@@ -149,7 +149,7 @@
         "sides": entry.sides.all().iter().map(|l| l.host.to_string()).collect::<Vec<_>>(),
         "peer_bytes_sent": entry.daemon.traffic.sent.load(Ordering::Relaxed),
         "peer_bytes_received": entry.daemon.traffic.received.load(Ordering::Relaxed),
-        "at": wall(),
+        "at": unix_time(),
     });
     serde_json::to_vec(&value).unwrap_or_default()
 }
@@ -161,13 +161,13 @@
     entry.daemon.telemetry.info("draining", &[("under_way", &entry.drain.in_flight())]);
     // The load balancer takes a while to detect failed readiness; until then it still sends
     // requests.
-    Timer::after(span(limits.drain_accept_ms)).await;
+    Timer::after(to_duration(limits.drain_accept_ms)).await;
     let drained = async {
         while entry.drain.in_flight() > 0 || entry.in_flight() > 0 {
-            Timer::after(span(DRAIN_POLL_INTERVAL)).await;
+            Timer::after(to_duration(DRAIN_POLL_INTERVAL)).await;
         }
     };
-    if within(limits.drain_ms, drained).await.is_none() {
+    if with_timeout(limits.drain_ms, drained).await.is_none() {
         let left = entry.drain.in_flight();
         entry.daemon.telemetry.warn("drain_cut", &[("under_way", &left)]);
     }
--- a/src/load/driver.rs
+++ b/src/load/driver.rs
@@ -109,7 +109,8 @@
         longest_gap: Duration::ZERO,
     };
     let exchange = exchange(client, addr, shape, n, &mut sample, begun);
-    crate::clock::within(redwingfold_core::Millis(TIMEOUT.as_millis() as u64), exchange).await;
+    crate::clock::with_timeout(redwingfold_core::Millis(TIMEOUT.as_millis() as u64), exchange)
+        .await;
     sample.whole = begun.elapsed();
     sample
 }
--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -5,7 +5,7 @@
 use quinn::{ClientConfig, Connection, Endpoint};
 use redwingfold_core::Millis;
 
-use crate::clock::within;
+use crate::clock::with_timeout;
 use crate::tls::FLEET_NAME;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, PROTOCOL, Reply, WireError};
 
@@ -34,7 +34,7 @@
         Endpoint::client((Ipv4Addr::UNSPECIFIED, 0).into()).map_err(|e| lost(e.to_string()))?;
     let connecting =
         endpoint.connect_with(config.clone(), addr, FLEET_NAME).map_err(|e| lost(e.to_string()))?;
-    match within(timeout, connecting).await {
+    match with_timeout(timeout, connecting).await {
         Some(Ok(conn)) => Ok((endpoint, conn)),
         Some(Err(e)) => Err(lost(e.to_string())),
         None => Err(lost("connect timeout".to_owned())),
@@ -64,7 +64,7 @@
         }
     };
     let late = || Err(WireError::Lost(format!("{addr}: no hello in time")));
-    let (tx, rx, hello) = within(timeout, greet).await.unwrap_or_else(late)?;
+    let (tx, rx, hello) = with_timeout(timeout, greet).await.unwrap_or_else(late)?;
     Ok(Connected { conn, hello, tx, rx, endpoint })
 }
 
@@ -84,5 +84,5 @@
         reply.ok_or_else(|| WireError::Torn("no reply".to_owned()))
     };
     let late = || Err(WireError::Lost("no reply in time".to_owned()));
-    within(timeout, exchange).await.unwrap_or_else(late)
+    with_timeout(timeout, exchange).await.unwrap_or_else(late)
 }
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -9,7 +9,7 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender, unbounded};
 
-use crate::clock::span;
+use crate::clock::to_duration;
 use crate::config_store::Catchup;
 use crate::daemon::Daemon;
 use crate::wire::{Beat, Control, FrameReader, FrameWriter, Load, WireError};
@@ -182,7 +182,7 @@
         let mut last = Health::Live;
         let mut counted = (0, 0);
         loop {
-            Timer::after(span(link.next_check(daemon))).await;
+            Timer::after(to_duration(link.next_check(daemon))).await;
             counted = count_traffic(daemon, conn, counted);
             let now = daemon.now();
             let health = link.health(now);
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -8,7 +8,7 @@
 use super::connect::{call, dial};
 use super::serve::{bind, serve};
 use crate::settings::TlsSettings;
-use crate::tls::{TlsEnds, make_keys, tls_ends};
+use crate::tls::{TlsConfigs, load_tls_configs, make_keys};
 use crate::wire::{Call, FrameReader, FrameWriter, Reply};
 use redwingfold_telemetry::Telemetry;
 
@@ -28,15 +28,15 @@
     Folder(path)
 }
 
-fn ends(dir: &Path, name: &str) -> TlsEnds {
+fn ends(dir: &Path, name: &str) -> TlsConfigs {
     let file = |ending: &str| dir.join(format!("{name}.{ending}"));
     let settings =
         TlsSettings { fleet: dir.join("fleet.pem"), cert: file("pem"), key: file("key") };
-    tls_ends(&settings).expect("keys that were just made")
+    load_tls_configs(&settings).expect("keys that were just made")
 }
 
 /// Starts a process's listening end that answers every call with [`Reply::Held`].
-fn listen(ends: &TlsEnds) -> (SocketAddr, smol::Task<()>) {
+fn listen(ends: &TlsConfigs) -> (SocketAddr, smol::Task<()>) {
     let endpoint = bind(ends.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
     let addr = endpoint.local_addr().expect("bound");
     let telemetry = Telemetry::disabled().expect("a quiet logger");
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::clock::span;
+use crate::clock::to_duration;
 
 const LOAD_TIMEOUT: Millis = Millis(1_000);
-const MAX_LOAD_BYTES: usize = 256 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 const STATUS_CONFLICT: u16 = 409;
-const DATA_PREFIX: &str = "data: ";
+const SSE_DATA_PREFIX: &str = "data: ";
 
 /// What an engine says of itself, some time after the fact.
 #[derive(Clone, Debug, Deserialize)]
@@ -24,25 +24,28 @@
 }
 
 /// Asks an engine for its load.
-pub(crate) async fn engine_load(http: &Client, addr: SocketAddr) -> Result<EngineLoad, String> {
+pub(crate) async fn fetch_engine_load(
+    http: &Client,
+    addr: SocketAddr,
+) -> Result<EngineLoad, String> {
     let call = http.call(
         Method::Get,
         addr,
         "/v1/load",
         None,
-        CallTimeout::Total(span(LOAD_TIMEOUT)),
-        MAX_LOAD_BYTES,
+        CallTimeout::Total(to_duration(LOAD_TIMEOUT)),
+        MAX_RESPONSE_BYTES,
     );
     match call.await {
-        Ok(answer) if answer.is_success() => answer.json().map_err(|e| e.to_string()),
-        Ok(answer) => Err(format!("status {}", answer.status)),
+        Ok(response) if response.is_success() => response.json().map_err(|e| e.to_string()),
+        Ok(response) => Err(format!("status {}", response.status)),
         Err(e) => Err(e.to_string()),
     }
 }
 
 /// What an engine said to an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Ordered {
+pub(crate) enum OrderOutcome {
     /// It has seen a higher fencing number.
     Fenced,
     Taken,
@@ -57,13 +60,13 @@
 }
 
 /// Orders an engine to have these versions loaded.
-pub(crate) async fn engine_order(
+pub(crate) async fn send_engine_order(
     http: &Client,
     addr: SocketAddr,
     fencing: Offset,
     versions: &[VersionName],
     timeout: Millis,
-) -> Ordered {
+) -> OrderOutcome {
     let body = serde_json::to_vec(&Order { fencing, versions }).unwrap_or_default();
     let target = "/v1/orders";
     let call = http.call(
@@ -71,14 +74,14 @@
         addr,
         target,
         Some(body),
-        CallTimeout::Total(span(timeout)),
-        MAX_LOAD_BYTES,
+        CallTimeout::Total(to_duration(timeout)),
+        MAX_RESPONSE_BYTES,
     );
     match call.await {
-        Ok(answer) if answer.is_success() => Ordered::Taken,
-        Ok(answer) if answer.status == STATUS_CONFLICT => Ordered::Fenced,
-        Ok(answer) => Ordered::Unknown(format!("status {}", answer.status)),
-        Err(e) => Ordered::Unknown(e.to_string()),
+        Ok(response) if response.is_success() => OrderOutcome::Taken,
+        Ok(response) if response.status == STATUS_CONFLICT => OrderOutcome::Fenced,
+        Ok(response) => OrderOutcome::Unknown(format!("status {}", response.status)),
+        Err(e) => OrderOutcome::Unknown(e.to_string()),
     }
 }
 
@@ -122,7 +125,7 @@
 }
 
 /// Returns the number of tokens that an answer, or the end of a streamed one, says it has.
-pub(crate) fn last_usage(stream: bool, tail: &[u8]) -> Option<u64> {
+pub(crate) fn reported_total_tokens(stream: bool, tail: &[u8]) -> Option<u64> {
     let text = String::from_utf8_lossy(tail);
     let tokens = |json: &str| {
         let value: Value = serde_json::from_str(json).ok()?;
@@ -131,5 +134,5 @@
     if !stream {
         return tokens(&text);
     }
-    text.lines().rev().filter_map(|line| line.strip_prefix(DATA_PREFIX)).find_map(tokens)
+    text.lines().rev().filter_map(|line| line.strip_prefix(SSE_DATA_PREFIX)).find_map(tokens)
 }
--- a/src/platform/hosts.rs
+++ b/src/platform/hosts.rs
@@ -6,10 +6,10 @@
 use redwingfold_http::{CallTimeout, Client, Method};
 use serde::Deserialize;
 
-use crate::clock::span;
+use crate::clock::to_duration;
 
-const TIMEOUT: Millis = Millis(2_000);
-const MAX_BYTES: usize = 4 * 1024 * 1024;
+const HOST_LIST_TIMEOUT: Millis = Millis(2_000);
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// What the platform says of a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
@@ -57,19 +57,28 @@
 }
 
 #[derive(Deserialize)]
-struct HostsAnswer {
+struct HostsResponse {
     hosts: Vec<HostRecord>,
 }
 
 /// Reads the host list.
-pub(crate) async fn read_hosts(http: &Client, addr: SocketAddr) -> Result<Vec<HostRecord>, String> {
-    let call =
-        http.call(Method::Get, addr, "/hosts", None, CallTimeout::Total(span(TIMEOUT)), MAX_BYTES);
+pub(crate) async fn fetch_hosts(
+    http: &Client,
+    addr: SocketAddr,
+) -> Result<Vec<HostRecord>, String> {
+    let call = http.call(
+        Method::Get,
+        addr,
+        "/hosts",
+        None,
+        CallTimeout::Total(to_duration(HOST_LIST_TIMEOUT)),
+        MAX_RESPONSE_BYTES,
+    );
     match call.await {
-        Ok(answer) if answer.is_success() => {
-            answer.json::<HostsAnswer>().map(|a| a.hosts).map_err(|e| e.to_string())
+        Ok(response) if response.is_success() => {
+            response.json::<HostsResponse>().map(|a| a.hosts).map_err(|e| e.to_string())
         }
-        Ok(answer) => Err(format!("status {}", answer.status)),
+        Ok(response) => Err(format!("status {}", response.status)),
         Err(e) => Err(e.to_string()),
     }
 }
--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -7,7 +7,7 @@
 use redwingfold_http::{CallError, CallTimeout, Client, Method};
 use serde::Deserialize;
 
-use crate::clock::span;
+use crate::clock::to_duration;
 use crate::settings::LogSettings;
 
 /// Names of the streams.
@@ -21,11 +21,11 @@
     /// Totals of ratings, in batches.
     pub(crate) const RATINGS: &str = "ratings";
     /// Prefix of the streams of claims to an engine host, by host.
-    pub(crate) const FENCES: &str = "fences-";
+    pub(crate) const FENCES_PREFIX: &str = "fences-";
     /// Prefix of the streams of loads, by version.
-    pub(crate) const LOADS: &str = "loads-";
+    pub(crate) const LOADS_PREFIX: &str = "loads-";
     /// Prefix of the partitions of claims.
-    pub(crate) const CLAIMS: &str = "claims-";
+    pub(crate) const CLAIMS_PREFIX: &str = "claims-";
 }
 
 const MAX_PAGE_BYTES: usize = 32 * 1024 * 1024;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum LogError {
     /// The service says no: it is away or over its rate. Nothing took effect.
-    Refused { why: String, retry_after: Millis },
+    Refused { reason: String, retry_after: Millis },
     /// No answer, or an unclear one. An append may have taken effect, or may yet.
     Unknown(String),
 }
@@ -42,8 +42,8 @@
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused { why, .. } => write!(f, "the log service refuses: {why}"),
-            Self::Unknown(why) => write!(f, "no clear answer from the log service: {why}"),
+            Self::Refused { reason, .. } => write!(f, "the log service refuses: {reason}"),
+            Self::Unknown(reason) => write!(f, "no clear answer from the log service: {reason}"),
         }
     }
 }
@@ -59,25 +59,25 @@
 }
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     offset: Offset,
 }
 
 #[derive(Deserialize)]
-struct PageAnswer {
+struct PageResponse {
     first: Offset,
     next: Offset,
-    records: Vec<RecordAnswer>,
+    records: Vec<RecordResponse>,
 }
 
 #[derive(Deserialize)]
-struct RecordAnswer {
+struct RecordResponse {
     offset: Offset,
     data: String,
 }
 
-impl From<PageAnswer> for LogPage {
-    fn from(page: PageAnswer) -> Self {
+impl From<PageResponse> for LogPage {
+    fn from(page: PageResponse) -> Self {
         let records = page.records.into_iter().map(|r| (r.offset, r.data.into_bytes()));
         Self { first: page.first, next: page.next, records: records.collect() }
     }
@@ -104,10 +104,10 @@
     /// append without a clear answer took effect.
     pub(crate) async fn append(&self, stream: &str, record: Vec<u8>) -> Result<Offset, LogError> {
         let target = format!("/streams/{stream}/append");
-        let bound = CallTimeout::Total(span(self.timeout));
-        let answer = self.call(Method::Post, &target, Some(record), bound).await?;
-        answer
-            .json::<AppendAnswer>()
+        let timeout = CallTimeout::Total(to_duration(self.timeout));
+        let response = self.call(Method::Post, &target, Some(record), timeout).await?;
+        response
+            .json::<AppendResponse>()
             .map(|a| a.offset)
             .map_err(|e| LogError::Unknown(e.to_string()))
     }
@@ -123,9 +123,9 @@
         let target = format!("/streams/{stream}/records?from={from}&max={max}&wait_ms={wait}");
         // Bounded as a whole, a page that takes longer over a slow link would be asked for from its start again and
         // again, and this process would stay where it is.
-        let bound = CallTimeout::Idle(span(self.timeout.after(wait)));
-        let answer = self.call(Method::Get, &target, None, bound).await?;
-        let page = answer.json::<PageAnswer>();
+        let timeout = CallTimeout::Idle(to_duration(self.timeout.after(wait)));
+        let response = self.call(Method::Get, &target, None, timeout).await?;
+        let page = response.json::<PageResponse>();
         page.map(LogPage::from).map_err(|e| LogError::Unknown(e.to_string()))
     }
 
@@ -134,18 +134,18 @@
         method: Method,
         target: &str,
         body: Option<Vec<u8>>,
-        bound: CallTimeout,
+        timeout: CallTimeout,
     ) -> Result<redwingfold_http::BufferedResponse, LogError> {
-        let call = self.http.call(method, self.addr, target, body, bound, MAX_PAGE_BYTES);
-        let refused = |why: String, retry_after| Err(LogError::Refused { why, retry_after });
+        let call = self.http.call(method, self.addr, target, body, timeout, MAX_PAGE_BYTES);
+        let refused = |reason: String, retry_after| Err(LogError::Refused { reason, retry_after });
         match call.await {
-            Ok(answer) if answer.is_success() => Ok(answer),
-            Ok(answer) if matches!(answer.status, STATUS_TOO_MANY | STATUS_UNAVAILABLE) => {
-                let after = answer.retry_after.map_or(DEFAULT_RETRY_AFTER, |s| Millis(s * 1000));
-                refused(format!("status {}", answer.status), after)
+            Ok(response) if response.is_success() => Ok(response),
+            Ok(response) if matches!(response.status, STATUS_TOO_MANY | STATUS_UNAVAILABLE) => {
+                let after = response.retry_after.map_or(DEFAULT_RETRY_AFTER, |s| Millis(s * 1000));
+                refused(format!("status {}", response.status), after)
             }
-            Ok(answer) => Err(LogError::Unknown(format!("status {}", answer.status))),
-            Err(CallError::Unreachable(why)) => refused(why, DEFAULT_RETRY_AFTER),
+            Ok(response) => Err(LogError::Unknown(format!("status {}", response.status))),
+            Err(CallError::Unreachable(reason)) => refused(reason, DEFAULT_RETRY_AFTER),
             Err(e) => Err(LogError::Unknown(e.to_string())),
         }
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -7,9 +7,10 @@
 mod weights;
 
 pub(crate) use engine::{
-    EngineLoad, Ordered, engine_load, engine_order, engine_request, last_usage, plain_request,
+    EngineLoad, OrderOutcome, engine_request, fetch_engine_load, plain_request,
+    reported_total_tokens, send_engine_order,
 };
-pub(crate) use hosts::{HostRecord, HostState, read_hosts};
+pub(crate) use hosts::{HostRecord, HostState, fetch_hosts};
 pub(crate) use log::{LogClient, LogError, stream};
-pub(crate) use rating::rate;
-pub(crate) use weights::{Asked, ask_to_load};
+pub(crate) use rating::rate_answer;
+pub(crate) use weights::{LoadPermission, request_load_permission};
--- a/src/platform/rating.rs
+++ b/src/platform/rating.rs
@@ -6,9 +6,9 @@
 use redwingfold_http::{CallTimeout, Client, Method};
 use serde::{Deserialize, Serialize};
 
-use crate::clock::span;
+use crate::clock::to_duration;
 
-const MAX_BYTES: usize = 64 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 #[derive(Serialize)]
 struct RateRequest<'a> {
@@ -17,12 +17,12 @@
 }
 
 #[derive(Deserialize)]
-struct RateAnswer {
+struct RateResponse {
     score: PerMille,
 }
 
 /// Has an answer rated; `None` if no rating is to be had in time.
-pub(crate) async fn rate(
+pub(crate) async fn rate_answer(
     http: &Client,
     addr: SocketAddr,
     version: &VersionName,
@@ -35,9 +35,9 @@
         addr,
         "/v1/rate",
         Some(body),
-        CallTimeout::Total(span(timeout)),
-        MAX_BYTES,
+        CallTimeout::Total(to_duration(timeout)),
+        MAX_RESPONSE_BYTES,
     );
-    let answer = call.await.ok().filter(redwingfold_http::BufferedResponse::is_success)?;
-    answer.json::<RateAnswer>().ok().map(|a| a.score)
+    let response = call.await.ok().filter(redwingfold_http::BufferedResponse::is_success)?;
+    response.json::<RateResponse>().ok().map(|a| a.score)
 }
--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -161,7 +161,7 @@
         }
         self.pump();
         let left = ask.deadline.since(self.clock.now());
-        match crate::clock::within(left, rx.recv()).await {
+        match crate::clock::with_timeout(left, rx.recv()).await {
             Some(Ok(outcome)) => outcome,
             Some(Err(_)) => Err(ErrorKind::Stopping),
             None => Err(ErrorKind::DeadlinePassed),
--- a/src/side/load_reports.rs
+++ b/src/side/load_reports.rs
@@ -8,7 +8,7 @@
 
 use super::context::Side;
 use crate::clock::jittered;
-use crate::platform::engine_load;
+use crate::platform::fetch_engine_load;
 use crate::settings::BackendKind;
 use crate::wire::Load;
 
@@ -26,7 +26,7 @@
             if backend.settings.kind != BackendKind::Engine {
                 continue;
             }
-            let up = match engine_load(&side.daemon.http, backend.settings.address).await {
+            let up = match fetch_engine_load(&side.daemon.http, backend.settings.address).await {
                 Ok(load) => {
                     backend.report(load);
                     true
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -12,9 +12,10 @@
 
 use super::backend::Backend;
 use super::context::Side;
-use crate::clock::{jittered, wall};
+use crate::clock::{jittered, unix_time};
 use crate::platform::{
-    Asked, HostState, LogError, Ordered, ask_to_load, engine_load, engine_order, stream,
+    HostState, LoadPermission, LogError, OrderOutcome, fetch_engine_load, request_load_permission,
+    send_engine_order, stream,
 };
 use crate::settings::BackendKind;
 use crate::wire::new_claim_id;
@@ -160,11 +161,11 @@
     let Some(first) = missing.first() else {
         return order(side, backend, &held, &wanted.versions).await;
     };
-    let stream_name = format!("{}{first}", stream::LOADS);
+    let stream_name = format!("{}{first}", stream::LOADS_PREFIX);
     let longest = side.settings.orders.load_timeout_ms;
     let loads = orders.loads.entry((*first).clone()).or_insert_with(|| LoadFold::new(longest));
     read_loads(side, &stream_name, loads).await?;
-    let going_on = loads.active_beside(&side.daemon.host, wall());
+    let going_on = loads.active_beside(&side.daemon.host, unix_time());
     if going_on >= wanted.limit as usize {
         return Err(Held::Later(format!("{going_on} loads go on")));
     }
@@ -217,7 +218,7 @@
         if orders.settled.contains(version) {
             continue;
         }
-        let name = format!("{}{version}", stream::LOADS);
+        let name = format!("{}{version}", stream::LOADS_PREFIX);
         let loads = orders.loads.entry(version.clone()).or_insert_with(|| LoadFold::new(longest));
         read_loads(side, &name, loads).await?;
         if let Some(id) = loads.active_of(&side.daemon.host) {
@@ -245,7 +246,7 @@
 }
 
 fn fence_stream(side: &Side) -> String {
-    format!("{}{}", stream::FENCES, side.daemon.host)
+    format!("{}{}", stream::FENCES_PREFIX, side.daemon.host)
 }
 
 async fn read_fences(side: &Side, from: Offset) -> Result<Vec<(Offset, FenceRecord)>, Held> {
@@ -280,7 +281,7 @@
     let addr = backend.settings.address;
     let http = &side.daemon.http;
     let timeout = settings.load_timeout_ms;
-    let ordered = engine_order(http, addr, fence.number, versions, timeout).await;
+    let ordered = send_engine_order(http, addr, fence.number, versions, timeout).await;
     let names: Vec<_> = versions.iter().map(ToString::to_string).collect();
     side.daemon.telemetry.info(
         "engine_ordered",
@@ -292,10 +293,10 @@
         ],
     );
     match ordered {
-        Ordered::Fenced => Err(Held::Superseded),
-        Ordered::Unknown(why) => Err(Held::Later(why)),
-        Ordered::Taken => {
-            if let Ok(load) = engine_load(http, addr).await {
+        OrderOutcome::Fenced => Err(Held::Superseded),
+        OrderOutcome::Unknown(why) => Err(Held::Later(why)),
+        OrderOutcome::Taken => {
+            if let Ok(load) = fetch_engine_load(http, addr).await {
                 backend.report(load);
             }
             super::load_reports::tell(side);
@@ -328,7 +329,7 @@
 ) -> Result<ClaimId, Held> {
     let id = new_claim_id();
     let host = side.daemon.host.clone();
-    let begin = LoadRecord::Begin { id, host, version: version.clone(), limit, at: wall() };
+    let begin = LoadRecord::Begin { id, host, version: version.clone(), limit, at: unix_time() };
     let json = serde_json::to_vec(&begin).unwrap_or_default();
     match side.daemon.log.append(name, json).await {
         Ok(_) | Err(LogError::Unknown(_)) => {}
@@ -343,9 +344,9 @@
 
 async fn ask_store(side: &Side, version: &VersionName) -> Result<(), Held> {
     let Some(addr) = side.settings.orders.weight_store else { return Ok(()) };
-    match ask_to_load(&side.daemon.http, addr, version).await {
-        Asked::Granted => Ok(()),
-        Asked::Later(after) => {
+    match request_load_permission(&side.daemon.http, addr, version).await {
+        LoadPermission::Granted => Ok(()),
+        LoadPermission::RetryAfter(after) => {
             Err(Held::Later(format!("the weight store says to come back in {after} ms")))
         }
     }
--- a/src/side/requests.rs
+++ b/src/side/requests.rs
@@ -6,7 +6,7 @@
 
 use super::context::Side;
 use crate::billing::Held;
-use crate::clock::wall;
+use crate::clock::unix_time;
 use crate::wire::{Call, Closed, Outcome, Reply};
 
 /// Answers a call that is neither a run nor a control stream.
@@ -88,7 +88,7 @@
         "pins": side.pins().len(),
         "peer_bytes_sent": side.daemon.traffic.sent.load(Ordering::Relaxed),
         "peer_bytes_received": side.daemon.traffic.received.load(Ordering::Relaxed),
-        "at": wall(),
+        "at": unix_time(),
         "backends": loads.map(|l| serde_json::json!({
             "name": l.backend,
             "service": l.service,
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -13,8 +13,8 @@
 use super::backend::{Admission, Backend};
 use super::context::Side;
 use crate::billing::Held;
-use crate::clock::{span, wall, within};
-use crate::platform::{engine_request, last_usage, plain_request};
+use crate::clock::{to_duration, unix_time, with_timeout};
+use crate::platform::{engine_request, plain_request, reported_total_tokens};
 use crate::wire::{
     FrameWriter, LoadChange, RunCall, RunEnd, RunFailed, RunFrame, RunHead, Usage, WireError,
 };
@@ -117,7 +117,7 @@
     // The configuration may have changed while the request waited.
     check(side, call)?;
     let answered = Box::pin(answer(side, call, &backend, tx));
-    let outcome = match within(deadline.since(side.daemon.now()), answered).await {
+    let outcome = match with_timeout(deadline.since(side.daemon.now()), answered).await {
         Some(outcome) => outcome,
         None => Err(ErrorKind::DeadlineInRun.into()),
     };
@@ -209,8 +209,9 @@
     let req = backend_request(call, backend)?;
     let begun = side.daemon.now();
     let limits = &side.settings.queue;
-    let opened = open_stream(backend.settings.address, req, span(limits.first_byte_timeout_ms));
-    let opened = within(limits.first_byte_timeout_ms, until_stopped(tx, opened)).await;
+    let opened =
+        open_stream(backend.settings.address, req, to_duration(limits.first_byte_timeout_ms));
+    let opened = with_timeout(limits.first_byte_timeout_ms, until_stopped(tx, opened)).await;
     let mut res = match opened {
         Some(Ok(Ok(res))) => res,
         Some(Ok(Err(CallError::Unreachable(why)))) => {
@@ -293,7 +294,7 @@
             _ => limits.gap_timeout_ms,
         };
         let lost = |why: String| Failure::new(ErrorKind::BackendLost, why);
-        let n = match within(limit, until_stopped(tx, reader.read(&mut buf))).await {
+        let n = match with_timeout(limit, until_stopped(tx, reader.read(&mut buf))).await {
             Some(Ok(Ok(n))) => n,
             Some(Ok(Err(e))) => return Err(lost(e.to_string())),
             Some(Err(stopped)) => return Err(Failure { run: RunState::MayHaveRun, ..stopped }),
@@ -342,7 +343,9 @@
 
 fn usage_of(side: &Side, call: &RunCall, status: u16, copied: &Copied) -> Usage {
     let tokens = match call.version {
-        Some(_) if status == 200 => last_usage(call.stream, &copied.tail).unwrap_or(UNKNOWN_TOKENS),
+        Some(_) if status == 200 => {
+            reported_total_tokens(call.stream, &copied.tail).unwrap_or(UNKNOWN_TOKENS)
+        }
         _ => 0,
     };
     let config = side.daemon.store.current();
@@ -366,9 +369,9 @@
         version,
         tokens: usage.tokens,
         cost: usage.cost,
-        at: wall(),
+        at: unix_time(),
     };
-    let not_before = wall().after(side.settings.batch.side_grace_ms);
+    let not_before = unix_time().after(side.settings.batch.side_grace_ms);
     if side.bills.hold(Held { bill: bill.clone(), side: None }, not_before).is_err() {
         side.daemon.telemetry.count("bills.one_copy", 1);
     }
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -12,12 +12,12 @@
 use super::orders::give_orders;
 use super::requests::{answer, hold};
 use super::run::run;
-use crate::clock::{span, within};
+use crate::clock::{to_duration, with_timeout};
 use crate::config_store::{feed, write_snapshots};
 use crate::daemon::Daemon;
 use crate::peer::{Link, LinkEvents, bind, run_control, serve};
 use crate::settings::SideSettings;
-use crate::tls::tls_ends;
+use crate::tls::load_tls_configs;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, Reply, Role};
 use redwingfold_telemetry::Telemetry;
 
@@ -40,7 +40,7 @@
 /// If the settings name files or addresses that cannot be used.
 pub async fn run_side(settings: SideSettings, stop: Receiver<()>) -> eyre::Result<()> {
     let telemetry = Telemetry::new(settings.metrics.statsd)?;
-    let ends = tls_ends(&settings.tls)?;
+    let ends = load_tls_configs(&settings.tls)?;
     let daemon = Daemon::new(
         (settings.host.clone(), settings.failure_domain.clone(), Role::Side),
         settings.log.clone(),
@@ -56,7 +56,7 @@
         &[("host", &side.daemon.host), ("peer", &local), ("incarnation", &side.daemon.incarnation)],
     );
     let mut tasks = Vec::new();
-    tasks.push(spawn(&side, |s| async move { s.daemon.follow_hosts().await }));
+    tasks.push(spawn(&side, |s| async move { s.daemon.poll_hosts().await }));
     tasks.push(spawn(&side, |s| async move { follow_engines(&s).await }));
     tasks.push(spawn(&side, |s| async move { give_orders(&s).await }));
     tasks.push(spawn(&side, |s| async move { refuse_withdrawn(&s).await }));
@@ -168,10 +168,10 @@
     side.daemon.telemetry.info("draining", &[("running", &side.running())]);
     let drained = async {
         while side.running() > 0 {
-            Timer::after(span(STOP_POLL)).await;
+            Timer::after(to_duration(STOP_POLL)).await;
         }
     };
-    if within(side.settings.queue.drain_ms, drained).await.is_none() {
+    if with_timeout(side.settings.queue.drain_ms, drained).await.is_none() {
         side.daemon.telemetry.warn("drain_cut", &[("running", &side.running())]);
     }
     if !side.bills.flush(FLUSH_LIMIT).await {
@@ -181,7 +181,7 @@
         // The entries hold the other copies; only if they die too are these lost.
         side.daemon.telemetry.warn("bills_left", &[("bills", &side.bills.len())]);
     }
-    Timer::after(span(LINGER)).await;
+    Timer::after(to_duration(LINGER)).await;
 }
 
 /// Gives the unconfirmed bills to an entry, which says so on the control stream.
@@ -190,10 +190,10 @@
         link.send(Control::Hold(side.bills.all()));
         let held = async {
             while side.bills.len() > 0 {
-                Timer::after(span(STOP_POLL)).await;
+                Timer::after(to_duration(STOP_POLL)).await;
             }
         };
-        if within(HAND_OVER_LIMIT, held).await.is_some() {
+        if with_timeout(HAND_OVER_LIMIT, held).await.is_some() {
             side.daemon.telemetry.info("bills_handed_over", &[]);
             return;
         }
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -24,7 +24,7 @@
 
 /// Configurations of both ends of a connection.
 #[derive(Clone, Debug)]
-pub struct TlsEnds {
+pub struct TlsConfigs {
     /// For connections that this process opens.
     pub client: ClientConfig,
     /// For connections that it accepts.
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Names the file that cannot be read or does not fit.
-pub fn tls_ends(settings: &TlsSettings) -> eyre::Result<TlsEnds> {
+pub fn load_tls_configs(settings: &TlsSettings) -> eyre::Result<TlsConfigs> {
     let certs = read_certs(&settings.cert)?;
     let key = PrivateKeyDer::from_pem_file(&settings.key)
         .map_err(|e| eyre::eyre!("{}: {e:?}", settings.key.display()))?;
@@ -75,7 +75,7 @@
     server.transport_config(transport.clone());
     let mut client = ClientConfig::new(Arc::new(QuicClientConfig::try_from(client)?));
     client.transport_config(transport);
-    Ok(TlsEnds { client, server })
+    Ok(TlsConfigs { client, server })
 }
 
 fn transport() -> eyre::Result<TransportConfig> {
