--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! Adapter of model engines and plain services.
+//! Client for the backend servers: model engines and plain services.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 const STATUS_CONFLICT: u16 = 409;
 const SSE_DATA_PREFIX: &str = "data: ";
 
-/// What an engine says of itself, some time after the fact.
+/// Load of an engine as it reports it. The report lags behind the actual load.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct EngineLoad {
     pub(crate) running: u32,
@@ -23,7 +23,7 @@
     pub(crate) versions: Vec<VersionName>,
 }
 
-/// Asks an engine for its load.
+/// Fetches the load report of an engine.
 pub(crate) async fn fetch_engine_load(
     http: &Client,
     addr: SocketAddr,
@@ -43,13 +43,15 @@
     }
 }
 
-/// What an engine said to an order.
+/// Result of sending an order to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum OrderOutcome {
-    /// It has seen a higher fencing number.
+    /// Refused: the engine has already received an order with a higher fencing number.
     Fenced,
+    /// Accepted.
     Taken,
-    /// No clear answer; whether it was taken shows in the engine's report.
+    /// No response, or an unexpected one. Only the engine's load report shows whether the order
+    /// was accepted.
     Unknown(String),
 }
 
@@ -59,7 +61,7 @@
     versions: &'a [VersionName],
 }
 
-/// Orders an engine to have these versions loaded.
+/// Sends an order to an engine to have exactly these versions loaded, in place of its earlier ones.
 pub(crate) async fn send_engine_order(
     http: &Client,
     addr: SocketAddr,
@@ -85,7 +87,8 @@
     }
 }
 
-/// Makes a request for an engine: the caller's, with the version in place of what it named.
+/// Builds a request to an engine from the caller's body. `model` is set to the chosen version and
+/// `priority` to the given priority.
 pub(crate) fn engine_request(
     addr: SocketAddr,
     request: RequestId,
@@ -95,14 +98,14 @@
     priority: u8,
 ) -> Result<Request, CallError> {
     let mut value: Value = serde_json::from_slice(body)
-        .map_err(|e| CallError::Unreachable(format!("body is no JSON: {e}")))?;
+        .map_err(|e| CallError::Unreachable(format!("body is not valid JSON: {e}")))?;
     value["model"] = Value::from(version.as_str());
     value["priority"] = Value::from(priority);
     let body = serde_json::to_vec(&value).unwrap_or_default();
     plain_request(addr, request, Method::Post, target, Some("application/json"), body)
 }
 
-/// Makes a request for a plain service.
+/// Builds a request to a plain service.
 pub(crate) fn plain_request(
     addr: SocketAddr,
     request: RequestId,
@@ -124,7 +127,8 @@
     Ok(req)
 }
 
-/// Returns the number of tokens that an answer, or the end of a streamed one, says it has.
+/// Returns `usage.total_tokens` of a response, if it has one. For a streamed response, `tail` is
+/// its end, and the last event with a usage counts.
 pub(crate) fn reported_total_tokens(stream: bool, tail: &[u8]) -> Option<u64> {
     let text = String::from_utf8_lossy(tail);
     let tokens = |json: &str| {
--- a/src/platform/hosts.rs
+++ b/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! Adapter of the host list.
+//! Client for the host list service.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 const HOST_LIST_TIMEOUT: Millis = Millis(2_000);
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// What the platform says of a host.
+/// State of a host in the host list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum HostState {
@@ -19,7 +19,7 @@
     Live,
 }
 
-/// One host of the list.
+/// One entry of the host list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub(crate) struct HostRecord {
     pub(crate) host: HostId,
@@ -27,7 +27,8 @@
     pub(crate) failure_domain: FailureDomain,
     pub(crate) role: String,
     pub(crate) state: HostState,
-    /// Pool of backend servers; one for all if the platform names none.
+    /// Pool of backend servers. Empty if the platform names none, so that such hosts share one
+    /// pool.
     #[serde(default)]
     pub(crate) pool: String,
 }
@@ -37,7 +38,7 @@
         self.role == "side"
     }
 
-    /// Returns the labels that placements are matched against.
+    /// Returns the labels that the selectors of placements are matched against.
     pub(crate) fn labels(&self) -> Labels {
         let pairs = [
             ("host", self.host.to_string()),
@@ -61,7 +62,7 @@
     hosts: Vec<HostRecord>,
 }
 
-/// Reads the host list.
+/// Fetches the host list.
 pub(crate) async fn fetch_hosts(
     http: &Client,
     addr: SocketAddr,
--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! Adapter of the log service.
+//! Client for the log service.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,48 +12,50 @@
 
 /// Names of the streams.
 pub(crate) mod stream {
-    /// Billing records, in batches.
+    /// Batches of billing records.
     pub(crate) const BILLS: &str = "bills";
-    /// Changes of the configuration.
+    /// Changes to the configuration.
     pub(crate) const CONFIG: &str = "config";
     /// Snapshots of the configuration.
     pub(crate) const SNAPSHOTS: &str = "config-snapshots";
-    /// Totals of ratings, in batches.
+    /// Batches of rating totals.
     pub(crate) const RATINGS: &str = "ratings";
-    /// Prefix of the streams of claims to an engine host, by host.
+    /// Prefix of the streams that assign fencing numbers for orders, one stream per engine host.
     pub(crate) const FENCES_PREFIX: &str = "fences-";
-    /// Prefix of the streams of loads, by version.
+    /// Prefix of the streams that record loads of weights, one stream per version.
     pub(crate) const LOADS_PREFIX: &str = "loads-";
-    /// Prefix of the partitions of claims.
+    /// Prefix of the streams of claims, one stream per partition.
     pub(crate) const CLAIMS_PREFIX: &str = "claims-";
 }
 
 const MAX_PAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why the log service did not do as asked.
+/// Error of a call to the log service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum LogError {
-    /// The service says no: it is away or over its rate. Nothing took effect.
+    /// The service is unreachable, unavailable or over its rate limit. The call had no effect.
     Refused { reason: String, retry_after: Millis },
-    /// No answer, or an unclear one. An append may have taken effect, or may yet.
+    /// No response, or an unexpected one. An append may have taken effect, or may still do so.
     Unknown(String),
 }
 
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused { reason, .. } => write!(f, "the log service refuses: {reason}"),
-            Self::Unknown(reason) => write!(f, "no clear answer from the log service: {reason}"),
+            Self::Refused { reason, .. } => write!(f, "the log service refused the call: {reason}"),
+            Self::Unknown(reason) => {
+                write!(f, "the outcome of the call to the log service is unknown: {reason}")
+            }
         }
     }
 }
 
-/// A part of a stream.
+/// Consecutive records of a stream.
 #[derive(Clone, Debug)]
 pub(crate) struct LogPage {
-    /// Oldest offset that is retained.
+    /// Oldest offset that the service retains.
     pub(crate) first: Offset,
-    /// Offset of the next append, as of this read.
+    /// Offset of the next append at the time of this read.
     pub(crate) next: Offset,
     pub(crate) records: Vec<(Offset, Vec<u8>)>,
 }
@@ -100,8 +102,8 @@
         Self { addr: settings.address, timeout: settings.timeout_ms, http: Client::default() }
     }
 
-    /// Appends a record once. It is never repeated here: whoever asks must first look whether an
-    /// append without a clear answer took effect.
+    /// Appends a record, without retries. After [`LogError::Unknown`], the caller must read the
+    /// stream to find out whether the append took effect before it retries.
     pub(crate) async fn append(&self, stream: &str, record: Vec<u8>) -> Result<Offset, LogError> {
         let target = format!("/streams/{stream}/append");
         let timeout = CallTimeout::Total(to_duration(self.timeout));
@@ -112,7 +114,7 @@
             .map_err(|e| LogError::Unknown(e.to_string()))
     }
 
-    /// Reads records from an offset on; waits up to `wait` for the first.
+    /// Reads up to `max` records, starting at an offset. Waits up to `wait` for the first record.
     pub(crate) async fn read(
         &self,
         stream: &str,
@@ -121,8 +123,9 @@
         wait: Millis,
     ) -> Result<LogPage, LogError> {
         let target = format!("/streams/{stream}/records?from={from}&max={max}&wait_ms={wait}");
-        // Bounded as a whole, a page that takes longer over a slow link would be asked for from its start again and
-        // again, and this process would stay where it is.
+        // An idle timeout, not a total one: over a slow link, a large page may take longer than any
+        // total timeout. The same page would then be requested over and over, and the reader would
+        // never advance.
         let timeout = CallTimeout::Idle(to_duration(self.timeout.after(wait)));
         let response = self.call(Method::Get, &target, None, timeout).await?;
         let page = response.json::<PageResponse>();
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's services, each behind one adapter: docs/PLATFORM.md has the formats.
+//! Clients for the platform's services, one module per service. docs/PLATFORM.md describes the
+//! formats.
 
 mod engine;
 mod hosts;
--- a/src/platform/rating.rs
+++ b/src/platform/rating.rs
@@ -1,4 +1,4 @@
-//! Adapter of the rating service.
+//! Client for the rating service.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     score: PerMille,
 }
 
-/// Has an answer rated; `None` if no rating is to be had in time.
+/// Requests a score for an answer. Returns `None` if the call fails or exceeds `timeout`.
 pub(crate) async fn rate_answer(
     http: &Client,
     addr: SocketAddr,
--- a/src/platform/weights.rs
+++ b/src/platform/weights.rs
@@ -1,4 +1,4 @@
-//! Adapter of the weight store.
+//! Client for the weight store.
 
 use std::net::SocketAddr;
 
@@ -11,14 +11,15 @@
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 const DEFAULT_RETRY_AFTER_S: u64 = 5;
 
-/// What the weight store said.
+/// The weight store's response to a request to load weights.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LoadPermission {
     Granted,
+    /// Refused, or the store is unreachable: ask again after this time.
     RetryAfter(Millis),
 }
 
-/// Asks to load a version's weights now.
+/// Requests permission to load a version's weights now.
 pub(crate) async fn request_load_permission(
     http: &Client,
     addr: SocketAddr,
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -1,4 +1,4 @@
-//! Settings that entry and side share.
+//! Settings that the entry and the side have in common.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,24 +6,25 @@
 use redwingfold_core::{Millis, Policy};
 use serde::{Deserialize, Serialize};
 
-/// Where the log service is and how it is used.
+/// Settings of the client for the log service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LogSettings {
     /// Address of the log service.
     pub address: SocketAddr,
-    /// Longest wait for an answer.
+    /// Timeout of an append. For a read, longest pause in the response, in addition to the wait for
+    /// a record.
     #[serde(default = "log_timeout")]
     pub timeout_ms: Millis,
-    /// How long a read waits at the service for a new record.
+    /// Time that a read waits for a new record at the service (long polling).
     #[serde(default = "log_wait")]
     pub wait_ms: Millis,
-    /// Time between reads by a daemon that gets the configuration from its peers.
+    /// Time between reads by a daemon that receives the configuration from its peers.
     #[serde(default = "log_relaxed")]
     pub relaxed_ms: Millis,
-    /// Daemons of a failure domain that read the log for the others.
+    /// Number of daemons per failure domain that read the log for the others.
     #[serde(default = "log_readers")]
     pub readers_per_domain: usize,
-    /// Records between snapshots of the configuration.
+    /// Number of records between two snapshots of the configuration.
     #[serde(default = "log_snapshot_every")]
     pub snapshot_every: u64,
 }
@@ -49,7 +50,7 @@
 }
 
 impl LogSettings {
-    /// Makes the default settings for a log service at `address`.
+    /// Returns the default settings for a log service at `address`.
     pub fn at(address: SocketAddr) -> Self {
         Self {
             address,
@@ -62,12 +63,12 @@
     }
 }
 
-/// Where the host list is and how it is used.
+/// Settings of the client for the host list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HostListSettings {
     /// Address of the host list.
     pub address: SocketAddr,
-    /// Time between reads.
+    /// Longest time between two reads.
     #[serde(default = "host_list_every")]
     pub every_ms: Millis,
 }
@@ -77,36 +78,36 @@
 }
 
 impl HostListSettings {
-    /// Makes the default settings for a host list at `address`.
+    /// Returns the default settings for a host list at `address`.
     pub fn at(address: SocketAddr) -> Self {
         Self { address, every_ms: host_list_every() }
     }
 }
 
-/// The process's certificate, and the fleet's.
+/// Files for mutual TLS between the system's processes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TlsSettings {
-    /// Certificate of the fleet's authority, PEM.
+    /// Certificate of the fleet's certificate authority, PEM.
     pub fleet: PathBuf,
     /// Certificate of this process, PEM.
     pub cert: PathBuf,
-    /// Its key, PEM.
+    /// Private key of this process, PEM.
     pub key: PathBuf,
 }
 
-/// How peers are watched.
+/// Failure detection between peers, and the limit on load reports.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct HeartbeatSettings {
-    /// Time between heartbeats while answers are awaited, and the time that one may take.
+    /// Time between heartbeats while requests are in flight, and the timeout of a heartbeat.
     pub interval_ms: Millis,
-    /// Time between heartbeats while nothing is awaited.
+    /// Time between heartbeats while no requests are in flight.
     pub idle_interval_ms: Millis,
-    /// Heartbeats missed before new work goes elsewhere.
+    /// Missed heartbeats after which new requests go to other peers.
     pub misses: u32,
-    /// Heartbeats missed before the connection is given up.
+    /// Missed heartbeats after which the connection is closed.
     pub dead_misses: u32,
-    /// Bytes of load reports a second that a daemon sends at most.
+    /// Limit on the load reports that a daemon sends, in bytes per second.
     pub report_bytes_per_second: u64,
 }
 
@@ -134,19 +135,20 @@
     }
 }
 
-/// How many peers a daemon has.
+/// Connections between entries and sides.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct PeerSettings {
-    /// Entries that each side is connected to.
+    /// Number of entries that connect to each side.
     pub fan_in: usize,
-    /// Sides of each pool that an entry is connected to at least.
+    /// Least number of sides in each pool that an entry connects to.
     pub per_pool: usize,
-    /// Sides, the same for all entries, among which the holders of sessions are chosen.
+    /// Number of sides from which the holders of sessions are chosen; the same sides for all
+    /// entries.
     pub keepers: usize,
-    /// Longest wait for a connection.
+    /// Timeout of a connection attempt.
     pub connect_timeout_ms: Millis,
-    /// Longest pause between tries to connect.
+    /// Longest backoff between connection attempts.
     pub max_backoff_ms: Millis,
 }
 
@@ -162,17 +164,17 @@
     }
 }
 
-/// How records that can wait go to the log.
+/// Batching of records that are appended to the log in the background.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct BatchSettings {
-    /// Time between batches.
+    /// Time between two batches.
     pub every_ms: Millis,
-    /// Records in a batch.
+    /// Most records in a batch.
     pub max_records: usize,
-    /// Memory for records that are not confirmed.
+    /// Limit on the memory for unconfirmed records, in bytes.
     pub max_bytes: usize,
-    /// How long a side leaves its copies to the entry before it appends them itself.
+    /// Time that a side waits for the entry to append a record before it appends its own copy.
     pub side_grace_ms: Millis,
 }
 
@@ -187,10 +189,10 @@
     }
 }
 
-/// Where metrics go.
+/// Destination of metrics.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct MetricsSettings {
-    /// Address of a StatsD server; none sends no metrics.
+    /// Address of a StatsD server. Without it, no metrics are sent.
     pub statsd: Option<SocketAddr>,
 }
--- a/src/settings/ctl.rs
+++ b/src/settings/ctl.rs
@@ -13,12 +13,13 @@
     pub log: LogSettings,
     /// The host list.
     pub host_list: HostListSettings,
-    /// Certificates.
+    /// Files for mutual TLS.
     pub tls: TlsSettings,
 }
 
 impl CtlSettings {
-    /// Returns settings with every key set, for documentation and for suggestions.
+    /// Returns settings with every key set. They serve as documentation, and as the list of known
+    /// keys from which corrections of misspelt keys are suggested.
     pub fn example() -> Self {
         Self {
             log: LogSettings::at((Ipv4Addr::LOCALHOST, 7001).into()),
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry.
+//! Settings of the entry daemon.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -10,41 +10,41 @@
     TlsSettings,
 };
 
-/// Settings of the entry.
+/// Settings of the entry daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EntrySettings {
     /// Name of this host.
     pub host: HostId,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Address for callers.
+    /// Listen address for callers.
     #[serde(default = "default_listen")]
     pub listen: SocketAddr,
-    /// Address for the system's own processes.
+    /// Listen address for connections from the system's other processes.
     #[serde(default = "default_peer_listen")]
     pub peer_listen: SocketAddr,
     /// The log service.
     pub log: LogSettings,
     /// The host list.
     pub host_list: HostListSettings,
-    /// Certificates.
+    /// Files for mutual TLS.
     pub tls: TlsSettings,
-    /// Peers.
+    /// Connections to sides.
     #[serde(default)]
     pub peers: PeerSettings,
-    /// Heartbeats.
+    /// Heartbeats and load reports.
     #[serde(default)]
     pub heartbeat: HeartbeatSettings,
-    /// Records for the log.
+    /// Batching of records for the log.
     #[serde(default)]
     pub batch: BatchSettings,
-    /// What callers may take up.
+    /// Limits on connections and requests.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Choice of backend servers.
+    /// Load balancing.
     #[serde(default)]
     pub balance: BalanceSettings,
-    /// Repeated attempts.
+    /// Retries.
     #[serde(default)]
     pub retry: RetrySettings,
     /// Sessions.
@@ -99,29 +99,31 @@
     }
 }
 
-/// What callers may take up.
+/// Limits on connections and requests.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// Open connections.
+    /// Most open connections from callers.
     pub connections: usize,
-    /// Requests under way.
+    /// Most requests in flight.
     pub requests: usize,
-    /// Bytes of a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head, and between requests.
+    /// Timeout for reading the head of a request. It also bounds the idle time between two
+    /// requests.
     pub head_timeout_ms: Millis,
-    /// Time for a request's body.
+    /// Timeout for reading the body of a request.
     pub body_timeout_ms: Millis,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline_ms: Millis,
-    /// Latest deadline that a request may name.
+    /// Latest deadline that a request may set.
     pub max_deadline_ms: Millis,
-    /// Time in which a planned stop lets requests end.
+    /// Time that requests in flight get to finish on a graceful shutdown.
     pub drain_ms: Millis,
-    /// Time after readiness has gone during which new connections are still served.
+    /// Time for which new connections are still accepted on shutdown, after the entry reports
+    /// itself as not ready.
     pub drain_accept_ms: Millis,
-    /// Decisions that are kept for `explain`.
+    /// Number of routing decisions that are kept for `redwingfold-ctl explain`.
     pub decisions: usize,
 }
 
@@ -142,36 +144,36 @@
     }
 }
 
-/// How a backend server is chosen among those that may serve a request.
+/// How a backend server is selected among those that may serve a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BalancePolicy {
-    /// The better of two by the expected time to the first token.
+    /// Of two candidates, the one with the lower expected time to the first token.
     #[default]
     Expected,
-    /// The least reported load; a baseline.
+    /// The lowest reported load. Serves as a baseline for comparisons.
     LeastReported,
-    /// Each in turn; a baseline.
+    /// Round robin. Serves as a baseline for comparisons.
     RoundRobin,
 }
 
-/// Choice of backend servers.
+/// Load balancing.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct BalanceSettings {
-    /// How one is chosen.
+    /// How a backend server is selected.
     pub policy: BalancePolicy,
 }
 
-/// Repeated attempts.
+/// Retries of failed attempts.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct RetrySettings {
-    /// Attempts of one request, the first included.
+    /// Most attempts of one request, including the first.
     pub max_attempts: u32,
-    /// Retries as a share of requests, in thousandths.
+    /// Retry budget: retries as a share of requests, in thousandths.
     pub budget_per_mille: u16,
-    /// Retries that can be saved up.
+    /// Most unused retries that the budget accumulates.
     pub budget_max: u32,
 }
 
@@ -181,15 +183,15 @@
     }
 }
 
-/// Sessions.
+/// Sessions, whose requests stay on one version.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct SessionSettings {
-    /// Holders of a session's version.
+    /// Number of sides that hold a replica of a session's version.
     pub copies: usize,
-    /// Longest wait for a holder.
+    /// Timeout of a call to a holder.
     pub timeout_ms: Millis,
-    /// Sessions that an entry remembers, so that it need not ask.
+    /// Number of sessions that an entry caches, to save calls to their holders.
     pub cache: usize,
 }
 
@@ -203,19 +205,22 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct RatingSettings {
-    /// Its address; none rates nothing, and cascades answer with their first step.
+    /// Address of the rating service. Without it, nothing is rated, and cascades return the answer
+    /// of their first step.
     pub address: Option<SocketAddr>,
     /// Share of answers that are rated, in thousandths.
     pub sample_per_mille: u16,
-    /// Share of answers by a version under roll-out that are rated, in thousandths.
+    /// Share of the answers of a version in a rollout that are rated, in thousandths.
     pub rollout_sample_per_mille: u16,
-    /// Longest wait for a rating.
+    /// Timeout of a rating.
     pub timeout_ms: Millis,
-    /// Score from which an answer is good, in thousandths.
+    /// Lowest score of a good answer, in thousandths.
     pub good_from: u16,
-    /// Share of bad answers that a version may give, in thousandths, before it is withdrawn.
+    /// Allowed share of bad answers of a version, in thousandths. A version that exceeds it is
+    /// withdrawn.
     pub allowed_bad_per_mille: u16,
-    /// Probability of withdrawing a version that is as good as allowed, in millionths.
+    /// Probability of withdrawing by mistake a version whose share of bad answers is just the
+    /// allowed one, in millionths.
     pub false_stop_per_million: u32,
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings: read from JSON, with a clear word on every key that is wrong.
+//! Settings, read from JSON. Errors name the path of the wrong key.
 
 mod common;
 mod ctl;
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reading settings, and saying what is wrong with them.
+//! Parsing of settings, with errors that name the file and the path of the key.
 
 use std::fmt;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// What is wrong with a settings file.
+/// Error in a settings file.
 #[derive(Debug)]
 pub struct SettingsError {
     file: String,
@@ -23,10 +23,10 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Similarity from which a known name is suggested for an unknown one.
+/// Lowest Jaro-Winkler similarity at which a known key is suggested for an unknown one.
 const SUGGEST_FROM: f64 = 0.6;
 
-/// Reads a settings file; `example` shows all known keys.
+/// Reads a settings file. `example` must have every known key set.
 ///
 /// # Errors
 ///
@@ -41,7 +41,7 @@
     parse(&file, &text, example)
 }
 
-/// Reads settings from text.
+/// Parses settings. `file` is the name for error messages; `example` must have every known key set.
 ///
 /// # Errors
 ///
@@ -66,7 +66,8 @@
     let mut track = serde_path_to_error::Track::new();
     let tracked = serde_path_to_error::Deserializer::new(&value, &mut track);
     let parsed = T::deserialize(serde_ignored::Deserializer::new(tracked, &mut note));
-    // An unknown key goes first: it is most often why a required one is missing.
+    // An unknown key is reported first: a misspelt key is the most frequent reason why a required
+    // one is missing.
     if let Some(path) = unknown.first() {
         return Err(error(path.clone(), unknown_key(path, example)));
     }
--- a/src/settings/side.rs
+++ b/src/settings/side.rs
@@ -1,4 +1,4 @@
-//! Settings of the side.
+//! Settings of the side daemon.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -9,37 +9,37 @@
     BatchSettings, HeartbeatSettings, HostListSettings, LogSettings, MetricsSettings, TlsSettings,
 };
 
-/// Settings of the side.
+/// Settings of the side daemon.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SideSettings {
     /// Name of this host.
     pub host: HostId,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Address for the system's own processes.
+    /// Listen address for connections from the system's other processes.
     #[serde(default = "default_peer_listen")]
     pub peer_listen: SocketAddr,
     /// The log service.
     pub log: LogSettings,
     /// The host list.
     pub host_list: HostListSettings,
-    /// Certificates.
+    /// Files for mutual TLS.
     pub tls: TlsSettings,
     /// The backend servers of this host.
     pub backends: Vec<BackendSettings>,
-    /// The queue before each of them.
+    /// The queue in front of each backend server.
     #[serde(default)]
     pub queue: QueueSettings,
-    /// Heartbeats.
+    /// Heartbeats and load reports.
     #[serde(default)]
     pub heartbeat: HeartbeatSettings,
-    /// Records for the log.
+    /// Batching of records for the log.
     #[serde(default)]
     pub batch: BatchSettings,
-    /// Orders to the engines.
+    /// Orders to the engines about the versions to load.
     #[serde(default)]
     pub orders: OrderSettings,
-    /// Sessions that are held for the entries.
+    /// Most sessions whose version this side holds for the entries.
     #[serde(default = "default_max_pins")]
     pub max_pins: usize,
     /// Metrics.
@@ -56,7 +56,8 @@
 }
 
 impl SideSettings {
-    /// Returns settings with every key set, for documentation and for suggestions.
+    /// Returns settings with every key set. They serve as documentation, and as the list of known
+    /// keys from which corrections of misspelt keys are suggested.
     pub fn example() -> Self {
         Self {
             host: "gpu-1".parse().expect("a name"),
@@ -86,29 +87,29 @@
     }
 }
 
-/// What a backend server is.
+/// Kind of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
     /// A model engine.
     Engine,
-    /// A plain service.
+    /// A plain HTTP service, without model versions.
     Service,
 }
 
 /// One backend server.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct BackendSettings {
-    /// Name, unique on the host.
+    /// Name of the backend server, unique on the host.
     pub name: String,
-    /// Its address.
+    /// Address of the backend server.
     pub address: SocketAddr,
-    /// What it is.
+    /// Whether it is a model engine or a plain service.
     pub kind: BackendKind,
-    /// Name of the service object that it serves, for a plain service.
+    /// For a plain service: name of the service object that it serves.
     #[serde(default)]
     pub service: Option<String>,
-    /// Requests that it is given at once.
+    /// Most requests in flight at this backend server.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
@@ -117,17 +118,17 @@
     8
 }
 
-/// Orders to the engines.
+/// Orders to the engines about the versions to load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct OrderSettings {
-    /// Address of the weight store; none loads without asking.
+    /// Address of the weight store. Without it, weights are loaded without its permission.
     pub weight_store: Option<SocketAddr>,
-    /// Time between looks whether the engines have what they are to have.
+    /// Longest time between two checks of whether the engines have the versions they should have.
     pub every_ms: Millis,
-    /// Longest time of a load.
+    /// Timeout of a load of weights.
     pub load_timeout_ms: Millis,
-    /// Oldest look at the log that an order may be given by.
+    /// Highest age of the last read of the log on which an order may be based.
     pub fence_age_ms: Millis,
 }
 
@@ -142,27 +143,28 @@
     }
 }
 
-/// The queue before a backend server.
+/// The queue in front of a backend server, and the limits on its requests.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct QueueSettings {
-    /// Requests that wait at most.
+    /// Most requests in the queue.
     pub max_waiting: usize,
-    /// Requests of one customer that wait at most.
+    /// Most requests of one customer in the queue.
     pub max_per_customer: usize,
-    /// Longest wait for the first byte of an answer.
+    /// Timeout for the first byte of a response.
     pub first_byte_timeout_ms: Millis,
-    /// Longest pause within an answer.
+    /// Longest pause within a response.
     pub gap_timeout_ms: Millis,
-    /// Time between reads of an engine's load.
+    /// Longest time between two reads of an engine's load.
     pub load_every_ms: Millis,
-    /// Time in which a planned stop lets runs end.
+    /// Time that requests in flight get to finish on a graceful shutdown.
     pub drain_ms: Millis,
-    /// Bytes of an answer at most.
+    /// Largest response, in bytes.
     pub max_answer_bytes: usize,
-    /// Calls that may not be repeated and are remembered.
+    /// Most non-idempotent calls that are remembered, so that none of them runs twice.
     pub max_remembered_calls: usize,
-    /// Longest wait for a configuration that an entry has and the side has not.
+    /// Longest wait for a configuration that an entry already uses and that has not reached this
+    /// side yet.
     pub config_wait_ms: Millis,
 }
 
