--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -8,10 +8,10 @@
 use smol::channel::Receiver;
 
 use super::context::Side;
-use super::load_reports::{Told, follow_engines, tell};
-use super::orders::give_orders;
-use super::requests::{answer, hold};
-use super::run::run;
+use super::load_reports::{SentLoads, broadcast_heartbeat, poll_engine_loads};
+use super::orders::reconcile_engines;
+use super::requests::{answer_call, hold_bills};
+use super::run::run_request;
 use crate::clock::{to_duration, with_timeout};
 use crate::config_store::{feed, write_snapshots};
 use crate::daemon::Daemon;
@@ -21,26 +21,27 @@
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, Reply, Role};
 use redwingfold_telemetry::Telemetry;
 
-/// Wait for the log at a stop before bills are handed to an entry instead.
-const FLUSH_LIMIT: Millis = Millis(3_000);
+/// Timeout for appending the remaining bills at shutdown; after it, they are transferred to an
+/// entry.
+const FLUSH_TIMEOUT: Millis = Millis(3_000);
 
-/// Wait for an entry to take bills over.
-const HAND_OVER_LIMIT: Millis = Millis(5_000);
+/// Timeout for one entry to confirm that it holds the transferred bills.
+const TRANSFER_TIMEOUT: Millis = Millis(5_000);
 
-/// Pause between looks at what a stop waits for.
-const STOP_POLL: Millis = Millis(20);
+/// Interval between checks of what the shutdown waits for.
+const STOP_POLL_INTERVAL: Millis = Millis(20);
 
-/// Time after the last run in which what was sent can still leave.
-const LINGER: Millis = Millis(200);
+/// Delay before the connections are closed, so that messages already queued are still sent.
+const CLOSE_DELAY: Millis = Millis(200);
 
-/// Runs a side until `stop` says so and everything under way has ended.
+/// Runs a side until `stop` receives a message or is closed, then drains the runs in progress.
 ///
 /// # Errors
 ///
 /// If the settings name files or addresses that cannot be used.
 pub async fn run_side(settings: SideSettings, stop: Receiver<()>) -> eyre::Result<()> {
     let telemetry = Telemetry::new(settings.metrics.statsd)?;
-    let ends = load_tls_configs(&settings.tls)?;
+    let tls = load_tls_configs(&settings.tls)?;
     let daemon = Daemon::new(
         (settings.host.clone(), settings.failure_domain.clone(), Role::Side),
         settings.log.clone(),
@@ -48,31 +49,42 @@
         settings.heartbeat.clone(),
         telemetry.clone(),
     );
-    let endpoint = bind(ends.server, settings.peer_listen)?;
-    let local = endpoint.local_addr()?;
+    let endpoint = bind(tls.server, settings.peer_listen)?;
+    let local_addr = endpoint.local_addr()?;
     let side = Arc::new(Side::new(daemon, settings));
     side.daemon.telemetry.info(
         "side_started",
-        &[("host", &side.daemon.host), ("peer", &local), ("incarnation", &side.daemon.incarnation)],
+        &[
+            ("host", &side.daemon.host),
+            ("peer", &local_addr),
+            ("incarnation", &side.daemon.incarnation),
+        ],
     );
     let mut tasks = Vec::new();
-    tasks.push(spawn(&side, |s| async move { s.daemon.poll_hosts().await }));
-    tasks.push(spawn(&side, |s| async move { follow_engines(&s).await }));
-    tasks.push(spawn(&side, |s| async move { give_orders(&s).await }));
-    tasks.push(spawn(&side, |s| async move { refuse_withdrawn(&s).await }));
-    tasks.push(spawn(&side, |s| async move {
-        let is_relaxed = || !s.links().is_empty() && !s.daemon.is_reader();
-        let d = &s.daemon;
-        feed(&d.store, &d.log, &d.log_settings, &d.telemetry, is_relaxed).await;
+    tasks.push(spawn(&side, |side| async move { side.daemon.poll_hosts().await }));
+    tasks.push(spawn(&side, |side| async move { poll_engine_loads(&side).await }));
+    tasks.push(spawn(&side, |side| async move { reconcile_engines(&side).await }));
+    tasks.push(spawn(&side, |side| async move { reject_withdrawn(&side).await }));
+    tasks.push(spawn(&side, |side| async move {
+        let is_relaxed = || !side.links().is_empty() && !side.daemon.is_reader();
+        let daemon = &side.daemon;
+        feed(&daemon.store, &daemon.log, &daemon.log_settings, &daemon.telemetry, is_relaxed).await;
     }));
-    tasks.push(spawn(&side, |s| async move {
-        let d = &s.daemon;
-        write_snapshots(&d.store, &d.log, &d.log_settings, &d.telemetry, || d.is_reader()).await;
+    tasks.push(spawn(&side, |side| async move {
+        let daemon = &side.daemon;
+        write_snapshots(
+            &daemon.store,
+            &daemon.log,
+            &daemon.log_settings,
+            &daemon.telemetry,
+            || daemon.is_reader(),
+        )
+        .await;
     }));
-    tasks.push(spawn(&side, |s| async move { s.bills.ship(&s.daemon, |_| {}).await }));
+    tasks.push(spawn(&side, |side| async move { side.bills.ship(&side.daemon, |_| {}).await }));
     let accepting = {
         let side = side.clone();
-        let handler = move |conn, call, tx, rx| handle(side.clone(), conn, call, tx, rx);
+        let handler = move |conn, call, tx, rx| handle_call(side.clone(), conn, call, tx, rx);
         smol::spawn(serve(endpoint.clone(), telemetry.clone(), handler))
     };
     stop.recv().await.ok();
@@ -92,7 +104,7 @@
     smol::spawn(f(side.clone()))
 }
 
-async fn handle(
+async fn handle_call(
     side: Arc<Side>,
     conn: Connection,
     call: Call,
@@ -100,20 +112,20 @@
     rx: FrameReader<Call>,
 ) {
     match call {
-        // Boxed, so that a small call does not carry the state of a run.
+        // Boxed, so that the future of a small call is not as large as that of a run.
         Call::Control(hello) => {
-            Box::pin(control(&side, &conn, hello, tx.into(), rx.into())).await;
+            Box::pin(serve_control(&side, &conn, hello, tx.into(), rx.into())).await;
         }
-        Call::Run(call) => Box::pin(run(&side, *call, tx.into())).await,
+        Call::Run(call) => Box::pin(run_request(&side, *call, tx.into())).await,
         other => {
-            tx.send(&answer(&side, other)).await.ok();
+            tx.send(&answer_call(&side, other)).await.ok();
             tx.finish();
         }
     }
 }
 
-/// Runs the control stream that an entry has opened.
-async fn control(
+/// Runs the control stream that an entry opened.
+async fn serve_control(
     side: &Arc<Side>,
     conn: &Connection,
     hello: Hello,
@@ -125,35 +137,35 @@
     }
     let link = Arc::new(Link::new(&side.daemon, false));
     side.add_link(&link);
-    let told = Mutex::new(Told::default());
+    let sent_loads = Mutex::new(SentLoads::default());
     let events = LinkEvents {
         on_beat: &|_, _| {},
         on_confirmed: &|ids| side.bills.forget(&ids),
-        on_hold: &|bills| hold(side, bills),
+        on_hold: &|bills| hold_bills(side, bills),
         on_held: &|ids| side.bills.forget(&ids),
         is_leaving: &|| side.is_leaving(),
         loads: &|| {
-            let mut told = told.lock().unwrap_or_else(PoisonError::into_inner);
-            told.changes(side, side.daemon.now())
+            let mut sent_loads = sent_loads.lock().unwrap_or_else(PoisonError::into_inner);
+            sent_loads.take_due(side, side.daemon.now())
         },
     };
-    let peer = peer_name(&hello.host, conn);
+    let peer = peer_label(&hello.host, conn);
     side.daemon.telemetry.info("peer_connected", &[("peer", &peer)]);
     let ended = run_control(&side.daemon, &link, (&peer, conn), tx, rx, &events).await;
     side.daemon.telemetry.info("peer_gone", &[("peer", &peer), ("why", &ended)]);
 }
 
-fn peer_name(host: &HostId, conn: &Connection) -> String {
+fn peer_label(host: &HostId, conn: &Connection) -> String {
     format!("{host}@{}", conn.remote_address())
 }
 
-/// Refuses what waits for a version that was withdrawn, at each change.
-async fn refuse_withdrawn(side: &Side) {
+/// Rejects queued requests for withdrawn versions, at each configuration change.
+async fn reject_withdrawn(side: &Side) {
     loop {
         let changed = side.daemon.store.changed();
         let config = side.daemon.store.current();
         for backend in side.backends.values() {
-            backend.refuse_if(|version| {
+            backend.reject_queued(|version| {
                 config.version(version).is_none_or(|spec| spec.withdrawn_at.is_some())
             });
         }
@@ -161,39 +173,40 @@
     }
 }
 
-/// Lets runs end, then sees to it that no bill is lost.
+/// Waits for the runs in progress, then appends or transfers the remaining bills.
 async fn shut_down(side: &Arc<Side>) {
-    side.leave();
-    tell(side);
-    side.daemon.telemetry.info("draining", &[("running", &side.running())]);
+    side.start_leaving();
+    broadcast_heartbeat(side);
+    side.daemon.telemetry.info("draining", &[("running", &side.running_count())]);
     let drained = async {
-        while side.running() > 0 {
-            Timer::after(to_duration(STOP_POLL)).await;
+        while side.running_count() > 0 {
+            Timer::after(to_duration(STOP_POLL_INTERVAL)).await;
         }
     };
     if with_timeout(side.settings.queue.drain_ms, drained).await.is_none() {
-        side.daemon.telemetry.warn("drain_cut", &[("running", &side.running())]);
+        side.daemon.telemetry.warn("drain_cut", &[("running", &side.running_count())]);
     }
-    if !side.bills.flush(FLUSH_LIMIT).await {
-        hand_over(side).await;
+    if !side.bills.flush(FLUSH_TIMEOUT).await {
+        transfer_bills(side).await;
     }
     if side.bills.len() > 0 {
-        // The entries hold the other copies; only if they die too are these lost.
+        // The entries hold the other copies. The bills are lost only if those entries die too.
         side.daemon.telemetry.warn("bills_left", &[("bills", &side.bills.len())]);
     }
-    Timer::after(to_duration(LINGER)).await;
+    Timer::after(to_duration(CLOSE_DELAY)).await;
 }
 
-/// Gives the unconfirmed bills to an entry, which says so on the control stream.
-async fn hand_over(side: &Arc<Side>) {
+/// Sends the unconfirmed bills to one entry after the other, until one confirms on the control
+/// stream that it holds them.
+async fn transfer_bills(side: &Arc<Side>) {
     for link in side.links() {
         link.send(Control::Hold(side.bills.all()));
         let held = async {
             while side.bills.len() > 0 {
-                Timer::after(to_duration(STOP_POLL)).await;
+                Timer::after(to_duration(STOP_POLL_INTERVAL)).await;
             }
         };
-        if with_timeout(HAND_OVER_LIMIT, held).await.is_some() {
+        if with_timeout(TRANSFER_TIMEOUT, held).await.is_some() {
             side.daemon.telemetry.info("bills_handed_over", &[]);
             return;
         }
