--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -46,7 +46,7 @@
 /// Result of sending an order to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum OrderOutcome {
-    /// Refused: the engine has already received an order with a higher fencing number.
+    /// Refused: the engine has already received an order with a higher fencing token.
     Fenced,
     /// Accepted.
     Taken,
--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -20,7 +20,7 @@
     pub(crate) const SNAPSHOTS: &str = "config-snapshots";
     /// Batches of rating totals.
     pub(crate) const RATINGS: &str = "ratings";
-    /// Prefix of the streams that assign fencing numbers for orders, one stream per engine host.
+    /// Prefix of the streams that assign fencing tokens for orders, one stream per engine host.
     pub(crate) const FENCES_PREFIX: &str = "fences-";
     /// Prefix of the streams that record loads of weights, one stream per version.
     pub(crate) const LOADS_PREFIX: &str = "loads-";
