--- a/lab/src/detect.rs
+++ b/lab/src/detect.rs
@@ -6,7 +6,7 @@
 use std::thread::{JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-use redwingfold::load::{Load, Pace, Sample, Shape, drive};
+use redwingfold::load::{Load, Pace, RequestShape, Sample, run_load};
 use redwingfold_standins::UdpProxy;
 use redwingfold_standins::fleet::key_of;
 use serde::Serialize;
@@ -103,14 +103,14 @@
     let (mut slow, mut failed, mut longest) = (Vec::new(), Vec::new(), Duration::ZERO);
     for round in 0..rounds {
         let load = load(&world, round as u64, Duration::from_secs(6))?;
-        let driving = std::thread::spawn(move || smol::block_on(drive(&load)));
+        let driving = std::thread::spawn(move || smol::block_on(run_load(&load)));
         sleep(Duration::from_secs(2));
         proxy.silence_flows();
         let samples = driving.join().map_err(|_| eyre::eyre!("the load broke off"))?;
-        let is_slow = |s: &&Sample| s.whole > SLOW;
+        let is_slow = |s: &&Sample| s.total_time > SLOW;
         slow.push(samples.iter().filter(is_slow).count());
-        failed.push(samples.iter().filter(|s| !s.is_whole).count());
-        longest = samples.iter().map(|s| s.whole).fold(longest, Duration::max);
+        failed.push(samples.iter().filter(|s| !s.is_complete).count());
+        longest = samples.iter().map(|s| s.total_time).fold(longest, Duration::max);
     }
     let mut false_alarms = Vec::new();
     for percent in BUSY {
@@ -119,7 +119,7 @@
         let before = suspected();
         let burning = burn(percent);
         let load = load(&world, 100 + percent, window)?;
-        smol::block_on(drive(&load));
+        smol::block_on(run_load(&load));
         burning.stop();
         false_alarms.push(suspected() - before);
     }
@@ -134,7 +134,7 @@
 }
 
 fn load(world: &World, seed: u64, duration: Duration) -> eyre::Result<Load> {
-    let shape = Shape {
+    let shape = RequestShape {
         model: "slip".to_owned(),
         key: Some(key_of("ani")),
         prompt_chars: 200,
--- a/lab/src/exposure.rs
+++ b/lab/src/exposure.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use redwingfold::load::{Pace, Summary, drive};
+use redwingfold::load::{Pace, Summary, run_load};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -101,7 +101,7 @@
         let world = start(2, 2, FAST, "slip-1,slip-2", &settings, &objects(policy))?;
         set_faults(&world, &json!({"bad": {"slip-1": BASE, "slip-2": BASE + drop}}))?;
         let load = load(&world, "ani", "slip", 4, Pace::Callers(CALLERS), window, seed)?;
-        let samples = smol::block_on(drive(&load));
+        let samples = smol::block_on(run_load(&load));
         let (by_new, bad) = answers_by(&world, "slip-2")?;
         row.requests.push(Summary::of(&samples).whole);
         row.by_new.push(by_new);
--- a/lab/src/harvest.rs
+++ b/lab/src/harvest.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use redwingfold::load::{Load, Pace, Quantiles, Sample, drive};
+use redwingfold::load::{Load, Pace, Quantiles, Sample, run_load};
 use serde::Serialize;
 use serde_json::{Value, json};
 
@@ -80,7 +80,7 @@
         load(&world, who, "slip", TOKENS, pace, span, seed * 100 + n)
     };
     let probe = make("probe", Pace::Callers(PROBE_CALLERS), PROBE, 99)?;
-    let done = smol::block_on(drive(&probe)).iter().filter(|s| s.is_whole).count();
+    let done = smol::block_on(run_load(&probe)).iter().filter(|s| s.is_complete).count();
     let capacity = done as f64 / PROBE.as_secs_f64();
     let quiet = |span: Duration| -> eyre::Result<Vec<Load>> {
         let rate = Pace::Rate(capacity * QUIET_PART);
@@ -111,7 +111,7 @@
     let threads: Vec<_> = loads
         .iter()
         .cloned()
-        .map(|load| std::thread::spawn(move || smol::block_on(drive(&load))))
+        .map(|load| std::thread::spawn(move || smol::block_on(run_load(&load))))
         .collect();
     let join = |t: std::thread::JoinHandle<Vec<Sample>>| {
         t.join().map_err(|_| eyre::eyre!("a load broke off"))
@@ -124,8 +124,8 @@
     Part {
         name,
         requests: all().count(),
-        whole: all().filter(|s| s.is_whole).count(),
-        refused: all().filter(|s| !s.is_whole).count(),
-        took: Quantiles::of(all().filter(|s| s.is_whole).map(|s| s.whole)),
+        whole: all().filter(|s| s.is_complete).count(),
+        refused: all().filter(|s| !s.is_complete).count(),
+        took: Quantiles::of(all().filter(|s| s.is_complete).map(|s| s.total_time)),
     }
 }
--- a/lab/src/latency.rs
+++ b/lab/src/latency.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use redwingfold::load::{Load, Pace, Summary, drive};
+use redwingfold::load::{Load, Pace, Summary, run_load};
 use serde_json::{Value, json};
 
 use crate::report::{print_table, write_json};
@@ -92,7 +92,7 @@
     let world = start(1, ENGINES, KIND, "slip-1", &settings, &objects())?;
     let callers = Pace::Callers(ENGINES * KIND.slots);
     let load = shaped(load(&world, "ani", "slip", TOKENS, callers, PROBE, seed)?);
-    let done = smol::block_on(drive(&load)).iter().filter(|s| s.is_whole).count();
+    let done = smol::block_on(run_load(&load)).iter().filter(|s| s.is_complete).count();
     Ok(done as f64 / PROBE.as_secs_f64())
 }
 
@@ -101,7 +101,7 @@
     let world = start(1, ENGINES, KIND, "slip-1", &settings, &objects())?;
     let warm_up = Duration::from_secs(2);
     let warm = shaped(load(&world, "ani", "slip", TOKENS, Pace::Rate(rate), warm_up, seed + 100)?);
-    smol::block_on(drive(&warm));
+    smol::block_on(run_load(&warm));
     let load = shaped(load(&world, "ani", "slip", TOKENS, Pace::Rate(rate), window, seed)?);
-    Ok(Summary::of(&smol::block_on(drive(&load))))
+    Ok(Summary::of(&smol::block_on(run_load(&load))))
 }
--- a/lab/src/outage.rs
+++ b/lab/src/outage.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use redwingfold::load::{Pace, drive};
+use redwingfold::load::{Pace, run_load};
 use serde_json::{Value, json};
 
 use crate::report::write_json;
@@ -26,7 +26,7 @@
     let length = Duration::from_secs_f64(seconds);
     let total = BEFORE + length + BEFORE;
     let load = load(&world, "ani", "slip", 4, Pace::Rate(RATE), total, 1)?;
-    let driving = std::thread::spawn(move || smol::block_on(drive(&load)));
+    let driving = std::thread::spawn(move || smol::block_on(run_load(&load)));
     std::thread::sleep(BEFORE);
     let counts = || get(world.log.addr, "/counts");
     let before = counts()?;
@@ -39,7 +39,7 @@
         .collect();
     post(world.log.addr, "/control", &json!({"outage": false}))?;
     let samples = driving.join().map_err(|_| eyre::eyre!("the load broke off"))?;
-    let whole = samples.iter().filter(|s| s.is_whole).count();
+    let whole = samples.iter().filter(|s| s.is_complete).count();
     let billed = || -> eyre::Result<u64> {
         let output = world.ctl(&["bills", "--json"])?;
         let sums: Value = serde_json::from_slice(&output.stdout)?;
--- a/lab/src/overhead.rs
+++ b/lab/src/overhead.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use redwingfold::load::{Load, Pace, ProcUsage, Shape, Summary, drive, proc_usage};
+use redwingfold::load::{Load, Pace, ProcUsage, RequestShape, Summary, proc_usage, run_load};
 use redwingfold_standins::fleet::key_of;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -98,7 +98,7 @@
     stream: bool,
     seconds: f64,
 ) -> eyre::Result<Load> {
-    let shape = Shape {
+    let shape = RequestShape {
         model: if routed { "slip" } else { "slip-1" }.to_owned(),
         key: routed.then(|| key_of("ani")),
         prompt_chars: 200,
@@ -135,16 +135,17 @@
     let mut cpu = [Duration::ZERO; 2];
     for _ in 0..TURNS {
         let part = seconds / TURNS as f64;
-        direct.extend(smol::block_on(drive(&load(world, false, engine, callers, stream, part)?)));
+        direct
+            .extend(smol::block_on(run_load(&load(world, false, engine, callers, stream, part)?)));
         let before = [usage(world, "entry")?.cpu, usage(world, "side")?.cpu];
-        routed.extend(smol::block_on(drive(&load(world, true, engine, callers, stream, part)?)));
+        routed.extend(smol::block_on(run_load(&load(world, true, engine, callers, stream, part)?)));
         let after = [usage(world, "entry")?.cpu, usage(world, "side")?.cpu];
         for i in 0..2 {
             cpu[i] += after[i] - before[i];
         }
     }
-    let whole = routed.iter().filter(|s| s.is_whole).count() as f64;
-    let tokens: u64 = routed.iter().filter(|s| s.is_whole).map(|s| s.tokens).sum();
+    let whole = routed.iter().filter(|s| s.is_complete).count() as f64;
+    let tokens: u64 = routed.iter().filter(|s| s.is_complete).map(|s| s.tokens).sum();
     let busy = (cpu[0] + cpu[1]).as_secs_f64().max(0.001);
     let (mut direct, mut routed) = (Summary::of(&direct), Summary::of(&routed));
     // Each turn began anew, so that times since the start cover one turn only.
@@ -170,7 +171,7 @@
     let mut load = load(world, true, engine, STREAMS, true, 0.1)?;
     load.shape.tokens = LONG_STREAM;
     load.shape.model = "slow".to_owned();
-    let driving = std::thread::spawn(move || smol::block_on(drive(&load)).len());
+    let driving = std::thread::spawn(move || smol::block_on(run_load(&load)).len());
     let status = || crate::world::get(engine, "/v1/load");
     crate::world::wait(|| {
         status().is_ok_and(|l| l["running"].as_u64() >= Some(STREAMS as u64 * 9 / 10))
--- a/lab/src/trial.rs
+++ b/lab/src/trial.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use redwingfold::load::{Load, Pace, Shape};
+use redwingfold::load::{Load, Pace, RequestShape};
 use redwingfold_standins::fleet::key_of;
 use serde_json::{Value, json};
 
@@ -79,7 +79,7 @@
     duration: Duration,
     seed: u64,
 ) -> eyre::Result<Load> {
-    let shape = Shape {
+    let shape = RequestShape {
         model: model.to_owned(),
         key: Some(key_of(customer)),
         prompt_chars: 400,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -35,11 +35,11 @@
 
 /// Waits for a future, at most for a span; `None` if the span ended first.
 pub async fn with_timeout<T>(limit: Millis, future: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timed_out = async {
         smol::Timer::after(to_duration(limit)).await;
         None
     };
-    smol::future::or(async { Some(future.await) }, late).await
+    smol::future::or(async { Some(future.await) }, timed_out).await
 }
 
 /// Returns a span between half of `millis` and all of it, so that daemons which began together do
--- a/src/ctl/audit.rs
+++ b/src/ctl/audit.rs
@@ -4,7 +4,7 @@
 
 use super::Exit;
 use super::context::Ctl;
-use super::table::{print, print_json};
+use super::table::{print_json, print_table};
 use crate::clock::unix_time;
 
 /// Lists the newest changes.
@@ -16,7 +16,7 @@
         print_json(&entries)?;
         return Ok(Exit::Ok);
     }
-    print(
+    print_table(
         &["OFFSET", "AGE", "AUTHOR", "VERDICT", "TOUCHES", "REASON"],
         entries.iter().map(row).collect(),
     );
--- a/src/ctl/check.rs
+++ b/src/ctl/check.rs
@@ -8,23 +8,23 @@
 use super::Exit;
 use super::context::Ctl;
 use super::objects::read_objects;
-use super::table::{print, print_json};
+use super::table::{print_json, print_table};
 
 /// What a check found: the code of the closed table, and where.
 #[derive(Clone, Debug)]
 pub(crate) struct Finding {
     pub(crate) kind: ErrorKind,
-    pub(crate) what: String,
+    pub(crate) message: String,
 }
 
 /// Returns what is wrong with a configuration.
-pub(crate) fn findings(config: &Config) -> Vec<Finding> {
+pub(crate) fn find_problems(config: &Config) -> Vec<Finding> {
     let objects = config.problems().into_iter();
-    let objects = objects.map(|what| Finding { kind: ErrorKind::BadObject, what });
+    let objects = objects.map(|message| Finding { kind: ErrorKind::BadObject, message });
     let empty = config.selector_matches().into_iter().filter(|m| m.matched.is_empty());
     let empty = empty.map(|m| Finding {
         kind: ErrorKind::EmptySelector,
-        what: format!("{}: {} {:?} matches nothing", m.object, m.field, m.selector),
+        message: format!("{}: {} {:?} matches nothing", m.object, m.field, m.selector),
     });
     objects.chain(empty).collect()
 }
@@ -42,12 +42,12 @@
         None => Config::default(),
     };
     let config = base.with(&objects, &[]);
-    let findings = findings(&config);
+    let findings = find_problems(&config);
     let matches = if explain { config.selector_matches() } else { Vec::new() };
     match json {
         true => print_json(&json!({
             "objects": objects.len(),
-            "findings": findings.iter().map(|f| json!({"code": f.kind.row().code, "what": f.what})).collect::<Vec<_>>(),
+            "findings": findings.iter().map(|f| json!({"code": f.kind.row().code, "what": f.message})).collect::<Vec<_>>(),
             "selectors": matches.iter().map(|m| json!({
                 "object": m.object, "field": m.field, "selector": m.selector, "matched": m.matched,
             })).collect::<Vec<_>>(),
@@ -55,7 +55,7 @@
         false => {
             print_matches(&matches);
             for finding in &findings {
-                println!("{}: {}", finding.kind, finding.what);
+                println!("{}: {}", finding.kind, finding.message);
             }
             println!("{} objects, {} findings", objects.len(), findings.len());
         }
@@ -71,5 +71,5 @@
         let matched: Vec<_> = m.matched.iter().map(ToString::to_string).collect();
         vec![m.object.to_string(), m.field.to_owned(), m.selector.clone(), matched.join(" ")]
     });
-    print(&["OBJECT", "FIELD", "SELECTOR", "MATCHES"], rows.collect());
+    print_table(&["OBJECT", "FIELD", "SELECTOR", "MATCHES"], rows.collect());
 }
--- a/src/ctl/context.rs
+++ b/src/ctl/context.rs
@@ -13,7 +13,7 @@
 use crate::wire::{Call, Reply};
 use redwingfold_telemetry::Telemetry;
 
-const DAEMON_TIMEOUT: redwingfold_core::Millis = redwingfold_core::Millis(2_000);
+const CALL_TIMEOUT: redwingfold_core::Millis = redwingfold_core::Millis(2_000);
 
 /// What the commands share.
 pub(crate) struct Ctl {
@@ -25,7 +25,7 @@
 }
 
 /// What a daemon said, or why it said nothing.
-pub(crate) type Said = (HostRecord, Result<Reply, String>);
+pub(crate) type HostReply = (HostRecord, Result<Reply, String>);
 
 impl Ctl {
     pub(crate) fn open(args: &Args) -> eyre::Result<Self> {
@@ -46,49 +46,49 @@
     }
 
     /// Asks every daemon of the host list, all at once.
-    pub(crate) async fn ask_all(
+    pub(crate) async fn call_hosts(
         &self,
-        question: &Call,
-        wanted: impl Fn(&HostRecord) -> bool,
-    ) -> eyre::Result<Vec<Said>> {
+        request: &Call,
+        is_wanted: impl Fn(&HostRecord) -> bool,
+    ) -> eyre::Result<Vec<HostReply>> {
         let address = self.settings.host_list.address;
         let hosts = fetch_hosts(&Client::default(), address).await;
         let hosts = hosts.map_err(|e| eyre::eyre!("host list at {address}: {e}"))?;
-        let asked: Vec<_> = hosts
+        let tasks: Vec<_> = hosts
             .into_iter()
-            .filter(wanted)
+            .filter(is_wanted)
             .map(|host| {
-                let (config, question) = (self.tls.client.clone(), question.clone());
+                let (config, request) = (self.tls.client.clone(), request.clone());
                 smol::spawn(async move {
-                    let said = ask(&config, &host, &question).await;
-                    (host, said)
+                    let reply = call_host(&config, &host, &request).await;
+                    (host, reply)
                 })
             })
             .collect();
-        let mut said = Vec::new();
-        for task in asked {
-            said.push(task.await);
+        let mut replies = Vec::new();
+        for task in tasks {
+            replies.push(task.await);
         }
-        Ok(said)
+        Ok(replies)
     }
 }
 
-async fn ask(
+async fn call_host(
     config: &quinn::ClientConfig,
     host: &HostRecord,
-    question: &Call,
+    request: &Call,
 ) -> Result<Reply, String> {
-    let dialled = dial(config, host.address, DAEMON_TIMEOUT).await;
-    let (_endpoint, conn) = dialled.map_err(|e| e.to_string())?;
-    call(&conn, question, DAEMON_TIMEOUT).await.map_err(|e| e.to_string())
+    let connected = dial(config, host.address, CALL_TIMEOUT).await;
+    let (_endpoint, conn) = connected.map_err(|e| e.to_string())?;
+    call(&conn, request, CALL_TIMEOUT).await.map_err(|e| e.to_string())
 }
 
 /// Reads a reply that is JSON; an empty one is null.
-pub(crate) fn json_of(reply: &Result<Reply, String>) -> Result<Value, String> {
+pub(crate) fn decode_json_reply(reply: &Result<Reply, String>) -> Result<Value, String> {
     match reply {
         Ok(Reply::Json(json)) if json.is_empty() => Ok(Value::Null),
         Ok(Reply::Json(json)) => serde_json::from_slice(json).map_err(|e| e.to_string()),
         Ok(other) => Err(format!("answers {other:?}")),
-        Err(why) => Err(why.clone()),
+        Err(reason) => Err(reason.clone()),
     }
 }
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -44,7 +44,7 @@
             return Ok(Exit::Ok);
         }
         Command::Keys { out, names } => {
-            for path in crate::make_keys(out, names)? {
+            for path in crate::issue_certificates(out, names)? {
                 println!("{}", path.display());
             }
             return Ok(Exit::Ok);
--- a/src/ctl/objects.rs
+++ b/src/ctl/objects.rs
@@ -19,20 +19,20 @@
         match path.is_dir() {
             true => {
                 let entries = std::fs::read_dir(path)?.collect::<Result<Vec<_>, _>>()?;
-                let json = |p: &PathBuf| p.extension().is_some_and(|e| e == "json");
-                files.extend(entries.into_iter().map(|e| e.path()).filter(json));
+                let is_json = |p: &PathBuf| p.extension().is_some_and(|e| e == "json");
+                files.extend(entries.into_iter().map(|e| e.path()).filter(is_json));
             }
             false => files.push(path.clone()),
         }
     }
     files.sort();
-    let mut seen = BTreeMap::<ObjectKey, PathBuf>::new();
+    let mut file_of_key = BTreeMap::<ObjectKey, PathBuf>::new();
     let mut objects = Vec::new();
     for file in files {
         for object in read_file(&file)? {
             let key = object.key();
-            if let Some(other) = seen.insert(key.clone(), file.clone()) {
-                eyre::bail!("{}: {key} stands in {} too", file.display(), other.display());
+            if let Some(first_file) = file_of_key.insert(key.clone(), file.clone()) {
+                eyre::bail!("{}: {key} stands in {} too", file.display(), first_file.display());
             }
             objects.push(object);
         }
--- a/src/ctl/show.rs
+++ b/src/ctl/show.rs
@@ -2,20 +2,20 @@
 
 use super::Exit;
 use super::context::Ctl;
-use super::table::{print, print_json};
+use super::table::{print_json, print_table};
 
 /// Shows the objects of a kind, or one object, or all.
 pub(crate) async fn show(ctl: &Ctl, selector: Option<&str>) -> eyre::Result<Exit> {
     let config = ctl.config().await?;
-    let wanted = |key: &redwingfold_core::ObjectKey| match selector {
+    let is_selected = |key: &redwingfold_core::ObjectKey| match selector {
         Some(text) => text == key.kind || text == key.to_string(),
         None => true,
     };
-    let found: Vec<_> = config.objects.iter().filter(|(key, _)| wanted(key)).collect();
-    let is_one = selector.is_some_and(|text| text.contains('/'));
+    let found: Vec<_> = config.objects.iter().filter(|(key, _)| is_selected(key)).collect();
+    let is_single = selector.is_some_and(|text| text.contains('/'));
     match found.as_slice() {
         [] if selector.is_some() => eyre::bail!("no object is {}", selector.unwrap_or_default()),
-        [(_, stored)] if is_one => print_json(stored)?,
+        [(_, stored)] if is_single => print_json(stored)?,
         _ if ctl.json => {
             let objects: Vec<_> = found.iter().map(|(_, stored)| stored).collect();
             print_json(&serde_json::json!({"at": config.offset, "objects": objects}))?;
@@ -26,7 +26,7 @@
                 let labels = labels.collect::<Vec<_>>().join(",");
                 vec![key.to_string(), stored.revision.to_string(), labels]
             });
-            print(&["OBJECT", "REVISION", "LABELS"], rows.collect());
+            print_table(&["OBJECT", "REVISION", "LABELS"], rows.collect());
         }
     }
     Ok(Exit::Ok)
--- a/src/ctl/table.rs
+++ b/src/ctl/table.rs
@@ -4,9 +4,9 @@
 use comfy_table::presets::NOTHING;
 
 /// Prints rows under a head.
-pub(crate) fn print(head: &[&str], rows: Vec<Vec<String>>) {
+pub(crate) fn print_table(header: &[&str], rows: Vec<Vec<String>>) {
     let mut table = Table::new();
-    table.load_preset(NOTHING).set_header(head.to_vec());
+    table.load_preset(NOTHING).set_header(header.to_vec());
     for row in rows {
         table.add_row(row);
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -125,9 +125,9 @@
                         self.telemetry.info("hosts_changed", &[("hosts", &count)]);
                     }
                 }
-                Err(why) => {
+                Err(reason) => {
                     self.telemetry.count("hosts.read_failed", 1);
-                    self.telemetry.warn("hosts_read_failed", &[("why", &why)]);
+                    self.telemetry.warn("hosts_read_failed", &[("why", &reason)]);
                 }
             }
             Timer::after(jittered(self.host_list.every_ms)).await;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,4 +25,4 @@
 pub use redwingfold_telemetry::Telemetry;
 pub use side::run_side;
 pub use stop::stop_on_signal;
-pub use tls::{TlsConfigs, load_tls_configs, make_keys};
+pub use tls::{TlsConfigs, issue_certificates, load_tls_configs};
--- a/src/load/args.rs
+++ b/src/load/args.rs
@@ -9,7 +9,7 @@
 use redwingfold_http::Client;
 use serde_json::json;
 
-use super::driver::{Load, Pace, Shape, drive, once};
+use super::driver::{Load, Pace, RequestShape, run_load, send_request};
 use super::summary::Summary;
 
 /// The load tool of redwingfold.
@@ -80,7 +80,7 @@
 }
 
 impl RequestArgs {
-    fn shape(&self) -> eyre::Result<Shape> {
+    fn shape(&self) -> eyre::Result<RequestShape> {
         let key = match &self.key_file {
             Some(path) => {
                 let text = std::fs::read_to_string(path);
@@ -89,7 +89,7 @@
             None => None,
         };
         let session = self.session.iter().map(|s| ("x-session-id".to_owned(), s.clone()));
-        Ok(Shape {
+        Ok(RequestShape {
             model: self.model.clone(),
             key,
             prompt_chars: self.prompt_chars,
@@ -116,25 +116,25 @@
                 duration: Duration::from_secs_f64(seconds),
                 seed,
             };
-            let summary = Summary::of(&drive(&load).await);
+            let summary = Summary::of(&run_load(&load).await);
             println!("{}", serde_json::to_string_pretty(&summary)?);
             Ok(summary.whole == summary.requests)
         }
         LoadCommand::Send { request } => {
             let shape = request.shape()?;
-            let sample = once(&Client::default(), request.to, &shape, 1).await;
+            let sample = send_request(&Client::default(), request.to, &shape, 1).await;
             println!(
                 "{}",
                 serde_json::to_string_pretty(&json!({
                     "status": sample.status,
                     "version": sample.version,
                     "tokens": sample.tokens,
-                    "whole": sample.is_whole,
-                    "first_ms": sample.first.as_secs_f64() * 1000.0,
-                    "took_ms": sample.whole.as_secs_f64() * 1000.0,
+                    "whole": sample.is_complete,
+                    "first_ms": sample.time_to_first_byte.as_secs_f64() * 1000.0,
+                    "took_ms": sample.total_time.as_secs_f64() * 1000.0,
                 }))?
             );
-            Ok(sample.is_whole)
+            Ok(sample.is_complete)
         }
     }
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -6,6 +6,6 @@
 mod summary;
 
 pub use args::{LoadArgs, LoadCommand, run};
-pub use driver::{Load, Pace, Sample, Shape, drive, once};
+pub use driver::{Load, Pace, RequestShape, Sample, run_load, send_request};
 pub use proc_usage::{ProcUsage, proc_usage};
 pub use summary::{Quantiles, Summary};
--- a/src/load/proc_usage.rs
+++ b/src/load/proc_usage.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Clock ticks a second in `/proc`, as on every Linux of this decade.
-const TICKS: u64 = 100;
+const TICKS_PER_SECOND: u64 = 100;
 
 /// What a process has used.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -29,7 +29,7 @@
     let (_, rest) = stat.rsplit_once(')').ok_or_eyre("no name in stat")?;
     let fields: Vec<_> = rest.split_whitespace().collect();
     let number = |i: usize| fields.get(i).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
-    let cpu = Duration::from_millis((number(11) + number(12)) * 1000 / TICKS);
+    let cpu = Duration::from_millis((number(11) + number(12)) * 1000 / TICKS_PER_SECOND);
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = resident.and_then(|v| v.split_whitespace().next()?.parse::<u64>().ok());
--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -9,7 +9,7 @@
 use super::driver::Sample;
 
 /// Longest time that is told apart, in microseconds.
-const MAX_US: u64 = 600_000_000;
+const MAX_RECORDED_US: u64 = 600_000_000;
 
 /// Quantiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -27,7 +27,8 @@
 impl Quantiles {
     /// Returns the quantiles of times.
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
-        let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_US, 3).expect("valid bounds");
+        let mut histogram =
+            Histogram::<u64>::new_with_bounds(1, MAX_RECORDED_US, 3).expect("valid bounds");
         for time in times {
             histogram.saturating_record((time.as_micros() as u64).max(1));
         }
@@ -62,28 +63,28 @@
 impl Summary {
     /// Sums samples up.
     pub fn of(samples: &[Sample]) -> Self {
-        let whole: Vec<_> = samples.iter().filter(|s| s.is_whole).collect();
-        let ends = samples.iter().map(|s| s.at + s.whole);
+        let complete: Vec<_> = samples.iter().filter(|s| s.is_complete).collect();
+        let ends = samples.iter().map(|s| s.sent_at + s.total_time);
         let seconds = ends.max().unwrap_or_default().as_secs_f64().max(0.001);
         let mut statuses = BTreeMap::new();
         let mut versions = BTreeMap::new();
         for sample in samples {
             *statuses.entry(sample.status).or_default() += 1;
         }
-        for sample in &whole {
+        for sample in &complete {
             *versions.entry(sample.version.clone()).or_default() += 1;
         }
-        let tokens: u64 = whole.iter().map(|s| s.tokens).sum();
+        let tokens: u64 = complete.iter().map(|s| s.tokens).sum();
         Self {
             requests: samples.len(),
-            whole: whole.len(),
+            whole: complete.len(),
             statuses,
             versions,
-            per_second: whole.len() as f64 / seconds,
+            per_second: complete.len() as f64 / seconds,
             tokens_per_second: tokens as f64 / seconds,
-            first: Quantiles::of(whole.iter().map(|s| s.first)),
-            took: Quantiles::of(whole.iter().map(|s| s.whole)),
-            longest_gap: Quantiles::of(whole.iter().map(|s| s.longest_gap)),
+            first: Quantiles::of(complete.iter().map(|s| s.time_to_first_byte)),
+            took: Quantiles::of(complete.iter().map(|s| s.total_time)),
+            longest_gap: Quantiles::of(complete.iter().map(|s| s.longest_gap)),
         }
     }
 }
--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -6,7 +6,7 @@
 use redwingfold_core::Millis;
 
 use crate::clock::with_timeout;
-use crate::tls::FLEET_NAME;
+use crate::tls::FLEET_SERVER_NAME;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, PROTOCOL, Reply, WireError};
 
 /// A connection with its control stream.
@@ -32,8 +32,9 @@
     let lost = |e: String| WireError::Lost(format!("{addr}: {e}"));
     let endpoint =
         Endpoint::client((Ipv4Addr::UNSPECIFIED, 0).into()).map_err(|e| lost(e.to_string()))?;
-    let connecting =
-        endpoint.connect_with(config.clone(), addr, FLEET_NAME).map_err(|e| lost(e.to_string()))?;
+    let connecting = endpoint
+        .connect_with(config.clone(), addr, FLEET_SERVER_NAME)
+        .map_err(|e| lost(e.to_string()))?;
     match with_timeout(timeout, connecting).await {
         Some(Ok(conn)) => Ok((endpoint, conn)),
         Some(Err(e)) => Err(lost(e.to_string())),
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -8,7 +8,7 @@
 use super::connect::{call, dial};
 use super::serve::{bind, serve};
 use crate::settings::TlsSettings;
-use crate::tls::{TlsConfigs, load_tls_configs, make_keys};
+use crate::tls::{TlsConfigs, issue_certificates, load_tls_configs};
 use crate::wire::{Call, FrameReader, FrameWriter, Reply};
 use redwingfold_telemetry::Telemetry;
 
@@ -52,7 +52,7 @@
 #[test]
 fn torn_frames_end_their_stream_only() {
     let dir = folder("torn");
-    make_keys(&dir.0, &["a".to_owned(), "b".to_owned()]).expect("keys");
+    issue_certificates(&dir.0, &["a".to_owned(), "b".to_owned()]).expect("keys");
     smol::block_on(async {
         let (addr, _listening) = listen(&ends(&dir.0, "a"));
         let (_endpoint, conn) = dial(&ends(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
@@ -74,8 +74,8 @@
 #[test]
 fn another_fleets_certificate_is_refused() {
     let (ours, theirs) = (folder("ours"), folder("theirs"));
-    make_keys(&ours.0, &["a".to_owned()]).expect("keys");
-    make_keys(&theirs.0, &["a".to_owned()]).expect("keys");
+    issue_certificates(&ours.0, &["a".to_owned()]).expect("keys");
+    issue_certificates(&theirs.0, &["a".to_owned()]).expect("keys");
     smol::block_on(async {
         let (addr, _listening) = listen(&ends(&ours.0, "a"));
         let answer = match dial(&ends(&theirs.0, "a").client, addr, TIMEOUT).await {
@@ -90,11 +90,11 @@
 #[test]
 fn keys_are_added_and_not_replaced() {
     let dir = folder("added");
-    make_keys(&dir.0, &["a".to_owned()]).expect("keys");
+    issue_certificates(&dir.0, &["a".to_owned()]).expect("keys");
     let fleet = std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem");
-    make_keys(&dir.0, &["b".to_owned()]).expect("more keys");
+    issue_certificates(&dir.0, &["b".to_owned()]).expect("more keys");
     assert_eq!(std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem"), fleet);
-    assert!(make_keys(&dir.0, &["a".to_owned()]).is_err(), "a.pem was there");
+    assert!(issue_certificates(&dir.0, &["a".to_owned()]).is_err(), "a.pem was there");
     smol::block_on(async {
         let (addr, _listening) = listen(&ends(&dir.0, "a"));
         let (_endpoint, conn) = dial(&ends(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -12,19 +12,19 @@
 pub struct SettingsError {
     file: String,
     path: String,
-    what: String,
+    message: String,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: at {}: {}", self.file, self.path, self.what)
+        write!(f, "{}: at {}: {}", self.file, self.path, self.message)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 /// Lowest Jaro-Winkler similarity at which a known key is suggested for an unknown one.
-const SUGGEST_FROM: f64 = 0.6;
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.6;
 
 /// Reads a settings file. `example` must have every known key set.
 ///
@@ -36,7 +36,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| SettingsError {
         file: file.clone(),
         path: ".".to_owned(),
-        what: e.to_string(),
+        message: e.to_string(),
     })?;
     parse(&file, &text, example)
 }
@@ -58,14 +58,15 @@
     text: &str,
     example: &T,
 ) -> Result<T, SettingsError> {
-    let error = |path: String, what: String| SettingsError { file: file.to_owned(), path, what };
+    let error =
+        |path: String, message: String| SettingsError { file: file.to_owned(), path, message };
     let value: Value =
         serde_json::from_str(text).map_err(|e| error(".".to_owned(), e.to_string()))?;
     let mut unknown = Vec::new();
-    let mut note = |path: serde_ignored::Path<'_>| unknown.push(path.to_string());
+    let mut on_unknown = |path: serde_ignored::Path<'_>| unknown.push(path.to_string());
     let mut track = serde_path_to_error::Track::new();
-    let tracked = serde_path_to_error::Deserializer::new(&value, &mut track);
-    let parsed = T::deserialize(serde_ignored::Deserializer::new(tracked, &mut note));
+    let tracking = serde_path_to_error::Deserializer::new(&value, &mut track);
+    let parsed = T::deserialize(serde_ignored::Deserializer::new(tracking, &mut on_unknown));
     // An unknown key is reported first: a misspelt key is the most frequent reason why a required
     // one is missing.
     if let Some(path) = unknown.first() {
@@ -77,20 +78,20 @@
 fn unknown_key<T: Serialize>(path: &str, example: &T) -> String {
     let example = serde_json::to_value(example).unwrap_or_default();
     let (parents, key) = path.rsplit_once('.').unwrap_or(("", path));
-    let mut place = &example;
+    let mut object = &example;
     for part in parents.split('.').filter(|part| !part.is_empty()) {
-        place = match place {
+        object = match object {
             Value::Array(items) => items.first().unwrap_or(&Value::Null),
             other => other.get(part).unwrap_or(&Value::Null),
         };
     }
-    let names: Vec<_> = place.as_object().into_iter().flat_map(|o| o.keys()).collect();
+    let names: Vec<_> = object.as_object().into_iter().flat_map(|o| o.keys()).collect();
     let nearest = names
         .iter()
         .map(|name| (strsim::jaro_winkler(key, name), name))
         .max_by(|a, b| a.0.total_cmp(&b.0));
     match nearest {
-        Some((likeness, name)) if likeness >= SUGGEST_FROM => {
+        Some((similarity, name)) if similarity >= MIN_SUGGESTION_SIMILARITY => {
             format!("unknown key {key:?}; did you mean {name:?}?")
         }
         _ => format!("unknown key {key:?}; known are {names:?}"),
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -16,11 +16,11 @@
 
 /// The name in every certificate of a fleet; hosts are replaced at any time, so that addresses and
 /// host names would be the wrong thing to certify.
-pub(crate) const FLEET_NAME: &str = "redwingfold.fleet";
+pub(crate) const FLEET_SERVER_NAME: &str = "redwingfold.fleet";
 
 const ALPN: &[u8] = b"redwingfold/1";
-const MAX_IDLE: Duration = Duration::from_secs(20);
-const MAX_STREAMS: u32 = 4096;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_CONCURRENT_STREAMS: u32 = 4096;
 
 /// Configurations of both ends of a connection.
 #[derive(Clone, Debug)]
@@ -32,11 +32,11 @@
 }
 
 fn read_certs(path: &Path) -> eyre::Result<Vec<CertificateDer<'static>>> {
-    let read = CertificateDer::pem_file_iter(path)
-        .and_then(|certs| certs.collect::<Result<Vec<_>, _>>())
+    let certs = CertificateDer::pem_file_iter(path)
+        .and_then(|items| items.collect::<Result<Vec<_>, _>>())
         .map_err(|e| eyre::eyre!("{}: {e:?}", path.display()))?;
-    eyre::ensure!(!read.is_empty(), "{}: holds no certificate", path.display());
-    Ok(read)
+    eyre::ensure!(!certs.is_empty(), "{}: holds no certificate", path.display());
+    Ok(certs)
 }
 
 /// Reads the certificates that the settings name.
@@ -70,7 +70,7 @@
         .with_client_auth_cert(certs, key)?;
     client.alpn_protocols = vec![ALPN.to_vec()];
 
-    let transport = Arc::new(transport()?);
+    let transport = Arc::new(transport_config()?);
     let mut server = ServerConfig::with_crypto(Arc::new(QuicServerConfig::try_from(server)?));
     server.transport_config(transport.clone());
     let mut client = ClientConfig::new(Arc::new(QuicClientConfig::try_from(client)?));
@@ -78,10 +78,10 @@
     Ok(TlsConfigs { client, server })
 }
 
-fn transport() -> eyre::Result<TransportConfig> {
+fn transport_config() -> eyre::Result<TransportConfig> {
     let mut transport = TransportConfig::default();
-    transport.max_idle_timeout(Some(IdleTimeout::try_from(MAX_IDLE)?));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
+    transport.max_idle_timeout(Some(IdleTimeout::try_from(IDLE_TIMEOUT)?));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_CONCURRENT_STREAMS));
     transport.max_concurrent_uni_streams(VarInt::from_u32(0));
     Ok(transport)
 }
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// If a file exists already or cannot be written.
-pub fn make_keys(dir: &Path, names: &[String]) -> eyre::Result<Vec<std::path::PathBuf>> {
+pub fn issue_certificates(dir: &Path, names: &[String]) -> eyre::Result<Vec<std::path::PathBuf>> {
     use rcgen::{
         BasicConstraints, CertificateParams, DistinguishedName, DnType, ExtendedKeyUsagePurpose,
         IsCa, Issuer, KeyPair, KeyUsagePurpose,
@@ -100,11 +100,11 @@
     let mut written = Vec::new();
     let mut write = |name: String, text: String| -> eyre::Result<()> {
         let path = dir.join(name);
-        write_new(&path, &text)?;
+        create_private_file(&path, &text)?;
         written.push(path);
         Ok(())
     };
-    let authority = {
+    let issuer = {
         let (fleet, fleet_key) = (dir.join("fleet.pem"), dir.join("fleet.key"));
         if fleet.exists() && fleet_key.exists() {
             let key = KeyPair::from_pem(&std::fs::read_to_string(&fleet_key)?)?;
@@ -125,20 +125,20 @@
     for name in names {
         eyre::ensure!(name != "fleet", "the name fleet is the authority's");
         let host: redwingfold_core::HostId = name.parse()?;
-        let mut params = CertificateParams::new(vec![FLEET_NAME.to_owned()])?;
+        let mut params = CertificateParams::new(vec![FLEET_SERVER_NAME.to_owned()])?;
         params.distinguished_name = DistinguishedName::new();
         params.distinguished_name.push(DnType::CommonName, host.as_str());
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         let key = KeyPair::generate()?;
-        let cert = params.signed_by(&key, &authority)?;
+        let cert = params.signed_by(&key, &issuer)?;
         write(format!("{name}.pem"), cert.pem())?;
         write(format!("{name}.key"), key.serialize_pem())?;
     }
     Ok(written)
 }
 
-fn write_new(path: &Path, text: &str) -> eyre::Result<()> {
+fn create_private_file(path: &Path, text: &str) -> eyre::Result<()> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
     let mut file = std::fs::OpenOptions::new()
