--- a/src/billing/bill_outbox.rs
+++ b/src/billing/bill_outbox.rs
@@ -10,7 +10,7 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::clock::{jittered, span, wall};
+use crate::clock::{jittered, to_duration, unix_time};
 use crate::daemon::Daemon;
 use crate::platform::{LogError, stream};
 use crate::settings::BatchSettings;
@@ -85,7 +85,7 @@
     /// Appends one batch, with retries until the log confirms it. Returns whether any bill was due.
     async fn append_batch(&self, daemon: &Daemon, on_confirmed: &impl Fn(Vec<HeldBill>)) -> bool {
         let id = new_claim_id();
-        let batch = self.lock().take_batch(id, self.settings.max_records, wall());
+        let batch = self.lock().take_batch(id, self.settings.max_records, unix_time());
         if batch.is_empty() {
             return false;
         }
@@ -139,9 +139,9 @@
         self.flush_signal.0.try_send(()).ok();
         let done = async {
             while self.len() > 0 {
-                Timer::after(span(Millis(20))).await;
+                Timer::after(to_duration(Millis(20))).await;
             }
         };
-        crate::clock::within(timeout, done).await.is_some()
+        crate::clock::with_timeout(timeout, done).await.is_some()
     }
 }
--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -10,7 +10,7 @@
     AuditEntry, Config, Fold, Millis, Offset, RULES, RequestId, Snapshot, Verdict,
 };
 
-use crate::clock::within;
+use crate::clock::with_timeout;
 use crate::wire::ConfigMark;
 use redwingfold_telemetry::Telemetry;
 
@@ -195,7 +195,7 @@
                 changed.await;
             }
         };
-        within(timeout, reached).await.is_some()
+        with_timeout(timeout, reached).await.is_some()
     }
 
     /// Reports a divergence if a peer's mark has the same offset and rules but another hash.
--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -5,8 +5,8 @@
 use quinn::{ClientConfig, Connection, Endpoint};
 use redwingfold_core::Millis;
 
-use crate::clock::within;
-use crate::tls::FLEET_NAME;
+use crate::clock::with_timeout;
+use crate::tls::FLEET_SERVER_NAME;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, PROTOCOL, Reply, WireError};
 
 /// A connection with its control stream.
@@ -32,9 +32,10 @@
     let lost = |e: String| WireError::Lost(format!("{addr}: {e}"));
     let endpoint =
         Endpoint::client((Ipv4Addr::UNSPECIFIED, 0).into()).map_err(|e| lost(e.to_string()))?;
-    let connecting =
-        endpoint.connect_with(config.clone(), addr, FLEET_NAME).map_err(|e| lost(e.to_string()))?;
-    match within(timeout, connecting).await {
+    let connecting = endpoint
+        .connect_with(config.clone(), addr, FLEET_SERVER_NAME)
+        .map_err(|e| lost(e.to_string()))?;
+    match with_timeout(timeout, connecting).await {
         Some(Ok(conn)) => Ok((endpoint, conn)),
         Some(Err(e)) => Err(lost(e.to_string())),
         None => Err(lost("connect timeout".to_owned())),
@@ -64,7 +65,7 @@
         }
     };
     let timed_out = || Err(WireError::Lost(format!("{addr}: no hello in time")));
-    let (tx, rx, hello) = within(timeout, handshake).await.unwrap_or_else(timed_out)?;
+    let (tx, rx, hello) = with_timeout(timeout, handshake).await.unwrap_or_else(timed_out)?;
     Ok(Connected { conn, hello, tx, rx, endpoint })
 }
 
@@ -84,5 +85,5 @@
         reply.ok_or_else(|| WireError::Torn("no reply".to_owned()))
     };
     let timed_out = || Err(WireError::Lost("no reply in time".to_owned()));
-    within(timeout, exchange).await.unwrap_or_else(timed_out)
+    with_timeout(timeout, exchange).await.unwrap_or_else(timed_out)
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -8,7 +8,7 @@
 use super::connect::{call, dial};
 use super::serve::{bind, serve};
 use crate::settings::TlsSettings;
-use crate::tls::{TlsEnds, make_keys, tls_ends};
+use crate::tls::{TlsConfigs, issue_certificates, load_tls_configs};
 use crate::wire::{Call, FrameReader, FrameWriter, Reply};
 use redwingfold_telemetry::Telemetry;
 
@@ -28,15 +28,15 @@
     TempDir(path)
 }
 
-fn tls_for(dir: &Path, name: &str) -> TlsEnds {
+fn tls_for(dir: &Path, name: &str) -> TlsConfigs {
     let file = |extension: &str| dir.join(format!("{name}.{extension}"));
     let settings =
         TlsSettings { fleet: dir.join("fleet.pem"), cert: file("pem"), key: file("key") };
-    tls_ends(&settings).expect("keys that were just made")
+    load_tls_configs(&settings).expect("keys that were just made")
 }
 
 /// Starts a server that replies to every call with [`Reply::Held`].
-fn listen(tls: &TlsEnds) -> (SocketAddr, smol::Task<()>) {
+fn listen(tls: &TlsConfigs) -> (SocketAddr, smol::Task<()>) {
     let endpoint = bind(tls.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
     let addr = endpoint.local_addr().expect("bound");
     let telemetry = Telemetry::disabled().expect("a quiet logger");
@@ -52,7 +52,7 @@
 #[test]
 fn torn_frames_end_their_stream_only() {
     let dir = temp_dir_for("torn");
-    make_keys(&dir.0, &["a".to_owned(), "b".to_owned()]).expect("keys");
+    issue_certificates(&dir.0, &["a".to_owned(), "b".to_owned()]).expect("keys");
     smol::block_on(async {
         let (addr, _listening) = listen(&tls_for(&dir.0, "a"));
         let (_endpoint, conn) =
@@ -75,8 +75,8 @@
 #[test]
 fn another_fleets_certificate_is_refused() {
     let (ours, theirs) = (temp_dir_for("ours"), temp_dir_for("theirs"));
-    make_keys(&ours.0, &["a".to_owned()]).expect("keys");
-    make_keys(&theirs.0, &["a".to_owned()]).expect("keys");
+    issue_certificates(&ours.0, &["a".to_owned()]).expect("keys");
+    issue_certificates(&theirs.0, &["a".to_owned()]).expect("keys");
     smol::block_on(async {
         let (addr, _listening) = listen(&tls_for(&ours.0, "a"));
         let answer = match dial(&tls_for(&theirs.0, "a").client, addr, TIMEOUT).await {
@@ -92,11 +92,11 @@
 #[test]
 fn keys_are_added_and_not_replaced() {
     let dir = temp_dir_for("added");
-    make_keys(&dir.0, &["a".to_owned()]).expect("keys");
+    issue_certificates(&dir.0, &["a".to_owned()]).expect("keys");
     let fleet = std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem");
-    make_keys(&dir.0, &["b".to_owned()]).expect("more keys");
+    issue_certificates(&dir.0, &["b".to_owned()]).expect("more keys");
     assert_eq!(std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem"), fleet);
-    assert!(make_keys(&dir.0, &["a".to_owned()]).is_err(), "a.pem was there");
+    assert!(issue_certificates(&dir.0, &["a".to_owned()]).is_err(), "a.pem was there");
     smol::block_on(async {
         let (addr, _listening) = listen(&tls_for(&dir.0, "a"));
         let (_endpoint, conn) =
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! Adapter of model engines and plain services.
+//! Client for the backend servers: model engines and plain services.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::clock::span;
+use crate::clock::to_duration;
 
 const LOAD_TIMEOUT: Millis = Millis(1_000);
-const MAX_LOAD_BYTES: usize = 256 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 const STATUS_CONFLICT: u16 = 409;
-const DATA_PREFIX: &str = "data: ";
+const SSE_DATA_PREFIX: &str = "data: ";
 
-/// What an engine says of itself, some time after the fact.
+/// Load of an engine as it reports it. The report lags behind the actual load.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct EngineLoad {
     pub(crate) running: u32,
@@ -23,30 +23,35 @@
     pub(crate) versions: Vec<VersionName>,
 }
 
-/// Asks an engine for its load.
-pub(crate) async fn engine_load(http: &Client, addr: SocketAddr) -> Result<EngineLoad, String> {
+/// Fetches the load report of an engine.
+pub(crate) async fn fetch_engine_load(
+    http: &Client,
+    addr: SocketAddr,
+) -> Result<EngineLoad, String> {
     let call = http.call(
         Method::Get,
         addr,
         "/v1/load",
         None,
-        CallTimeout::Total(span(LOAD_TIMEOUT)),
-        MAX_LOAD_BYTES,
+        CallTimeout::Total(to_duration(LOAD_TIMEOUT)),
+        MAX_RESPONSE_BYTES,
     );
     match call.await {
-        Ok(answer) if answer.is_success() => answer.json().map_err(|e| e.to_string()),
-        Ok(answer) => Err(format!("status {}", answer.status)),
+        Ok(response) if response.is_success() => response.json().map_err(|e| e.to_string()),
+        Ok(response) => Err(format!("status {}", response.status)),
         Err(e) => Err(e.to_string()),
     }
 }
 
-/// What an engine said to an order.
+/// Result of sending an order to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Ordered {
-    /// It has seen a higher fencing number.
+pub(crate) enum OrderOutcome {
+    /// Refused: the engine has already received an order with a higher fencing token.
     Fenced,
+    /// Accepted.
     Taken,
-    /// No clear answer; whether it was taken shows in the engine's report.
+    /// No response, or an unexpected one. Only the engine's load report shows whether the order
+    /// was accepted.
     Unknown(String),
 }
 
@@ -56,14 +61,14 @@
     versions: &'a [VersionName],
 }
 
-/// Orders an engine to have these versions loaded.
-pub(crate) async fn engine_order(
+/// Sends an order to an engine to have exactly these versions loaded, in place of its earlier ones.
+pub(crate) async fn send_engine_order(
     http: &Client,
     addr: SocketAddr,
     fencing: Offset,
     versions: &[VersionName],
     timeout: Millis,
-) -> Ordered {
+) -> OrderOutcome {
     let body = serde_json::to_vec(&Order { fencing, versions }).unwrap_or_default();
     let target = "/v1/orders";
     let call = http.call(
@@ -71,18 +76,19 @@
         addr,
         target,
         Some(body),
-        CallTimeout::Total(span(timeout)),
-        MAX_LOAD_BYTES,
+        CallTimeout::Total(to_duration(timeout)),
+        MAX_RESPONSE_BYTES,
     );
     match call.await {
-        Ok(answer) if answer.is_success() => Ordered::Taken,
-        Ok(answer) if answer.status == STATUS_CONFLICT => Ordered::Fenced,
-        Ok(answer) => Ordered::Unknown(format!("status {}", answer.status)),
-        Err(e) => Ordered::Unknown(e.to_string()),
+        Ok(response) if response.is_success() => OrderOutcome::Taken,
+        Ok(response) if response.status == STATUS_CONFLICT => OrderOutcome::Fenced,
+        Ok(response) => OrderOutcome::Unknown(format!("status {}", response.status)),
+        Err(e) => OrderOutcome::Unknown(e.to_string()),
     }
 }
 
-/// Makes a request for an engine: the caller's, with the version in place of what it named.
+/// Builds a request to an engine from the caller's body. `model` is set to the chosen version and
+/// `priority` to the given priority.
 pub(crate) fn engine_request(
     addr: SocketAddr,
     request: RequestId,
@@ -92,14 +98,14 @@
     priority: u8,
 ) -> Result<Request, CallError> {
     let mut value: Value = serde_json::from_slice(body)
-        .map_err(|e| CallError::Unreachable(format!("body is no JSON: {e}")))?;
+        .map_err(|e| CallError::Unreachable(format!("body is not valid JSON: {e}")))?;
     value["model"] = Value::from(version.as_str());
     value["priority"] = Value::from(priority);
     let body = serde_json::to_vec(&value).unwrap_or_default();
     plain_request(addr, request, Method::Post, target, Some("application/json"), body)
 }
 
-/// Makes a request for a plain service.
+/// Builds a request to a plain service.
 pub(crate) fn plain_request(
     addr: SocketAddr,
     request: RequestId,
@@ -121,8 +127,9 @@
     Ok(req)
 }
 
-/// Returns the number of tokens that an answer, or the end of a streamed one, says it has.
-pub(crate) fn last_usage(stream: bool, tail: &[u8]) -> Option<u64> {
+/// Returns `usage.total_tokens` of a response, if it has one. For a streamed response, `tail` is
+/// its end, and the last event with a usage counts.
+pub(crate) fn reported_total_tokens(stream: bool, tail: &[u8]) -> Option<u64> {
     let text = String::from_utf8_lossy(tail);
     let tokens = |json: &str| {
         let value: Value = serde_json::from_str(json).ok()?;
@@ -131,5 +138,5 @@
     if !stream {
         return tokens(&text);
     }
-    text.lines().rev().filter_map(|line| line.strip_prefix(DATA_PREFIX)).find_map(tokens)
+    text.lines().rev().filter_map(|line| line.strip_prefix(SSE_DATA_PREFIX)).find_map(tokens)
 }
--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -171,7 +171,7 @@
         }
         self.dispatch();
         let remaining = request.deadline.since(self.clock.now());
-        match crate::clock::within(remaining, rx.recv()).await {
+        match crate::clock::with_timeout(remaining, rx.recv()).await {
             Some(Ok(outcome)) => outcome,
             Some(Err(_)) => Err(ErrorKind::Stopping),
             None => Err(ErrorKind::DeadlinePassed),
--- a/src/side/load_reports.rs
+++ b/src/side/load_reports.rs
@@ -8,7 +8,7 @@
 
 use super::context::Side;
 use crate::clock::jittered;
-use crate::platform::engine_load;
+use crate::platform::fetch_engine_load;
 use crate::settings::BackendKind;
 use crate::wire::Load;
 
@@ -27,7 +27,7 @@
             if backend.settings.kind != BackendKind::Engine {
                 continue;
             }
-            let is_up = match engine_load(&side.daemon.http, backend.settings.address).await {
+            let is_up = match fetch_engine_load(&side.daemon.http, backend.settings.address).await {
                 Ok(load) => {
                     backend.record_engine_load(load);
                     true
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -13,9 +13,10 @@
 
 use super::backend::Backend;
 use super::context::Side;
-use crate::clock::{jittered, wall};
+use crate::clock::{jittered, unix_time};
 use crate::platform::{
-    Asked, HostState, LogError, Ordered, ask_to_load, engine_load, engine_order, stream,
+    HostState, LoadPermission, LogError, OrderOutcome, fetch_engine_load, request_load_permission,
+    send_engine_order, stream,
 };
 use crate::settings::BackendKind;
 use crate::wire::new_claim_id;
@@ -168,14 +169,14 @@
     let Some(next_version) = missing.first() else {
         return send_order(side, backend, &claim, &desired.versions).await;
     };
-    let stream_name = format!("{}{next_version}", stream::LOADS);
+    let stream_name = format!("{}{next_version}", stream::LOADS_PREFIX);
     let load_timeout = side.settings.orders.load_timeout_ms;
     let loads = state
         .loads_by_version
         .entry((*next_version).clone())
         .or_insert_with(|| LoadFold::new(load_timeout));
     read_loads(side, &stream_name, loads).await?;
-    let active_elsewhere = loads.active_beside(&side.daemon.host, wall());
+    let active_elsewhere = loads.active_beside(&side.daemon.host, unix_time());
     if active_elsewhere >= desired.limit as usize {
         return Err(NotOrdered::RetryLater(format!(
             "{active_elsewhere} loads are active on other hosts"
@@ -237,7 +238,7 @@
         if state.ended_loads.contains(version) {
             continue;
         }
-        let name = format!("{}{version}", stream::LOADS);
+        let name = format!("{}{version}", stream::LOADS_PREFIX);
         let loads = state
             .loads_by_version
             .entry(version.clone())
@@ -272,7 +273,7 @@
 }
 
 fn claim_stream(side: &Side) -> String {
-    format!("{}{}", stream::FENCES, side.daemon.host)
+    format!("{}{}", stream::FENCES_PREFIX, side.daemon.host)
 }
 
 async fn read_claims(side: &Side, from: Offset) -> Result<Vec<(Offset, FenceRecord)>, NotOrdered> {
@@ -309,7 +310,7 @@
     let addr = backend.settings.address;
     let http = &side.daemon.http;
     let timeout = settings.load_timeout_ms;
-    let outcome = engine_order(http, addr, claim.fencing_token, versions, timeout).await;
+    let outcome = send_engine_order(http, addr, claim.fencing_token, versions, timeout).await;
     let version_list: Vec<_> = versions.iter().map(ToString::to_string).collect();
     side.daemon.telemetry.info(
         "engine_ordered",
@@ -321,10 +322,10 @@
         ],
     );
     match outcome {
-        Ordered::Fenced => Err(NotOrdered::Superseded),
-        Ordered::Unknown(reason) => Err(NotOrdered::RetryLater(reason)),
-        Ordered::Taken => {
-            if let Ok(load) = engine_load(http, addr).await {
+        OrderOutcome::Fenced => Err(NotOrdered::Superseded),
+        OrderOutcome::Unknown(reason) => Err(NotOrdered::RetryLater(reason)),
+        OrderOutcome::Taken => {
+            if let Ok(load) = fetch_engine_load(http, addr).await {
                 backend.record_engine_load(load);
             }
             super::load_reports::broadcast_heartbeat(side);
@@ -359,7 +360,7 @@
 ) -> Result<ClaimId, NotOrdered> {
     let id = new_claim_id();
     let host = side.daemon.host.clone();
-    let begin = LoadRecord::Begin { id, host, version: version.clone(), limit, at: wall() };
+    let begin = LoadRecord::Begin { id, host, version: version.clone(), limit, at: unix_time() };
     let json = serde_json::to_vec(&begin).unwrap_or_default();
     match side.daemon.log.append(name, json).await {
         Ok(_) | Err(LogError::Unknown(_)) => {}
@@ -374,9 +375,9 @@
 
 async fn ask_weight_store(side: &Side, version: &VersionName) -> Result<(), NotOrdered> {
     let Some(addr) = side.settings.orders.weight_store else { return Ok(()) };
-    match ask_to_load(&side.daemon.http, addr, version).await {
-        Asked::Granted => Ok(()),
-        Asked::Later(after) => {
+    match request_load_permission(&side.daemon.http, addr, version).await {
+        LoadPermission::Granted => Ok(()),
+        LoadPermission::RetryAfter(after) => {
             Err(NotOrdered::RetryLater(format!("the weight store asks to retry after {after} ms")))
         }
     }
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -13,8 +13,8 @@
 use super::backend::{Admission, Backend};
 use super::context::Side;
 use crate::billing::HeldBill;
-use crate::clock::{span, wall, within};
-use crate::platform::{engine_request, last_usage, plain_request};
+use crate::clock::{to_duration, unix_time, with_timeout};
+use crate::platform::{engine_request, plain_request, reported_total_tokens};
 use crate::wire::{
     FrameWriter, LoadChange, RunCall, RunEnd, RunFailed, RunFrame, RunHead, Usage, WireError,
 };
@@ -117,7 +117,7 @@
     // The configuration may have changed while the request waited.
     check_allowed(side, call)?;
     let forwarding = Box::pin(forward_response(side, call, &backend, tx));
-    let outcome = match within(deadline.since(side.daemon.now()), forwarding).await {
+    let outcome = match with_timeout(deadline.since(side.daemon.now()), forwarding).await {
         Some(outcome) => outcome,
         None => Err(ErrorKind::DeadlineInRun.into()),
     };
@@ -210,8 +210,9 @@
     let req = backend_request(call, backend)?;
     let started_at = side.daemon.now();
     let limits = &side.settings.queue;
-    let response = open_stream(backend.settings.address, req, span(limits.first_byte_timeout_ms));
-    let response = within(limits.first_byte_timeout_ms, unless_cancelled(tx, response)).await;
+    let response =
+        open_stream(backend.settings.address, req, to_duration(limits.first_byte_timeout_ms));
+    let response = with_timeout(limits.first_byte_timeout_ms, unless_cancelled(tx, response)).await;
     let mut res = match response {
         Some(Ok(Ok(res))) => res,
         Some(Ok(Err(CallError::Unreachable(reason)))) => {
@@ -295,7 +296,7 @@
             _ => limits.gap_timeout_ms,
         };
         let backend_lost = |reason: String| Failure::new(ErrorKind::BackendLost, reason);
-        let n = match within(limit, unless_cancelled(tx, reader.read(&mut buf))).await {
+        let n = match with_timeout(limit, unless_cancelled(tx, reader.read(&mut buf))).await {
             Some(Ok(Ok(n))) => n,
             Some(Ok(Err(e))) => return Err(backend_lost(e.to_string())),
             Some(Err(cancelled)) => return Err(Failure { run: RunState::MayHaveRun, ..cancelled }),
@@ -346,7 +347,7 @@
 fn compute_usage(side: &Side, call: &RunCall, status: u16, body: &ForwardedBody) -> Usage {
     let tokens = match call.version {
         Some(_) if status == 200 => {
-            last_usage(call.is_streamed, &body.tail).unwrap_or(TOKENS_WITHOUT_USAGE)
+            reported_total_tokens(call.is_streamed, &body.tail).unwrap_or(TOKENS_WITHOUT_USAGE)
         }
         _ => 0,
     };
@@ -373,9 +374,9 @@
         version,
         tokens: usage.tokens,
         cost: usage.cost,
-        at: wall(),
+        at: unix_time(),
     };
-    let not_before = wall().after(side.settings.batch.side_grace_ms);
+    let not_before = unix_time().after(side.settings.batch.side_grace_ms);
     if side.bills.hold(HeldBill { bill: bill.clone(), side: None }, not_before).is_err() {
         side.daemon.telemetry.count("bills.one_copy", 1);
     }
