--- a/core/src/budget.rs
+++ b/core/src/budget.rs
@@ -17,8 +17,8 @@
     /// let mut budget = redwingfold_core::RetryBudget::new(0.5, 1.0);
     /// assert!(budget.try_retry());
     /// assert!(!budget.try_retry());
-    /// budget.request();
-    /// budget.request();
+    /// budget.record_request();
+    /// budget.record_request();
     /// assert!(budget.try_retry());
     /// ```
     pub fn new(per_request: f64, max: f64) -> Self {
@@ -26,7 +26,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.per_request).min(self.max);
     }
 
@@ -45,20 +45,20 @@
 pub struct ByteBudget {
     per_second: u64,
     /// What it holds when it is full.
-    depth: u64,
+    burst_bytes: u64,
     millibytes: u64,
-    filled: Millis,
+    last_refill: Millis,
 }
 
 impl ByteBudget {
     /// Makes a full budget of `per_second` bytes a second, with one second's worth saved up.
     pub fn new(per_second: u64, now: Millis) -> Self {
-        Self::with_depth(per_second, per_second, now)
+        Self::with_burst(per_second, per_second, now)
     }
 
     /// Makes a full budget of `per_second` bytes a second that saves up `depth` bytes.
-    pub fn with_depth(per_second: u64, depth: u64, now: Millis) -> Self {
-        Self { per_second, depth, millibytes: depth * 1000, filled: now }
+    pub fn with_burst(per_second: u64, burst_bytes: u64, now: Millis) -> Self {
+        Self { per_second, burst_bytes, millibytes: burst_bytes * 1000, last_refill: now }
     }
 
     /// Takes `bytes` out of the budget, if they are there.
@@ -71,23 +71,23 @@
     /// assert!(budget.try_take(100, Millis(100)));
     /// ```
     pub fn try_take(&mut self, bytes: u64, now: Millis) -> bool {
-        self.try_take_leaving(bytes, 0, now)
+        self.try_take_with_reserve(bytes, 0, now)
     }
 
     /// Takes `bytes` out of the budget, if `rest` bytes are left then for what is more urgent.
     ///
     /// ```
     /// use redwingfold_core::{ByteBudget, Millis};
-    /// let mut budget = ByteBudget::with_depth(1_000, 2_000, Millis(0));
-    /// assert!(budget.try_take_leaving(1_500, 500, Millis(0)));
-    /// assert!(!budget.try_take_leaving(1, 500, Millis(0)));
+    /// let mut budget = ByteBudget::with_burst(1_000, 2_000, Millis(0));
+    /// assert!(budget.try_take_with_reserve(1_500, 500, Millis(0)));
+    /// assert!(!budget.try_take_with_reserve(1, 500, Millis(0)));
     /// assert!(budget.try_take(500, Millis(0)));
     /// ```
-    pub fn try_take_leaving(&mut self, bytes: u64, rest: u64, now: Millis) -> bool {
-        let gained = now.since(self.filled).0 * self.per_second;
-        self.millibytes = (self.millibytes + gained).min(self.depth * 1000);
-        self.filled = now;
-        if self.millibytes < (bytes + rest) * 1000 {
+    pub fn try_take_with_reserve(&mut self, bytes: u64, reserve: u64, now: Millis) -> bool {
+        let refilled = now.since(self.last_refill).0 * self.per_second;
+        self.millibytes = (self.millibytes + refilled).min(self.burst_bytes * 1000);
+        self.last_refill = now;
+        if self.millibytes < (bytes + reserve) * 1000 {
             return false;
         }
         self.millibytes -= bytes * 1000;
--- a/core/src/call_table.rs
+++ b/core/src/call_table.rs
@@ -41,7 +41,7 @@
     max_body_bytes: usize,
     body_bytes: usize,
     states: HashMap<ClaimId, CallState>,
-    bodies: VecDeque<ClaimId>,
+    body_order: VecDeque<ClaimId>,
 }
 
 impl CallTable {
@@ -53,7 +53,7 @@
             max_body_bytes,
             body_bytes: 0,
             states: HashMap::new(),
-            bodies: VecDeque::new(),
+            body_order: VecDeque::new(),
         }
     }
 
@@ -78,22 +78,22 @@
     }
 
     /// Notes that a claim which was taken never reached its backend server.
-    pub fn not_run(&mut self, id: ClaimId) {
+    pub fn mark_not_run(&mut self, id: ClaimId) {
         self.states.insert(id, CallState::Closed);
     }
 
     /// Notes that a claim may have run, but its answer is lost.
-    pub fn lost(&mut self, id: ClaimId) {
+    pub fn mark_unknown(&mut self, id: ClaimId) {
         self.states.insert(id, CallState::Unknown);
     }
 
     /// Notes a claim's answer.
-    pub fn done(&mut self, id: ClaimId, answer: CallAnswer) {
+    pub fn mark_done(&mut self, id: ClaimId, answer: CallAnswer) {
         self.body_bytes += answer.body.as_ref().map_or(0, Vec::len);
         self.states.insert(id, CallState::Done(answer));
-        self.bodies.push_back(id);
+        self.body_order.push_back(id);
         while self.body_bytes > self.max_body_bytes
-            && let Some(oldest) = self.bodies.pop_front()
+            && let Some(oldest) = self.body_order.pop_front()
         {
             if let Some(CallState::Done(answer)) = self.states.get_mut(&oldest) {
                 self.body_bytes -= answer.body.take().map_or(0, |body| body.len());
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -31,13 +31,13 @@
 
 /// Where a claim stands.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum ClaimStatus {
     /// It has not been read from the log.
     Absent,
     /// Another claim is ahead of it.
-    Behind(Claim),
+    HeldByOther(Claim),
     /// It holds the key.
-    Holds,
+    HoldsKey,
 }
 
 /// The fold of one partition of claims.
@@ -56,12 +56,12 @@
         }
         self.offset = offset;
         match serde_json::from_slice::<Claim>(raw) {
-            Ok(claim) => self.claim(claim),
+            Ok(claim) => self.insert(claim),
             Err(_) => self.skipped += 1,
         }
     }
 
-    fn claim(&mut self, claim: Claim) {
+    fn insert(&mut self, claim: Claim) {
         match self.holders.get(&claim.key) {
             None => {
                 self.holders.insert(claim.key, claim);
@@ -76,11 +76,11 @@
     }
 
     /// Returns where `claim` stands.
-    pub fn standing(&self, claim: &Claim) -> Standing {
+    pub fn status(&self, claim: &Claim) -> ClaimStatus {
         match self.holders.get(&claim.key) {
-            None => Standing::Absent,
-            Some(holder) if holder.id == claim.id => Standing::Holds,
-            Some(holder) => Standing::Behind(holder.clone()),
+            None => ClaimStatus::Absent,
+            Some(holder) if holder.id == claim.id => ClaimStatus::HoldsKey,
+            Some(holder) => ClaimStatus::HeldByOther(holder.clone()),
         }
     }
 
--- a/core/src/config/change.rs
+++ b/core/src/config/change.rs
@@ -10,7 +10,7 @@
 /// A record of the configuration stream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "type")]
-pub enum Record {
+pub enum ConfigRecord {
     /// A change of objects, accepted only if nothing it touches has moved.
     Change(Change),
     /// Takes a version out of service, whatever else is going on.
@@ -70,7 +70,7 @@
     Finish,
 }
 
-impl Record {
+impl ConfigRecord {
     /// Returns the id that makes a second copy ineffective.
     pub fn id(&self) -> RequestId {
         match self {
--- a/core/src/config/fold.rs
+++ b/core/src/config/fold.rs
@@ -4,21 +4,21 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::change::{Change, Record, Withdrawal};
+use super::change::{Change, ConfigRecord, Withdrawal};
 use super::object::{Object, ObjectKey, Spec};
 use super::validate;
 use crate::ids::{Millis, Offset, RequestId};
 
 /// Number of the folding rules; daemons with different numbers may differ in state.
-pub const RULES: u32 = 1;
+pub const FOLD_RULES_VERSION: u32 = 1;
 
 /// How many record ids and verdicts are remembered. At 21,000 changes a day this is over four
 /// hours, far longer than an author takes to read its own record back.
-const REMEMBERED: usize = 4096;
+const MAX_AUDIT_ENTRIES: usize = 4096;
 
 /// An object with the offset of the record that last touched it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredObject {
     /// Offset of the record that set the object.
     pub revision: Offset,
     /// The object.
@@ -31,7 +31,7 @@
     /// Offset of the last record that was folded.
     pub offset: Offset,
     /// The objects, by key.
-    pub objects: BTreeMap<ObjectKey, Stored>,
+    pub objects: BTreeMap<ObjectKey, StoredObject>,
 }
 
 /// What the fold said about a record.
@@ -93,20 +93,20 @@
 
 /// The fold's state.
 #[derive(Clone, Debug, Default)]
-pub struct Fold {
+pub struct ConfigFold {
     config: Config,
     audit: SeenIds,
     by_id: BTreeMap<RequestId, Offset>,
 }
 
-impl Fold {
+impl ConfigFold {
     /// Starts from a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns the snapshot's number of rules if it is newer than [`RULES`].
+    /// Returns the snapshot's number of rules if it is newer than [`FOLD_RULES_VERSION`].
     pub fn from_snapshot(snapshot: Snapshot) -> Result<Self, u32> {
-        if snapshot.rules > RULES {
+        if snapshot.rules > FOLD_RULES_VERSION {
             return Err(snapshot.rules);
         }
         let by_id = snapshot.audit.iter().map(|e| (e.id, e.offset)).collect();
@@ -115,7 +115,11 @@
 
     /// Returns a snapshot of the state.
     pub fn snapshot(&self) -> Snapshot {
-        Snapshot { rules: RULES, config: self.config.clone(), audit: self.audit.clone() }
+        Snapshot {
+            rules: FOLD_RULES_VERSION,
+            config: self.config.clone(),
+            audit: self.audit.clone(),
+        }
     }
 
     /// Returns the objects in force.
@@ -146,8 +150,8 @@
     /// one read late must not bring back what a newer one replaced.
     ///
     /// ```
-    /// use redwingfold_core::{Fold, Offset, Verdict};
-    /// let mut fold = Fold::default();
+    /// use redwingfold_core::{ConfigFold, Offset, Verdict};
+    /// let mut fold = ConfigFold::default();
     /// assert!(matches!(fold.apply(Offset(1), b"not json"), Some(Verdict::Skipped { .. })));
     /// assert_eq!(fold.apply(Offset(1), b"not json"), None);
     /// assert_eq!(fold.config().offset, Offset(1));
@@ -157,39 +161,39 @@
             return None;
         }
         self.config.offset = offset;
-        let record = match serde_json::from_slice::<Record>(raw) {
+        let record = match serde_json::from_slice::<ConfigRecord>(raw) {
             Ok(record) => record,
             Err(e) => return Some(Verdict::Skipped { why: e.to_string() }),
         };
         if let Some(&of) = self.by_id.get(&record.id()) {
             return Some(Verdict::Duplicate { of });
         }
-        let touches = touched(&record);
+        let touches = touched_objects(&record);
         let outcome = match &record {
-            Record::Change(change) => self.change(offset, change),
-            Record::Withdraw(withdrawal) => self.withdraw(offset, withdrawal),
+            ConfigRecord::Change(change) => self.apply_change(offset, change),
+            ConfigRecord::Withdraw(withdrawal) => self.apply_withdrawal(offset, withdrawal),
         };
         let verdict = match outcome {
             Ok(()) => Verdict::Accepted,
             Err(why) => Verdict::Rejected { why },
         };
-        self.remember(offset, &record, touches, verdict.clone());
+        self.record_audit(offset, &record, touches, verdict.clone());
         Some(verdict)
     }
 
-    fn change(&mut self, offset: Offset, change: &Change) -> Result<(), String> {
+    fn apply_change(&mut self, offset: Offset, change: &Change) -> Result<(), String> {
         if change.put.is_empty() && change.delete.is_empty() {
             return Err("the change touches nothing".to_owned());
         }
         for key in change.put.iter().map(Object::key).chain(change.delete.iter().cloned()) {
-            self.expect(&key, change.expects.get(&key).copied())?;
+            self.check_revision(&key, change.expects.get(&key).copied())?;
         }
         let mut objects = self.config.objects.clone();
         for key in &change.delete {
             objects.remove(key);
         }
         for object in &change.put {
-            objects.insert(object.key(), Stored { revision: offset, object: object.clone() });
+            objects.insert(object.key(), StoredObject { revision: offset, object: object.clone() });
         }
         match validate::problems(&objects) {
             found if found.is_empty() => {
@@ -200,7 +204,7 @@
         }
     }
 
-    fn expect(&self, key: &ObjectKey, expected: Option<Offset>) -> Result<(), String> {
+    fn check_revision(&self, key: &ObjectKey, expected: Option<Offset>) -> Result<(), String> {
         let found = self.config.objects.get(key).map_or(Offset(0), |stored| stored.revision);
         match expected {
             Some(expected) if expected == found => Ok(()),
@@ -219,10 +223,13 @@
         }
     }
 
-    fn withdraw(&mut self, offset: Offset, withdrawal: &Withdrawal) -> Result<(), String> {
+    fn apply_withdrawal(&mut self, offset: Offset, withdrawal: &Withdrawal) -> Result<(), String> {
         let key = ObjectKey::new("version", &withdrawal.version);
         match self.config.objects.get_mut(&key) {
-            Some(Stored { revision, object: Object { spec: Spec::Version(version), .. } }) => {
+            Some(StoredObject {
+                revision,
+                object: Object { spec: Spec::Version(version), .. },
+            }) => {
                 *revision = offset;
                 version.withdrawn_at = Some(offset);
                 version.withdrawn_streams = withdrawal.streams;
@@ -232,10 +239,10 @@
         }
     }
 
-    fn remember(
+    fn record_audit(
         &mut self,
         offset: Offset,
-        record: &Record,
+        record: &ConfigRecord,
         touches: Vec<ObjectKey>,
         verdict: Verdict,
     ) {
@@ -250,7 +257,7 @@
             touches,
             verdict,
         });
-        if self.audit.len() > REMEMBERED
+        if self.audit.len() > MAX_AUDIT_ENTRIES
             && let Some(oldest) = self.audit.pop_front()
         {
             self.by_id.remove(&oldest.id);
@@ -258,11 +265,11 @@
     }
 }
 
-fn touched(record: &Record) -> Vec<ObjectKey> {
+fn touched_objects(record: &ConfigRecord) -> Vec<ObjectKey> {
     match record {
-        Record::Change(c) => {
+        ConfigRecord::Change(c) => {
             c.put.iter().map(Object::key).chain(c.delete.iter().cloned()).collect()
         }
-        Record::Withdraw(w) => vec![ObjectKey::new("version", &w.version)],
+        ConfigRecord::Withdraw(w) => vec![ObjectKey::new("version", &w.version)],
     }
 }
--- a/core/src/config/matches.rs
+++ b/core/src/config/matches.rs
@@ -1,6 +1,6 @@
 //! What each selector matches, for people to look at before they publish.
 
-use super::fold::{Config, Stored};
+use super::fold::{Config, StoredObject};
 use super::object::{Object, ObjectKey, Spec};
 use super::validate;
 use crate::label::{Labels, Selector};
@@ -20,13 +20,13 @@
 
 impl Config {
     /// Returns the configuration with a change applied, without any check.
-    pub fn with(&self, put: &[Object], delete: &[ObjectKey]) -> Self {
+    pub fn with_change(&self, put: &[Object], delete: &[ObjectKey]) -> Self {
         let mut next = self.clone();
         for key in delete {
             next.objects.remove(key);
         }
         for object in put {
-            let stored = Stored { revision: self.offset, object: object.clone() };
+            let stored = StoredObject { revision: self.offset, object: object.clone() };
             next.objects.insert(object.key(), stored);
         }
         next
--- a/core/src/config/mod.rs
+++ b/core/src/config/mod.rs
@@ -6,8 +6,10 @@
 mod object;
 mod validate;
 
-pub use change::{Change, Record, StreamsOnWithdrawal, Withdrawal};
-pub use fold::{AuditEntry, Config, Fold, RULES, SeenIds, Snapshot, Stored, Verdict};
+pub use change::{Change, ConfigRecord, StreamsOnWithdrawal, Withdrawal};
+pub use fold::{
+    AuditEntry, Config, ConfigFold, FOLD_RULES_VERSION, SeenIds, Snapshot, StoredObject, Verdict,
+};
 pub use matches::SelectorMatch;
 pub use object::{
     CascadeSpec, CustomerSpec, GrantSpec, HostSelector, ModelSpec, Object, ObjectKey,
--- a/core/src/config/validate.rs
+++ b/core/src/config/validate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::fold::Stored;
+use super::fold::StoredObject;
 use super::object::{ObjectKey, Spec};
 use crate::ids::PerMille;
 
@@ -10,7 +10,7 @@
 const SHA256_HEX_LEN: usize = 64;
 
 /// Returns what is wrong with the objects, or nothing.
-pub(crate) fn problems(objects: &BTreeMap<ObjectKey, Stored>) -> Vec<String> {
+pub(crate) fn problems(objects: &BTreeMap<ObjectKey, StoredObject>) -> Vec<String> {
     let mut found = Vec::new();
     for (key, stored) in objects {
         if key.name.len() > MAX_NAME_LEN {
@@ -22,7 +22,7 @@
 }
 
 fn check_object(
-    objects: &BTreeMap<ObjectKey, Stored>,
+    objects: &BTreeMap<ObjectKey, StoredObject>,
     key: &ObjectKey,
     spec: &Spec,
     found: &mut Vec<String>,
--- a/core/src/detector.rs
+++ b/core/src/detector.rs
@@ -4,7 +4,7 @@
 
 /// When a peer loses trust and when it gets it back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Policy {
+pub struct HeartbeatPolicy {
     /// Time between heartbeats while answers are awaited, and the time that one may take.
     pub interval: Millis,
     /// Time between heartbeats while nothing is awaited.
@@ -17,7 +17,7 @@
 
 /// What a peer is trusted with.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Health {
+pub enum PeerHealth {
     /// The connection is to be opened anew.
     Dead,
     /// New work goes to it.
@@ -28,45 +28,45 @@
 
 /// Watches one connection. Every frame that arrives counts as a heartbeat.
 #[derive(Clone, Debug)]
-pub struct Detector {
-    policy: Policy,
-    heard: Millis,
-    asked: Option<Millis>,
+pub struct FailureDetector {
+    policy: HeartbeatPolicy,
+    last_received: Millis,
+    unanswered_since: Option<Millis>,
 }
 
-impl Detector {
+impl FailureDetector {
     /// Starts watching at `now`, as if something had just arrived.
-    pub fn new(policy: Policy, now: Millis) -> Self {
-        Self { policy, heard: now, asked: None }
+    pub fn new(policy: HeartbeatPolicy, now: Millis) -> Self {
+        Self { policy, last_received: now, unanswered_since: None }
     }
 
     /// Notes that something arrived.
-    pub fn heard(&mut self, now: Millis) {
-        self.heard = now;
-        self.asked = None;
+    pub fn record_receipt(&mut self, now: Millis) {
+        self.last_received = now;
+        self.unanswered_since = None;
     }
 
     /// Says whether a heartbeat is to be sent: nothing arrived for an interval.
     ///
     /// While answers are awaited a silent peer costs time at once; an idle one can be asked less
     /// often, and is asked as soon as a request goes to it.
-    pub fn should_ask(&self, now: Millis, is_busy: bool) -> bool {
-        let last = self.asked.unwrap_or(self.heard);
-        let every = match is_busy || self.asked.is_some() {
+    pub fn is_heartbeat_due(&self, now: Millis, is_busy: bool) -> bool {
+        let last = self.unanswered_since.unwrap_or(self.last_received);
+        let interval = match is_busy || self.unanswered_since.is_some() {
             true => self.policy.interval,
             false => self.policy.idle_interval,
         };
-        now.since(last) >= every
+        now.since(last) >= interval
     }
 
     /// Says whether a heartbeat is out that was not answered.
-    pub fn is_asking(&self) -> bool {
-        self.asked.is_some()
+    pub fn awaits_response(&self) -> bool {
+        self.unanswered_since.is_some()
     }
 
     /// Notes that a heartbeat was sent.
-    pub fn asked(&mut self, now: Millis) {
-        self.asked.get_or_insert(now);
+    pub fn record_heartbeat(&mut self, now: Millis) {
+        self.unanswered_since.get_or_insert(now);
     }
 
     /// Returns the peer's health.
@@ -76,26 +76,26 @@
     /// peers when it wakes.
     ///
     /// ```
-    /// use redwingfold_core::{Detector, Health, Millis, Policy};
-    /// let policy = Policy {
+    /// use redwingfold_core::{FailureDetector, HeartbeatPolicy, Millis, PeerHealth};
+    /// let policy = HeartbeatPolicy {
     ///     interval: Millis(100), idle_interval: Millis(300), misses: 1, dead_misses: 5,
     /// };
-    /// let mut detector = Detector::new(policy, Millis(0));
-    /// detector.asked(Millis(100));
-    /// assert_eq!(detector.health(Millis(199)), Health::Live);
-    /// assert_eq!(detector.health(Millis(200)), Health::Suspect);
-    /// detector.heard(Millis(210));
-    /// assert_eq!(detector.health(Millis(211)), Health::Live);
+    /// let mut detector = FailureDetector::new(policy, Millis(0));
+    /// detector.record_heartbeat(Millis(100));
+    /// assert_eq!(detector.health(Millis(199)), PeerHealth::Live);
+    /// assert_eq!(detector.health(Millis(200)), PeerHealth::Suspect);
+    /// detector.record_receipt(Millis(210));
+    /// assert_eq!(detector.health(Millis(211)), PeerHealth::Live);
     /// ```
-    pub fn health(&self, now: Millis) -> Health {
-        let missed = match self.asked {
-            Some(asked) => now.since(asked).0 / self.policy.interval.0.max(1),
+    pub fn health(&self, now: Millis) -> PeerHealth {
+        let missed = match self.unanswered_since {
+            Some(sent) => now.since(sent).0 / self.policy.interval.0.max(1),
             None => 0,
         };
         match missed {
-            n if n >= u64::from(self.policy.dead_misses) => Health::Dead,
-            n if n >= u64::from(self.policy.misses) => Health::Suspect,
-            _ => Health::Live,
+            n if n >= u64::from(self.policy.dead_misses) => PeerHealth::Dead,
+            n if n >= u64::from(self.policy.misses) => PeerHealth::Suspect,
+            _ => PeerHealth::Live,
         }
     }
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -12,32 +12,33 @@
 mod config;
 mod detector;
 mod error;
-mod evidence;
 mod ids;
 mod label;
 mod loads;
 mod outbox;
 mod pin;
 mod queue;
+mod ratings;
 mod rollout;
 mod route;
 mod serving;
 mod subset;
 
-pub use balance::{Candidate, expected_first_token, pick, pick_in_turn, pick_least_reported};
+pub use balance::{
+    Candidate, expected_first_token, pick_least_reported, pick_of_two, pick_round_robin,
+};
 pub use bill::{Bill, BillFold};
 pub use budget::{ByteBudget, RetryBudget};
 pub use call_table::{CallAnswer, CallState, CallTable};
-pub use claim::{Claim, ClaimFold, Standing};
+pub use claim::{Claim, ClaimFold, ClaimStatus};
 pub use config::{
-    AuditEntry, CascadeSpec, Change, Config, CustomerSpec, Fold, GrantSpec, HostSelector,
-    ModelSpec, Object, ObjectKey, PlacementSpec, RULES, Record, RolloutSpec, SeenIds,
-    SelectorMatch, ServiceSpec, SessionSpec, Snapshot, Spec, Stored, StreamsOnWithdrawal, Verdict,
-    VersionSpec, Withdrawal,
+    AuditEntry, CascadeSpec, Change, Config, ConfigFold, ConfigRecord, CustomerSpec,
+    FOLD_RULES_VERSION, GrantSpec, HostSelector, ModelSpec, Object, ObjectKey, PlacementSpec,
+    RolloutSpec, SeenIds, SelectorMatch, ServiceSpec, SessionSpec, Snapshot, Spec, StoredObject,
+    StreamsOnWithdrawal, Verdict, VersionSpec, Withdrawal,
 };
-pub use detector::{Detector, Health, Policy};
+pub use detector::{FailureDetector, HeartbeatPolicy, PeerHealth};
 pub use error::{ErrorKind, ErrorRow, RunState};
-pub use evidence::{Evidence, RatingCounter, TallyRecord, next_step};
 pub use ids::{
     ClaimId, CustomerName, FailureDomain, HostId, Incarnation, KeyHash, Millis, ModelName, Offset,
     ParseIdError, PerMille, Region, RequestId, RequestRate, SessionId, VersionName,
@@ -46,9 +47,10 @@
 pub use loads::{FenceRecord, LoadFold, LoadRecord};
 pub use outbox::{Outbox, OutboxFull};
 pub use pin::{Pin, PinKey, PinTable};
-pub use queue::{FairQueue, QueueLimits, Waiting};
+pub use queue::{FairQueue, QueueLimits, QueuedRequest};
+pub use ratings::{RatingCounter, RatingFold, TallyRecord, next_rollout_share};
 pub use rollout::{SequentialTest, Tally, TestVerdict};
-pub use route::{Denied, Plan, choose_version, plan, session_share};
+pub use route::{AccessDenied, Plan, choose_version, plan, rollout_bucket};
 pub use serving::{
     Admission, Affinity, AllowedRegions, AnswerCounts, AnswerSums, Arm, ArmChoice, Awaited,
     BackendId, BackendServer, BaselineLatency, BrokenRun, CallLimits, Canary, CanaryPolicy,
--- a/core/src/loads.rs
+++ b/core/src/loads.rs
@@ -37,14 +37,14 @@
 #[derive(Clone, Debug)]
 pub struct LoadFold {
     offset: Offset,
-    longest: Millis,
+    max_duration: Millis,
     active: BTreeMap<ClaimId, (HostId, Millis)>,
 }
 
 impl LoadFold {
     /// Makes an empty fold; a load is given up after `longest`.
-    pub fn new(longest: Millis) -> Self {
-        Self { offset: Offset(0), longest, active: BTreeMap::new() }
+    pub fn new(max_duration: Millis) -> Self {
+        Self { offset: Offset(0), max_duration, active: BTreeMap::new() }
     }
 
     /// Folds one record as it stands in the log; unreadable ones are passed over.
@@ -67,8 +67,8 @@
         self.offset = offset;
         match serde_json::from_slice::<LoadRecord>(raw) {
             Ok(LoadRecord::Begin { id, host, limit, at, .. }) => {
-                let longest = self.longest;
-                self.active.retain(|_, (h, since)| *h != host && at.since(*since) < longest);
+                let max_duration = self.max_duration;
+                self.active.retain(|_, (h, since)| *h != host && at.since(*since) < max_duration);
                 if self.active.len() < limit.max(1) as usize {
                     self.active.insert(id, (host, at));
                 }
@@ -86,14 +86,15 @@
     }
 
     /// Returns how many loads of other hosts go on.
-    pub fn active_beside(&self, own: &HostId, now: Millis) -> usize {
-        let goes_on =
-            |(host, since): &&(HostId, Millis)| host != own && now.since(*since) < self.longest;
-        self.active.values().filter(goes_on).count()
+    pub fn active_on_other_hosts(&self, own: &HostId, now: Millis) -> usize {
+        let is_active_elsewhere = |(host, since): &&(HostId, Millis)| {
+            host != own && now.since(*since) < self.max_duration
+        };
+        self.active.values().filter(is_active_elsewhere).count()
     }
 
     /// Returns a host's load that goes on as far as the log knows.
-    pub fn active_of(&self, host: &HostId) -> Option<ClaimId> {
+    pub fn active_load_of(&self, host: &HostId) -> Option<ClaimId> {
         self.active.iter().find(|(_, (h, _))| h == host).map(|(id, _)| *id)
     }
 
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -110,21 +110,21 @@
         for key in &keys {
             // A record that was replaced while its batch was under way is not in the log yet.
             if self.records.get(key).is_some_and(|entry| entry.sent) {
-                self.forget(key);
+                self.remove(key);
             }
         }
         keys
     }
 
     /// Forgets a record that somebody else has confirmed.
-    pub fn forget(&mut self, key: &K) {
+    pub fn remove(&mut self, key: &K) {
         if let Some(entry) = self.records.remove(key) {
             self.bytes -= entry.size;
         }
     }
 
     /// Makes every record due now, for a stop.
-    pub fn make_due(&mut self) {
+    pub fn make_all_due(&mut self) {
         for entry in self.records.values_mut() {
             entry.not_before = Millis(0);
         }
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -16,7 +16,7 @@
 
 /// A request that waits.
 #[derive(Clone, Debug)]
-pub struct Waiting<T> {
+pub struct QueuedRequest<T> {
     /// The request.
     pub item: T,
     /// Its customer.
@@ -29,11 +29,11 @@
 
 /// The requests of one customer, the most urgent first.
 #[derive(Debug)]
-struct Line<T> {
+struct CustomerQueue<T> {
     /// Virtual time at which its next request may run.
-    start: u64,
+    next_start: u64,
     weight: u64,
-    waiting: BTreeMap<(u8, u64), Waiting<T>>,
+    waiting: BTreeMap<(u8, u64), QueuedRequest<T>>,
 }
 
 /// Start-time fair queueing over customers: each gets work in proportion to its weight, whatever
@@ -45,16 +45,16 @@
     virtual_time: u64,
     next_seq: u64,
     len: usize,
-    lines: BTreeMap<CustomerName, Line<T>>,
+    customer_queues: BTreeMap<CustomerName, CustomerQueue<T>>,
 }
 
 /// Scale of virtual time, so that whole numbers divide finely enough by a weight.
-const SCALE: u64 = 1_000;
+const VIRTUAL_TIME_SCALE: u64 = 1_000;
 
 impl<T> FairQueue<T> {
     /// Makes an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
-        Self { limits, virtual_time: 0, next_seq: 0, len: 0, lines: BTreeMap::new() }
+        Self { limits, virtual_time: 0, next_seq: 0, len: 0, customer_queues: BTreeMap::new() }
     }
 
     /// Adds a request; `priority` 0 is the most urgent.
@@ -64,60 +64,67 @@
     /// The request and [`ErrorKind::Overloaded`] if the queue or the customer's part of it is full.
     pub fn push(
         &mut self,
-        request: Waiting<T>,
+        request: QueuedRequest<T>,
         weight: u32,
         priority: u8,
-    ) -> Result<(), (Waiting<T>, ErrorKind)> {
-        let count = self.lines.get(&request.customer).map_or(0, |line| line.waiting.len());
+    ) -> Result<(), (QueuedRequest<T>, ErrorKind)> {
+        let count =
+            self.customer_queues.get(&request.customer).map_or(0, |queue| queue.waiting.len());
         if count >= self.limits.max_per_customer || self.len >= self.limits.max_waiting {
             return Err((request, ErrorKind::Overloaded));
         }
-        let line = self.lines.entry(request.customer.clone()).or_insert_with(|| Line {
-            start: 0,
-            weight: 1,
-            waiting: BTreeMap::new(),
+        let queue = self.customer_queues.entry(request.customer.clone()).or_insert_with(|| {
+            CustomerQueue { next_start: 0, weight: 1, waiting: BTreeMap::new() }
         });
-        if line.waiting.is_empty() {
+        if queue.waiting.is_empty() {
             // One that was away starts now: it has no credit from the time of its absence.
-            line.start = line.start.max(self.virtual_time);
+            queue.next_start = queue.next_start.max(self.virtual_time);
         }
-        line.weight = u64::from(weight.max(1));
+        queue.weight = u64::from(weight.max(1));
         self.next_seq += 1;
-        line.waiting.insert((priority, self.next_seq), request);
+        queue.waiting.insert((priority, self.next_seq), request);
         self.len += 1;
         Ok(())
     }
 
     /// Takes the next request whose deadline has not passed; the late ones before it go to `late`.
-    pub fn pop(&mut self, now: Millis, late: &mut Vec<Waiting<T>>) -> Option<Waiting<T>> {
+    pub fn pop(
+        &mut self,
+        now: Millis,
+        expired: &mut Vec<QueuedRequest<T>>,
+    ) -> Option<QueuedRequest<T>> {
         loop {
-            let backlogged = self.lines.values_mut().filter(|line| !line.waiting.is_empty());
-            let Some(line) = backlogged.min_by_key(|line| line.start) else {
+            let backlogged =
+                self.customer_queues.values_mut().filter(|queue| !queue.waiting.is_empty());
+            let Some(queue) = backlogged.min_by_key(|queue| queue.next_start) else {
                 // Nobody waits, so that nobody is owed anything.
-                self.lines.clear();
+                self.customer_queues.clear();
                 self.virtual_time = 0;
                 return None;
             };
-            let (_, request) = line.waiting.pop_first()?;
+            let (_, request) = queue.waiting.pop_first()?;
             self.len -= 1;
             if request.deadline <= now {
-                late.push(request);
+                expired.push(request);
                 continue;
             }
-            self.virtual_time = line.start;
-            line.start += request.work.max(1) * SCALE / line.weight;
+            self.virtual_time = queue.next_start;
+            queue.next_start += request.work.max(1) * VIRTUAL_TIME_SCALE / queue.weight;
             return Some(request);
         }
     }
 
-    /// Takes out every request that `is_void` names.
-    pub fn take_if(&mut self, mut is_void: impl FnMut(&Waiting<T>) -> bool) -> Vec<Waiting<T>> {
-        let mut taken = Vec::new();
-        for line in self.lines.values_mut() {
-            taken.extend(line.waiting.extract_if(.., |_, request| is_void(request)));
+    /// Takes out every request that `should_remove` names.
+    pub fn remove_if(
+        &mut self,
+        mut should_remove: impl FnMut(&QueuedRequest<T>) -> bool,
+    ) -> Vec<QueuedRequest<T>> {
+        let mut removed = Vec::new();
+        for queue in self.customer_queues.values_mut() {
+            removed.extend(queue.waiting.extract_if(.., |_, request| should_remove(request)));
         }
-        self.len -= taken.len();
-        taken.into_iter().map(|(_, request)| request).collect()
+        self.len -= removed.len();
+        removed.into_iter().map(|(_, request)| request).collect()
     }
 
     /// Returns the number of requests that wait.
@@ -132,6 +139,6 @@
 
     /// Returns the work that waits, in tokens.
     pub fn work(&self) -> u64 {
-        self.lines.values().flat_map(|line| line.waiting.values()).map(|r| r.work).sum()
+        self.customer_queues.values().flat_map(|queue| queue.waiting.values()).map(|r| r.work).sum()
     }
 }
--- a/core/src/evidence.rs
+++ b/core/src/ratings.rs
@@ -30,7 +30,7 @@
 }
 
 /// Ratings that one half of a window holds.
-const HALF_WINDOW: u64 = 200;
+const HALF_WINDOW_RATINGS: u64 = 200;
 
 /// Age at which what an entry counted lately is worth nothing: it is gone, or rates nothing.
 const MAX_RECENT_AGE: Millis = Millis(600_000);
@@ -62,7 +62,7 @@
         let one = Tally { good: u64::from(good), bad: u64::from(!good) };
         self.total = self.total.plus(one);
         self.current = self.current.plus(one);
-        if self.current.rated() == HALF_WINDOW {
+        if self.current.rated() == HALF_WINDOW_RATINGS {
             self.previous = std::mem::take(&mut self.current);
         }
     }
@@ -79,16 +79,16 @@
 }
 
 /// Totals of the entries' starts.
-type Totals = BTreeMap<(HostId, Incarnation), TallyRecord>;
+type TotalsByIncarnation = BTreeMap<(HostId, Incarnation), TallyRecord>;
 
 /// The fold of the ratings stream.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct RatingFold {
     offset: Offset,
-    versions: BTreeMap<VersionName, (Offset, Totals)>,
+    versions: BTreeMap<VersionName, (Offset, TotalsByIncarnation)>,
 }
 
-impl Evidence {
+impl RatingFold {
     /// Folds one batch as it stands in the log; an unreadable one is passed over.
     pub fn apply(&mut self, offset: Offset, raw: &[u8]) {
         if offset <= self.offset {
@@ -103,7 +103,7 @@
     /// Takes one entry's totals; a lower total than the one that is held is an older record.
     ///
     /// ```
-    /// use redwingfold_core::{Evidence, Incarnation, Millis, Offset, Tally, TallyRecord};
+    /// use redwingfold_core::{Incarnation, Millis, Offset, RatingFold, Tally, TallyRecord};
     /// let record = |good| TallyRecord {
     ///     host: "entry-1".parse().unwrap(),
     ///     incarnation: Incarnation(1),
@@ -113,16 +113,16 @@
     ///     total: Tally { good, bad: 0 },
     ///     recent: Tally { good, bad: 0 },
     /// };
-    /// let mut evidence = Evidence::default();
+    /// let mut ratings = RatingFold::default();
     /// for good in [5, 9, 5] {
-    ///     evidence.add(record(good));
+    ///     ratings.add(record(good));
     /// }
-    /// assert_eq!(evidence.total(&"v".parse().unwrap(), Offset(3)).good, 9);
+    /// assert_eq!(ratings.total(&"v".parse().unwrap(), Offset(3)).good, 9);
     /// ```
     pub fn add(&mut self, record: TallyRecord) {
         let held = self.versions.entry(record.version.clone()).or_default();
         if held.0 < record.since {
-            *held = (record.since, Totals::new());
+            *held = (record.since, TotalsByIncarnation::new());
         }
         if held.0 != record.since {
             return;
@@ -167,14 +167,16 @@
 /// ratings stop coming: then it stays where it is.
 ///
 /// ```
-/// use redwingfold_core::{PerMille, Tally, next_step};
+/// use redwingfold_core::{PerMille, Tally, next_rollout_share};
 /// let steps = [PerMille(50), PerMille(250), PerMille(1000)];
 /// let tally = Tally { good: 60, bad: 0 };
-/// let step = |rated_before| next_step(&steps, PerMille(50), rated_before, tally, 50, PerMille(100));
-/// assert_eq!(step(0), Some(PerMille(250)));
-/// assert_eq!(step(30), None);
+/// let next_share = |rated_before| {
+///     next_rollout_share(&steps, PerMille(50), rated_before, tally, 50, PerMille(100))
+/// };
+/// assert_eq!(next_share(0), Some(PerMille(250)));
+/// assert_eq!(next_share(30), None);
 /// ```
-pub fn next_step(
+pub fn next_rollout_share(
     steps: &[PerMille],
     share: PerMille,
     rated_before: u64,
@@ -184,8 +186,8 @@
 ) -> Option<PerMille> {
     let next = steps.iter().copied().find(|step| *step > share)?;
     let rated = tally.rated().saturating_sub(rated_before);
-    let good_enough = PerMille(1000_u16.saturating_sub(allowed_bad.0));
-    let is_earned =
-        rated >= u64::from(per_step.max(1)) && tally.lower_bound(PerMille(0), 0) >= good_enough;
-    is_earned.then_some(next)
+    let required_good = PerMille(1000_u16.saturating_sub(allowed_bad.0));
+    let has_passed =
+        rated >= u64::from(per_step.max(1)) && tally.lower_bound(PerMille(0), 0) >= required_good;
+    has_passed.then_some(next)
 }
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -7,11 +7,11 @@
 
 /// Why no version may answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Denied {
+pub struct AccessDenied {
     /// The kind of answer.
     pub kind: ErrorKind,
     /// What was looked at.
-    pub why: String,
+    pub detail: String,
 }
 
 /// The versions that may answer a request, in the order in which to try them.
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::UnknownModel`], [`ErrorKind::Withdrawn`] or [`ErrorKind::NotAllowed`].
-    pub fn may_run(
+    pub fn check_access(
         &self,
         customer: &CustomerName,
         session: Option<&SessionId>,
@@ -133,8 +133,8 @@
 ///
 /// It depends on the session alone, so that entries which do not know each other agree, and a
 /// session whose pin was lost is most likely given the same version again.
-pub fn session_share(model: &ModelName, who: &str) -> PerMille {
-    let text = format!("{model}\0{who}");
+pub fn rollout_bucket(model: &ModelName, bucket_key: &str) -> PerMille {
+    let text = format!("{model}\0{bucket_key}");
     PerMille((xxhash_rust::xxh3::xxh3_64(text.as_bytes()) % 1000) as u16)
 }
 
@@ -150,7 +150,7 @@
     customer: &CustomerName,
     session: Option<&SessionId>,
     model: &ModelName,
-    who: &str,
+    bucket_key: &str,
 ) -> Result<VersionName, ErrorKind> {
     let current = match config.objects.get(&ObjectKey::new("model", model)) {
         Some(stored) => match &stored.object.spec {
@@ -159,15 +159,15 @@
         },
         None => return Err(ErrorKind::UnknownModel),
     };
-    let point = session_share(model, who);
+    let bucket = rollout_bucket(model, bucket_key);
     let rolled = config.of_kind("rollout").find_map(|(_, spec)| match spec {
-        Spec::Rollout(r) if r.model == *model && point < r.share => Some(r.to.clone()),
+        Spec::Rollout(r) if r.model == *model && bucket < r.share => Some(r.to.clone()),
         _ => None,
     });
     let pinned = config.pinned_by_operator(customer, session, model);
     let mut last = ErrorKind::UnknownModel;
     for version in pinned.into_iter().chain(rolled).chain([current]) {
-        match config.may_run(customer, session, &version) {
+        match config.check_access(customer, session, &version) {
             Ok(()) => return Ok(version),
             Err(kind) => last = kind,
         }
@@ -182,23 +182,23 @@
 ///
 /// # Errors
 ///
-/// [`Denied`] if no step may run.
+/// [`AccessDenied`] if no step may run.
 pub fn plan(
     config: &Config,
     customer: &CustomerName,
     session: Option<&SessionId>,
     name: &str,
-    who: &str,
+    bucket_key: &str,
     quality: impl Fn(&VersionName, &VersionSpec) -> PerMille,
-) -> Result<Plan, Denied> {
-    let denied = |kind: ErrorKind| Denied { kind, why: format!("{name}: {kind}") };
+) -> Result<Plan, AccessDenied> {
+    let denied = |kind: ErrorKind| AccessDenied { kind, detail: format!("{name}: {kind}") };
     if let Some(stored) = config.objects.get(&ObjectKey::new("cascade", name))
         && let Spec::Cascade(cascade) = &stored.object.spec
     {
         let mut last = ErrorKind::UnknownModel;
         let mut steps = Vec::new();
         for model in &cascade.models {
-            match choose_version(config, customer, session, model, who) {
+            match choose_version(config, customer, session, model, bucket_key) {
                 Ok(version) => steps.push(version),
                 Err(kind) => last = kind,
             }
@@ -219,10 +219,11 @@
     if config.objects.contains_key(&ObjectKey::new("model", name))
         && let Ok(model) = name.parse()
     {
-        let version = choose_version(config, customer, session, &model, who).map_err(denied)?;
+        let version =
+            choose_version(config, customer, session, &model, bucket_key).map_err(denied)?;
         return Ok(Plan { steps: vec![version], target: None });
     }
     let version: VersionName = name.parse().map_err(|_| denied(ErrorKind::UnknownModel))?;
-    config.may_run(customer, session, &version).map_err(denied)?;
+    config.check_access(customer, session, &version).map_err(denied)?;
     Ok(Plan { steps: vec![version], target: None })
 }
--- a/core/src/subset.rs
+++ b/core/src/subset.rs
@@ -14,7 +14,7 @@
     pub domain: FailureDomain,
 }
 
-fn score(seed: &str, host: &HostId) -> u64 {
+fn rendezvous_score(seed: &str, host: &HostId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(format!("{seed}\0{host}").as_bytes())
 }
 
@@ -34,7 +34,7 @@
 /// assert_ne!(ranked[0].domain, ranked[1].domain);
 /// ```
 pub fn rank<'a>(seed: &str, members: &'a [Member]) -> Vec<&'a Member> {
-    let mut scored: Vec<_> = members.iter().map(|m| (score(seed, &m.host), m)).collect();
+    let mut scored: Vec<_> = members.iter().map(|m| (rendezvous_score(seed, &m.host), m)).collect();
     scored.sort_by(|a, b| (b.0, &b.1.host).cmp(&(a.0, &a.1.host)));
     let mut depth = std::collections::HashMap::new();
     let mut layered: Vec<_> = scored
@@ -87,16 +87,16 @@
         let chosen = rank(side.member.host.as_str(), entries);
         chosen.iter().take(fan_in).any(|entry| entry.host == *own)
     };
-    let mut taken: BTreeSet<_> =
+    let mut connected: BTreeSet<_> =
         sides.iter().filter(chose_own).map(|side| side.member.host.clone()).collect();
     let mut pools = BTreeMap::<&str, Vec<Member>>::new();
     for side in sides {
         pools.entry(&side.pool).or_default().push(side.member.clone());
     }
     for members in pools.values() {
-        taken.extend(rank(own.as_str(), members).iter().take(per_pool).map(|m| m.host.clone()));
+        connected.extend(rank(own.as_str(), members).iter().take(per_pool).map(|m| m.host.clone()));
     }
-    taken
+    connected
 }
 
 /// Says whether `own` is among the `per_domain` members of its failure domain that read the log
@@ -105,11 +105,11 @@
     let mut scores: Vec<_> = members
         .iter()
         .filter(|m| m.domain == own.domain && m.host != own.host)
-        .map(|m| score("log-reader", &m.host))
+        .map(|m| rendezvous_score("log-reader", &m.host))
         .collect();
     scores.sort_unstable_by(|a, b| b.cmp(a));
-    let mine = score("log-reader", &own.host);
-    scores.iter().take_while(|s| **s > mine).count() < per_domain
+    let own_score = rendezvous_score("log-reader", &own.host);
+    scores.iter().take_while(|s| **s > own_score).count() < per_domain
 }
 
 /// Returns the hosts that hold a session's pin, the first to be asked first.
--- a/core/tests/claims.rs
+++ b/core/tests/claims.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use redwingfold_core::{
-    CallAnswer, CallState, CallTable, Claim, ClaimFold, ClaimId, Incarnation, KeyHash, Offset,
-    RequestId, Standing,
+    CallAnswer, CallState, CallTable, Claim, ClaimFold, ClaimId, ClaimStatus, Incarnation, KeyHash,
+    Offset, RequestId,
 };
 use todc_utils::{Action, History, Specification, WGLChecker};
 
@@ -121,10 +121,10 @@
                 self.log.push(claim.clone());
                 (Step::Read { claim, rounds }, None)
             }
-            Step::Read { claim, rounds } => match self.fold().standing(&claim) {
-                Standing::Holds => (Step::Send { claim }, None),
-                Standing::Absent => (Step::Over, Some(End::NotRun)),
-                Standing::Behind(holder) => (Step::Settle { holder, rounds }, None),
+            Step::Read { claim, rounds } => match self.fold().status(&claim) {
+                ClaimStatus::HoldsKey => (Step::Send { claim }, None),
+                ClaimStatus::Absent => (Step::Over, Some(End::NotRun)),
+                ClaimStatus::HeldByOther(holder) => (Step::Settle { holder, rounds }, None),
             },
             Step::Settle { holder, rounds } => {
                 let table = &mut self.side_of(&holder).table;
@@ -150,11 +150,11 @@
                 }
                 self.runs += 1;
                 if draw.once_in(6) {
-                    self.side_of(&claim).table.lost(claim.id);
+                    self.side_of(&claim).table.mark_unknown(claim.id);
                     return (Step::Over, Some(End::Unknown));
                 }
                 let answer = CallAnswer { status: 200, content_type: None, body: None };
-                self.side_of(&claim).table.done(claim.id, answer);
+                self.side_of(&claim).table.mark_done(claim.id, answer);
                 (Step::Over, Some(End::Ran))
             }
             Step::Over => (Step::Over, None),
--- a/core/tests/fold.rs
+++ b/core/tests/fold.rs
@@ -5,8 +5,8 @@
 use todc_utils::{Action, History, Specification, WGLChecker};
 
 use redwingfold_core::{
-    Change, Fold, Millis, ModelSpec, Object, ObjectKey, Offset, PerMille, Record, RequestId, Spec,
-    StreamsOnWithdrawal, Verdict, VersionSpec, Withdrawal,
+    Change, ConfigFold, ConfigRecord, Millis, ModelSpec, Object, ObjectKey, Offset, PerMille,
+    RequestId, Spec, StreamsOnWithdrawal, Verdict, VersionSpec, Withdrawal,
 };
 
 fn version(name: &str, cost: u64) -> Object {
@@ -28,7 +28,7 @@
 
 fn change(id: u128, expects: &[(&str, u64)], put: Vec<Object>) -> Vec<u8> {
     let expects = expects.iter().map(|(key, offset)| (key.parse().unwrap(), Offset(*offset)));
-    let record = Record::Change(Change {
+    let record = ConfigRecord::Change(Change {
         id: RequestId(id),
         author: format!("desk-{id}"),
         reason: "test".to_owned(),
@@ -41,7 +41,7 @@
 }
 
 fn withdraw(id: u128, version: &str) -> Vec<u8> {
-    let record = Record::Withdraw(Withdrawal {
+    let record = ConfigRecord::Withdraw(Withdrawal {
         id: RequestId(id),
         author: "desk".to_owned(),
         reason: "bad".to_owned(),
@@ -60,7 +60,7 @@
 /// told by whom and what it was changed.
 #[test]
 fn one_of_two_racing_changes_wins() {
-    let mut fold = Fold::default();
+    let mut fold = ConfigFold::default();
     assert_eq!(fold.apply(Offset(1), &first()), Some(Verdict::Accepted));
     let price = |id, cost| change(id, &[("version/a", 1)], vec![version("a", cost)]);
     assert_eq!(fold.apply(Offset(2), &price(2, 5)), Some(Verdict::Accepted));
@@ -75,7 +75,7 @@
 /// sent first: putting a bad version back by accident would harm callers again.
 #[test]
 fn stale_change_cannot_undo_a_withdrawal() {
-    let mut fold = Fold::default();
+    let mut fold = ConfigFold::default();
     fold.apply(Offset(1), &first());
     fold.apply(Offset(2), &withdraw(2, "a"));
     let stale = change(3, &[("version/a", 1)], vec![version("a", 9)]);
@@ -89,7 +89,7 @@
 /// Objects that do not fit together are rejected as a whole, with every reason.
 #[test]
 fn dangling_references_are_rejected() {
-    let mut fold = Fold::default();
+    let mut fold = ConfigFold::default();
     let dangling = change(1, &[("model/slip", 0)], vec![model("nowhere")]);
     match fold.apply(Offset(1), &dangling) {
         Some(Verdict::Rejected { why }) => assert!(why.contains("version/nowhere"), "{why}"),
@@ -119,17 +119,17 @@
     bolero::check!().for_each(|bytes: &[u8]| {
         let mut records = vec![first()];
         records.extend(bytes.iter().take(40).zip(2..).map(|(byte, at)| record(*byte, at)));
-        let mut straight = Fold::default();
+        let mut straight = ConfigFold::default();
         for (raw, offset) in records.iter().zip(1..) {
             straight.apply(Offset(offset), raw);
         }
         let cut = bytes.first().map_or(0, |b| usize::from(*b) % records.len());
-        let mut early = Fold::default();
+        let mut early = ConfigFold::default();
         for (raw, offset) in records.iter().zip(1..).take(cut) {
             early.apply(Offset(offset), raw);
         }
         let json = serde_json::to_vec(&early.snapshot()).unwrap();
-        let mut late = Fold::from_snapshot(serde_json::from_slice(&json).unwrap()).unwrap();
+        let mut late = ConfigFold::from_snapshot(serde_json::from_slice(&json).unwrap()).unwrap();
         let from = cut.saturating_sub(3);
         for (raw, offset) in records.iter().zip(1..).skip(from) {
             let before = late.config().offset;
@@ -145,7 +145,7 @@
 #[test]
 fn any_bytes_are_survived() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let mut fold = Fold::default();
+        let mut fold = ConfigFold::default();
         fold.apply(Offset(1), bytes);
         assert_eq!(fold.apply(Offset(2), &first()), Some(Verdict::Accepted));
     });
@@ -182,7 +182,7 @@
 #[test]
 fn what_racing_operators_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let mut fold = Fold::default();
+        let mut fold = ConfigFold::default();
         fold.apply(Offset(1), &first());
         let (mut log, mut actions) = (1, Vec::new());
         // Each operator: what it expects, and where its record stands once it is appended.
--- a/core/tests/membership.rs
+++ b/core/tests/membership.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use redwingfold_core::{
-    Detector, Health, HostId, Member, Millis, Pin, PinKey, PinTable, Policy, PooledSide,
-    is_log_reader, pin_holders, sides_of_entry,
+    FailureDetector, HeartbeatPolicy, HostId, Member, Millis, PeerHealth, Pin, PinKey, PinTable,
+    PooledSide, is_log_reader, pin_holders, sides_of_entry,
 };
 
 const DOMAINS: usize = 8;
@@ -144,16 +144,16 @@
     assert!(table.get(&key(1), Millis(6)).is_some());
 }
 
-fn policy(misses: u32) -> Policy {
-    Policy { interval: Millis(100), idle_interval: Millis(300), misses, dead_misses: 5 }
+fn policy(misses: u32) -> HeartbeatPolicy {
+    HeartbeatPolicy { interval: Millis(100), idle_interval: Millis(300), misses, dead_misses: 5 }
 }
 
 #[test]
 fn an_idle_peer_is_asked_less_often() {
-    let detector = Detector::new(policy(1), Millis(0));
-    assert!(!detector.should_ask(Millis(200), false));
-    assert!(detector.should_ask(Millis(200), true));
-    assert!(detector.should_ask(Millis(300), false));
+    let detector = FailureDetector::new(policy(1), Millis(0));
+    assert!(!detector.is_heartbeat_due(Millis(200), false));
+    assert!(detector.is_heartbeat_due(Millis(200), true));
+    assert!(detector.is_heartbeat_due(Millis(300), false));
 }
 
 /// A process that was frozen itself, and wakes long after, does not take its peers for dead: it has
@@ -161,19 +161,19 @@
 #[test]
 fn a_sleeper_suspects_nobody() {
     let policy = policy(1);
-    let detector = Detector::new(policy, Millis(0));
-    assert_eq!(detector.health(Millis(60_000)), Health::Live);
-    assert!(detector.should_ask(Millis(60_000), false));
+    let detector = FailureDetector::new(policy, Millis(0));
+    assert_eq!(detector.health(Millis(60_000)), PeerHealth::Live);
+    assert!(detector.is_heartbeat_due(Millis(60_000), false));
 }
 
 #[test]
 fn a_silent_peer_is_suspected_and_then_dead() {
     let policy = policy(3);
-    let mut detector = Detector::new(policy, Millis(0));
-    detector.asked(Millis(100));
-    assert_eq!(detector.health(Millis(399)), Health::Live);
-    assert_eq!(detector.health(Millis(400)), Health::Suspect);
-    assert_eq!(detector.health(Millis(600)), Health::Dead);
-    detector.heard(Millis(601));
-    assert_eq!(detector.health(Millis(601)), Health::Live);
+    let mut detector = FailureDetector::new(policy, Millis(0));
+    detector.record_heartbeat(Millis(100));
+    assert_eq!(detector.health(Millis(399)), PeerHealth::Live);
+    assert_eq!(detector.health(Millis(400)), PeerHealth::Suspect);
+    assert_eq!(detector.health(Millis(600)), PeerHealth::Dead);
+    detector.record_receipt(Millis(601));
+    assert_eq!(detector.health(Millis(601)), PeerHealth::Live);
 }
--- a/core/tests/queue.rs
+++ b/core/tests/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use redwingfold_core::{ErrorKind, FairQueue, Millis, QueueLimits, Waiting};
+use redwingfold_core::{ErrorKind, FairQueue, Millis, QueueLimits, QueuedRequest};
 
 const FAR: Millis = Millis(1_000_000);
 
@@ -10,8 +10,8 @@
     FairQueue::new(QueueLimits { max_waiting: 10_000, max_per_customer })
 }
 
-fn waiting(customer: &str, item: u32, deadline: Millis) -> Waiting<u32> {
-    Waiting { item, customer: customer.parse().unwrap(), work: 100, deadline }
+fn waiting(customer: &str, item: u32, deadline: Millis) -> QueuedRequest<u32> {
+    QueuedRequest { item, customer: customer.parse().unwrap(), work: 100, deadline }
 }
 
 /// A co-op that offers ten times as much as the others gets its share and no more: of the first 40
@@ -113,7 +113,7 @@
                     left += usize::from(queue.pop(Millis(n as u64), &mut late).is_some());
                     left += late.len();
                 }
-                _ => left += queue.take_if(|w| w.customer.as_str() == customer).len(),
+                _ => left += queue.remove_if(|w| w.customer.as_str() == customer).len(),
             }
             assert_eq!(queue.len(), entered - left);
         }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -70,7 +70,7 @@
 /// The result of a read of the store is sent at once to all, as any delay lets further gateways read the same. So is
 /// the end of a rollout. Other messages that exceed the byte budget reach a random part of the peers in each turn.
 pub async fn send_gossip(gw: Rc<Gateway>, socket: UdpSocket, peers: PeerTable) {
-    let budget = ByteBudget::with_depth(BYTES_PER_SECOND, BURST_BYTES, gw.now());
+    let budget = ByteBudget::with_burst(BYTES_PER_SECOND, BURST_BYTES, gw.now());
     let mut sender =
         GossipSender { gw: gw.clone(), socket, peers, budget, last_sent_at: Millis(0), turn: 0 };
     let mut next_turn = gw.now();
@@ -177,7 +177,7 @@
             return;
         };
         for peer in peers {
-            if !self.budget.try_take_leaving(bytes.len() as u64, reserved, self.gw.now()) {
+            if !self.budget.try_take_with_reserve(bytes.len() as u64, reserved, self.gw.now()) {
                 self.gw.telemetry.count("peers.left_out", 1);
             } else if self.socket.send_to(&bytes, *peer).await.is_err() {
                 // No retry: the next message supersedes this one.
--- a/src/billing/shipper.rs
+++ b/src/billing/shipper.rs
@@ -57,7 +57,7 @@
     /// Forgets bills that are in the log.
     pub(crate) fn forget(&self, ids: &[KeyHash]) {
         let mut outbox = self.lock();
-        ids.iter().for_each(|id| outbox.forget(id));
+        ids.iter().for_each(|id| outbox.remove(id));
     }
 
     /// Returns all unconfirmed bills.
@@ -127,7 +127,7 @@
 
     /// Makes every bill due and waits until the log has them all; says whether it has.
     pub(crate) async fn flush(&self, limit: Millis) -> bool {
-        self.lock().make_due();
+        self.lock().make_all_due();
         self.hurry.0.try_send(()).ok();
         let done = async {
             while self.len() > 0 {
--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -6,7 +6,8 @@
 use arc_swap::ArcSwap;
 use event_listener::{Event, EventListener};
 use redwingfold_core::{
-    AuditEntry, Config, Fold, Millis, Offset, RULES, RequestId, Snapshot, Verdict,
+    AuditEntry, Config, ConfigFold, FOLD_RULES_VERSION, Millis, Offset, RequestId, Snapshot,
+    Verdict,
 };
 
 use crate::clock::within;
@@ -36,7 +37,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    fold: Fold,
+    fold: ConfigFold,
     recent: VecDeque<(Offset, Vec<u8>)>,
 }
 
@@ -94,7 +95,7 @@
         if snapshot.config.offset <= inner.fold.config().offset {
             return false;
         }
-        match Fold::from_snapshot(snapshot) {
+        match ConfigFold::from_snapshot(snapshot) {
             Ok(fold) => {
                 inner.fold = fold;
                 inner.recent.clear();
@@ -102,8 +103,10 @@
                 true
             }
             Err(rules) => {
-                self.telemetry
-                    .warn("config_rules_too_new", &[("theirs", &rules), ("ours", &RULES)]);
+                self.telemetry.warn(
+                    "config_rules_too_new",
+                    &[("theirs", &rules), ("ours", &FOLD_RULES_VERSION)],
+                );
                 false
             }
         }
@@ -111,8 +114,11 @@
 
     fn publish(&self, inner: &mut Inner) {
         let config = inner.fold.config().clone();
-        let mark =
-            ConfigMark { offset: config.offset, hash: inner.fold.state_hash(), rules: RULES };
+        let mark = ConfigMark {
+            offset: config.offset,
+            hash: inner.fold.state_hash(),
+            rules: FOLD_RULES_VERSION,
+        };
         self.current.store(Arc::new(config));
         self.mark.store(Arc::new(mark));
         self.moved.notify(usize::MAX);
--- a/src/ctl/check.rs
+++ b/src/ctl/check.rs
@@ -41,7 +41,7 @@
         Some(ctl) => (*ctl.config().await?).clone(),
         None => Config::default(),
     };
-    let config = base.with(&objects, &[]);
+    let config = base.with_change(&objects, &[]);
     let findings = findings(&config);
     let matches = if explain { config.selector_matches() } else { Vec::new() };
     match json {
--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 
 use redwingfold_core::{
-    Change, Config, Millis, Object, ObjectKey, Offset, Record, RequestId, StreamsOnWithdrawal,
-    Verdict, Withdrawal,
+    Change, Config, ConfigRecord, Millis, Object, ObjectKey, Offset, RequestId,
+    StreamsOnWithdrawal, Verdict, Withdrawal,
 };
 use serde_json::json;
 use smol::Timer;
@@ -74,7 +74,7 @@
         println!("nothing changes at offset {}", config.offset);
         return Ok(Exit::Ok);
     }
-    let next = config.with(&put, &args.delete);
+    let next = config.with_change(&put, &args.delete);
     let found = findings(&next);
     let blocking = found
         .iter()
@@ -95,7 +95,7 @@
         eprintln!("revision_moved: {key} is at revision {moved}, you looked at offset {at}");
         return Ok(Exit::Rejected);
     }
-    let record = Record::Change(Change {
+    let record = ConfigRecord::Change(Change {
         id: RequestId(fastrand::u128(..)),
         author: args.author.clone(),
         reason: args.reason.clone(),
@@ -113,7 +113,7 @@
 
 /// Takes a version out of service.
 pub(crate) async fn withdraw(ctl: &Ctl, args: &Withdraw) -> eyre::Result<Exit> {
-    let record = Record::Withdraw(Withdrawal {
+    let record = ConfigRecord::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
         author: args.author.clone(),
         reason: args.reason.clone(),
@@ -132,7 +132,7 @@
 /// A record is accepted only once it has been read back with its verdict: the answer to the append
 /// can be lost, and another operator can be faster. Appending again is safe, because a second copy
 /// of an id has no effect.
-async fn submit(ctl: &Ctl, record: &Record) -> eyre::Result<Exit> {
+async fn submit(ctl: &Ctl, record: &ConfigRecord) -> eyre::Result<Exit> {
     let json = serde_json::to_vec(record)?;
     let mut last = String::new();
     for _ in 0..TRIES {
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -129,7 +129,7 @@
             |v: &VersionName, spec: &_| self.entry.quality.lower_bound(v, spec, &self.caller.class);
         let planned =
             plan(&config, &self.caller.customer, session, &self.req.model_name, &who, quality);
-        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.why));
+        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.detail));
         let is_version = self.req.model_name.parse().is_ok_and(|v| config.version(&v).is_some());
         let offset = config.offset;
         match session {
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use redwingfold_core::{
-    Claim, ClaimFold, ClaimId, ErrorKind, KeyHash, Millis, Offset, RequestId, RunState, Standing,
+    Claim, ClaimFold, ClaimId, ClaimStatus, ErrorKind, KeyHash, Millis, Offset, RequestId, RunState,
 };
 
 use super::connections::side_connection;
@@ -80,9 +80,9 @@
             replaces,
         };
         match append_and_read(entry, &claim).await? {
-            Standing::Holds => return Ok(ClaimResult::Run(claim)),
-            Standing::Absent => return Err(log_unavailable("the claim is not in the log")),
-            Standing::Behind(holder) => match resolve_holder(entry, &holder).await? {
+            ClaimStatus::HoldsKey => return Ok(ClaimResult::Run(claim)),
+            ClaimStatus::Absent => return Err(log_unavailable("the claim is not in the log")),
+            ClaimStatus::HeldByOther(holder) => match resolve_holder(entry, &holder).await? {
                 HolderOutcome::Ran(ran) => return Ok(ran),
                 HolderOutcome::Closed(id) => replaces = Some(id),
             },
@@ -104,7 +104,7 @@
 /// found may still be appended later. The call is then refused as not run, which stays true: this
 /// entry never runs it, and the side that the claim names closes the claim when a repeat of the
 /// call asks for its outcome.
-async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<Standing, RequestError> {
+async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<ClaimStatus, RequestError> {
     let partition = partition_of(claim.key);
     let json = serde_json::to_vec(claim).unwrap_or_default();
     let up_to = match entry.daemon.log.append(&partition, json).await {
@@ -120,7 +120,7 @@
     let fold = entry.claims.fold(&partition);
     let mut fold = fold.lock().await;
     read_up_to(entry, &partition, &mut fold, up_to).await?;
-    Ok(fold.standing(claim))
+    Ok(fold.status(claim))
 }
 
 /// Reads a partition into its fold, up to an offset or up to the current end.
--- a/src/entry/connections.rs
+++ b/src/entry/connections.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use quinn::{Connection, Endpoint, VarInt};
-use redwingfold_core::{Bill, Health, HostId, KeyHash, Millis, rank, sides_of_entry};
+use redwingfold_core::{Bill, HostId, KeyHash, Millis, PeerHealth, rank, sides_of_entry};
 use smol::Timer;
 
 use super::context::Entry;
@@ -221,12 +221,12 @@
 async fn watch_health(entry: &Entry, record: &HostRecord, link: &SideLink) -> Option<Connected> {
     let daemon = &entry.daemon;
     loop {
-        link.link.until(daemon, |health| health != Health::Live).await;
+        link.link.until(daemon, |health| health != PeerHealth::Live).await;
         daemon.telemetry.count("side.suspected", 1);
         daemon.telemetry.info("side_suspected", &[("host", &link.host)]);
         let replacement = open_connection(entry, record).await;
         match (replacement, link.link.health(daemon.now())) {
-            (_, Health::Live) => {
+            (_, PeerHealth::Live) => {
                 daemon.telemetry.count("side.false_suspicion", 1);
                 daemon.telemetry.info("side_back", &[("host", &link.host)]);
             }
@@ -235,8 +235,8 @@
                 daemon.telemetry.info("side_replaced", &[("host", &link.host)]);
                 return Some(replacement);
             }
-            (Err(_), Health::Dead) => return None,
-            (Err(_), Health::Suspect) => {
+            (Err(_), PeerHealth::Dead) => return None,
+            (Err(_), PeerHealth::Suspect) => {
                 Timer::after(span(Millis(daemon.heartbeat.interval_ms.0 / 2))).await;
             }
         }
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -80,7 +80,7 @@
     pub(crate) fn admit_request(self: &Arc<Self>) -> Result<InFlightGuard, ErrorKind> {
         let before = self.in_flight.fetch_add(1, Ordering::SeqCst);
         let in_flight = InFlightGuard(self.clone());
-        self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).request();
+        self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).record_request();
         match before < self.settings.limits.requests {
             true => Ok(in_flight),
             false => Err(ErrorKind::TooManyOpen),
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use redwingfold_core::{Candidate, Health, HostId, pick, pick_in_turn, pick_least_reported};
+use redwingfold_core::{
+    Candidate, HostId, PeerHealth, pick_least_reported, pick_of_two, pick_round_robin,
+};
 
 use super::context::Entry;
 use super::sides::{SideLink, usable_links};
@@ -29,7 +31,7 @@
     let now = entry.daemon.now();
     let mut candidates = Vec::new();
     for link in usable_links(entry) {
-        let healthy = link.link.health(now) == Health::Live;
+        let is_healthy = link.link.health(now) == PeerHealth::Live;
         for report in link.backends() {
             let load = report.load;
             let is_tried = tried.contains(&(link.conn.stable_id(), load.backend.clone()));
@@ -37,20 +39,20 @@
                 continue;
             }
             candidates.push(Candidate {
-                reported: load.busy,
-                sent_since: report.sent_since,
+                reported_requests: load.busy,
+                sent_since_report: report.sent_since,
                 slots: load.slots,
                 first_token: load.first_token,
-                cached: cached_share(&link.host, &load.backend),
-                healthy,
+                cached_share: cached_share(&link.host, &load.backend),
+                is_healthy,
                 id: (link.clone(), load.backend),
             });
         }
     }
     let picked = match entry.settings.balance.policy {
-        BalancePolicy::Expected => pick(&candidates, |n| fastrand::usize(0..n)),
+        BalancePolicy::Expected => pick_of_two(&candidates, |n| fastrand::usize(0..n)),
         BalancePolicy::LeastReported => pick_least_reported(&candidates),
-        BalancePolicy::RoundRobin => pick_in_turn(&candidates, entry.next_round_robin()),
+        BalancePolicy::RoundRobin => pick_round_robin(&candidates, entry.next_round_robin()),
     };
     picked.map(|candidate| candidate.id.clone())
 }
--- a/src/entry/quality.rs
+++ b/src/entry/quality.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use redwingfold_core::{
-    Config, Evidence, ObjectKey, Offset, PerMille, RatingCounter, SequentialTest, Spec, Tally,
+    Config, ObjectKey, Offset, PerMille, RatingCounter, RatingFold, SequentialTest, Spec, Tally,
     TallyRecord, TestVerdict, VersionName, VersionSpec,
 };
 
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 struct QualityState {
     local: BTreeMap<VersionName, LocalRatings>,
-    all_entries: Evidence,
+    all_entries: RatingFold,
     stopped: BTreeSet<VersionName>,
 }
 
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use redwingfold_core::{
-    Change, Config, Millis, ObjectKey, Offset, Record, RequestId, RolloutSpec, Spec,
-    StreamsOnWithdrawal, VersionName, Withdrawal, next_step,
+    Change, Config, ConfigRecord, Millis, ObjectKey, Offset, RequestId, RolloutSpec, Spec,
+    StreamsOnWithdrawal, VersionName, Withdrawal, next_rollout_share,
 };
 use smol::Timer;
 
@@ -66,7 +66,7 @@
         }
         let since = in_service_since(config, &rollout.to);
         let (tally, _) = entry.quality.evidence(entry, &rollout.to, since);
-        let next = next_step(
+        let next = next_rollout_share(
             &rollout.steps,
             rollout.share,
             rollout.rated_before,
@@ -95,7 +95,7 @@
     let share = raised.share;
     let mut object = stored.object.clone();
     object.spec = Spec::Rollout(raised);
-    let record = Record::Change(Change {
+    let record = ConfigRecord::Change(Change {
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
@@ -119,7 +119,7 @@
 /// Appends a withdrawal to the log, retrying until it succeeds. A duplicate has the same id and no
 /// effect.
 pub(crate) async fn append_withdrawal(entry: Arc<Entry>, version: VersionName, reason: String) {
-    let record = Record::Withdraw(Withdrawal {
+    let record = ConfigRecord::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -233,7 +233,7 @@
 fn list_models(entry: &Entry, caller: &Caller) -> Response {
     let config = entry.quality.effective_config(entry.daemon.store.current());
     let session = caller.session.as_ref();
-    let may_run = |v: &VersionName| config.may_run(&caller.customer, session, v).is_ok();
+    let may_run = |v: &VersionName| config.check_access(&caller.customer, session, v).is_ok();
     let mut names = Vec::new();
     for (key, spec) in config.of_kind("version") {
         if let (Spec::Version(v), Ok(version)) = (spec, key.name.parse())
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -144,7 +144,7 @@
         Some(pin) => (Some(pin), Vec::new()),
         None => find_pin(entry, &key).await?,
     };
-    let may_run = |v: &VersionName| config.may_run(&caller.customer, Some(session), v);
+    let may_run = |v: &VersionName| config.check_access(&caller.customer, Some(session), v);
     let (pin, moved_from) = match held {
         Some(pin) => match may_run(&pin.version) {
             Ok(()) => {
--- a/src/entry/sides.rs
+++ b/src/entry/sides.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use quinn::{Connection, Endpoint};
-use redwingfold_core::{Health, HostId, Incarnation, Member, PinKey, pin_holders};
+use redwingfold_core::{HostId, Incarnation, Member, PeerHealth, PinKey, pin_holders};
 
 use super::context::Entry;
 use crate::daemon::Daemon;
@@ -96,7 +96,7 @@
 
     /// Waits until the connection is dead.
     pub(crate) async fn until_dead(&self, daemon: &Daemon) {
-        self.link.until(daemon, |health| health == Health::Dead).await;
+        self.link.until(daemon, |health| health == PeerHealth::Dead).await;
     }
 
     /// Waits until the connection is dead, or was replaced by another while it was silent.
@@ -104,7 +104,7 @@
     /// For requests without a response head yet. A stream that has started waits for
     /// [`Self::until_dead`]: the peer may just have been slow, and the rest may still arrive.
     pub(crate) async fn until_dead_or_replaced(&self, daemon: &Daemon) {
-        let is_lost = |health| health == Health::Dead || self.link.is_replaced();
+        let is_lost = |health| health == PeerHealth::Dead || self.link.is_replaced();
         self.link.until(daemon, is_lost).await;
     }
 }
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -5,7 +5,7 @@
 
 use event_listener::Event;
 use quinn::Connection;
-use redwingfold_core::{Bill, Detector, Health, KeyHash, Millis, Offset, Snapshot};
+use redwingfold_core::{Bill, FailureDetector, KeyHash, Millis, Offset, PeerHealth, Snapshot};
 use smol::Timer;
 use smol::channel::{Receiver, Sender, unbounded};
 
@@ -20,7 +20,7 @@
 /// What both tasks of a control stream, and the calls beside it, know of the connection.
 #[derive(Debug)]
 pub(crate) struct Link {
-    detector: Mutex<Detector>,
+    detector: Mutex<FailureDetector>,
     is_over: AtomicBool,
     is_replaced: AtomicBool,
     moved: Event,
@@ -36,7 +36,7 @@
     /// Makes a link; `asks` says whether this end sends heartbeats of its own.
     pub(crate) fn new(daemon: &Daemon, asks: bool) -> Self {
         let (out_tx, out_rx) = unbounded();
-        let detector = Detector::new(daemon.heartbeat.policy(), daemon.now());
+        let detector = FailureDetector::new(daemon.heartbeat.policy(), daemon.now());
         Self {
             detector: Mutex::new(detector),
             is_over: AtomicBool::new(false),
@@ -50,18 +50,18 @@
         }
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Detector) -> T) -> T {
+    fn with<T>(&self, f: impl FnOnce(&mut FailureDetector) -> T) -> T {
         f(&mut self.detector.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Notes that something arrived on the connection.
     pub(crate) fn heard(&self, now: Millis) {
-        self.with(|d| d.heard(now));
+        self.with(|d| d.record_receipt(now));
     }
 
-    pub(crate) fn health(&self, now: Millis) -> Health {
+    pub(crate) fn health(&self, now: Millis) -> PeerHealth {
         match self.is_over.load(Ordering::Relaxed) {
-            true => Health::Dead,
+            true => PeerHealth::Dead,
             false => self.with(|d| d.health(now)),
         }
     }
@@ -101,7 +101,7 @@
     /// Waits until the peer's health is one that `wanted` accepts. The control stream's clock looks
     /// at the detector for all who wait: with a thousand answers under way, a timer for each would
     /// cost more than the answers.
-    pub(crate) async fn until(&self, daemon: &Daemon, wanted: impl Fn(Health) -> bool) {
+    pub(crate) async fn until(&self, daemon: &Daemon, wanted: impl Fn(PeerHealth) -> bool) {
         loop {
             let moved = self.moved.listen();
             if wanted(self.health(daemon.now())) {
@@ -116,7 +116,8 @@
     /// processor time of an idle entry.
     fn next_check(&self, daemon: &Daemon) -> Millis {
         let interval = daemon.heartbeat.interval_ms;
-        let is_idle = self.calls.load(Ordering::Relaxed) == 0 && !self.with(|d| d.is_asking());
+        let is_idle =
+            self.calls.load(Ordering::Relaxed) == 0 && !self.with(|d| d.awaits_response());
         match is_idle {
             true => interval,
             false => Millis((interval.0 / CHECKS_PER_INTERVAL).max(1)),
@@ -179,7 +180,7 @@
         }
     };
     let ask = async {
-        let mut last = Health::Live;
+        let mut last = PeerHealth::Live;
         let mut counted = (0, 0);
         loop {
             Timer::after(span(link.next_check(daemon))).await;
@@ -189,12 +190,12 @@
             if std::mem::replace(&mut last, health) != health {
                 link.moved.notify(usize::MAX);
             }
-            if health == Health::Dead {
+            if health == PeerHealth::Dead {
                 return WireError::Lost("silent for too long".to_owned());
             }
             let is_busy = link.calls.load(Ordering::Relaxed) > 0;
-            if link.asks && link.with(|d| d.should_ask(now, is_busy)) {
-                link.with(|d| d.asked(now));
+            if link.asks && link.with(|d| d.is_heartbeat_due(now, is_busy)) {
+                link.with(|d| d.record_heartbeat(now));
                 link.send(beat(daemon, events, true));
             }
         }
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use redwingfold_core::{Millis, Policy};
+use redwingfold_core::{HeartbeatPolicy, Millis};
 use serde::{Deserialize, Serialize};
 
 /// Where the log service is and how it is used.
@@ -124,8 +124,8 @@
 
 impl HeartbeatSettings {
     /// Returns the policy of the failure detector.
-    pub fn policy(&self) -> Policy {
-        Policy {
+    pub fn policy(&self) -> HeartbeatPolicy {
+        HeartbeatPolicy {
             interval: self.interval_ms,
             idle_interval: self.idle_interval_ms,
             misses: self.misses,
--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use redwingfold_core::{
-    CustomerName, ErrorKind, FairQueue, Millis, QueueLimits, VersionName, Waiting,
+    CustomerName, ErrorKind, FairQueue, Millis, QueueLimits, QueuedRequest, VersionName,
 };
 use smol::channel::{Sender, bounded};
 
@@ -151,7 +151,7 @@
             if begins > ask.deadline {
                 return Err(ErrorKind::Overloaded);
             }
-            let waiting = Waiting {
+            let waiting = QueuedRequest {
                 item: ticket,
                 customer: ask.customer,
                 work: ask.work,
@@ -195,7 +195,7 @@
     /// Refuses those who wait for a version that is withdrawn.
     pub(crate) fn refuse_if(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
         let refused = |t: &Ticket| t.version.as_ref().is_some_and(&is_withdrawn);
-        let taken = self.lock().queue.take_if(|waiting| refused(&waiting.item));
+        let taken = self.lock().queue.remove_if(|waiting| refused(&waiting.item));
         for waiting in taken {
             waiting.item.tell.try_send(Err(ErrorKind::Withdrawn)).ok();
         }
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -164,14 +164,14 @@
     let longest = side.settings.orders.load_timeout_ms;
     let loads = orders.loads.entry((*first).clone()).or_insert_with(|| LoadFold::new(longest));
     read_loads(side, &stream_name, loads).await?;
-    let going_on = loads.active_beside(&side.daemon.host, wall());
+    let going_on = loads.active_on_other_hosts(&side.daemon.host, wall());
     if going_on >= wanted.limit as usize {
         return Err(Held::Later(format!("{going_on} loads go on")));
     }
     // A load of this host that the log knows of was begun by a side before this one, or ordered
     // without a clear answer: the engine may be at it still. Its turn is taken over, and not given
     // back before the engine has the version; given back sooner, two engines would load at once.
-    let inherited = loads.active_of(&side.daemon.host);
+    let inherited = loads.active_load_of(&side.daemon.host);
     let id = match inherited {
         Some(id) => id,
         None => take_turn(side, &stream_name, loads, first, wanted.limit).await?,
@@ -220,7 +220,7 @@
         let name = format!("{}{version}", stream::LOADS);
         let loads = orders.loads.entry(version.clone()).or_insert_with(|| LoadFold::new(longest));
         read_loads(side, &name, loads).await?;
-        if let Some(id) = loads.active_of(&side.daemon.host) {
+        if let Some(id) = loads.active_load_of(&side.daemon.host) {
             end_load(side, &name, id).await?;
         }
         orders.settled.insert(version.clone());
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -63,8 +63,8 @@
     let outcome = Box::pin(attempt(side, &call, &mut tx, &mut taken)).await;
     if let Err(failure) = outcome {
         match taken {
-            Some(id) if failure.run == RunState::NotRun => side.calls().not_run(id),
-            Some(id) => side.calls().lost(id),
+            Some(id) if failure.run == RunState::NotRun => side.calls().mark_not_run(id),
+            Some(id) => side.calls().mark_unknown(id),
             None => {}
         }
         side.daemon.telemetry.info(
@@ -139,7 +139,7 @@
     let config = side.daemon.store.current();
     let denied = |kind| Failure::new(kind, format!("by the side, at offset {}", config.offset));
     if let Some(version) = &call.version {
-        config.may_run(&call.customer, call.session.as_ref(), version).map_err(denied)?;
+        config.check_access(&call.customer, call.session.as_ref(), version).map_err(denied)?;
     }
     if let Some(service) = &call.service {
         let labels = config.caller_labels(&call.customer, call.session.as_ref());
@@ -243,7 +243,7 @@
     let bill = make_bill(side, call, status, usage);
     if let Some(id) = call.claim.as_ref().map(|claim| claim.id) {
         let answer = CallAnswer { status, content_type, body: copied.kept };
-        side.calls().done(id, answer);
+        side.calls().mark_done(id, answer);
     }
     let end = RunEnd {
         length: copied.length,
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{builder, engine, objects};
-use redwingfold_core::{Fold, Offset, Verdict};
+use redwingfold_core::{ConfigFold, Offset, Verdict};
 use redwingfold_standins::fleet::{Ask, Fleet, Objects, wait_until};
 use serde_json::{Value, json};
 
@@ -18,8 +18,8 @@
 
 const HOSTS: [&str; 3] = ["entry-0", "entry-1", "gpu-1"];
 
-fn fold(fleet: &Fleet) -> Fold {
-    let mut fold = Fold::default();
+fn fold(fleet: &Fleet) -> ConfigFold {
+    let mut fold = ConfigFold::default();
     for (offset, raw) in fleet.log.records("config") {
         fold.apply(Offset(offset), raw.as_bytes());
     }
