--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -47,7 +47,7 @@
 pub use loads::{FenceRecord, LoadFold, LoadRecord};
 pub use outbox::{Outbox, OutboxFull};
 pub use pin::{Pin, PinKey, PinTable};
-pub use queue::{FairQueue, QueueLimits, QueuedRequest};
+pub use queue::{FairQueue, QueueEntry, QueueLimits};
 pub use ratings::{RatingCounter, RatingFold, TallyRecord, next_rollout_share};
 pub use rollout::{SequentialTest, Tally, TestVerdict};
 pub use route::{AccessDenied, Plan, choose_version, plan, rollout_bucket};
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -16,7 +16,7 @@
 
 /// A request that waits.
 #[derive(Clone, Debug)]
-pub struct QueuedRequest<T> {
+pub struct QueueEntry<T> {
     /// The request.
     pub item: T,
     /// Its customer.
@@ -33,7 +33,7 @@
     /// Virtual time at which its next request may run.
     next_start: u64,
     weight: u64,
-    waiting: BTreeMap<(u8, u64), QueuedRequest<T>>,
+    waiting: BTreeMap<(u8, u64), QueueEntry<T>>,
 }
 
 /// Start-time fair queueing over customers: each gets work in proportion to its weight, whatever
@@ -64,10 +64,10 @@
     /// The request and [`ErrorKind::Overloaded`] if the queue or the customer's part of it is full.
     pub fn push(
         &mut self,
-        request: QueuedRequest<T>,
+        request: QueueEntry<T>,
         weight: u32,
         priority: u8,
-    ) -> Result<(), (QueuedRequest<T>, ErrorKind)> {
+    ) -> Result<(), (QueueEntry<T>, ErrorKind)> {
         let count =
             self.customer_queues.get(&request.customer).map_or(0, |queue| queue.waiting.len());
         if count >= self.limits.max_per_customer || self.len >= self.limits.max_waiting {
@@ -88,11 +88,7 @@
     }
 
     /// Takes the next request whose deadline has not passed; the late ones before it go to `late`.
-    pub fn pop(
-        &mut self,
-        now: Millis,
-        expired: &mut Vec<QueuedRequest<T>>,
-    ) -> Option<QueuedRequest<T>> {
+    pub fn pop(&mut self, now: Millis, expired: &mut Vec<QueueEntry<T>>) -> Option<QueueEntry<T>> {
         loop {
             let backlogged =
                 self.customer_queues.values_mut().filter(|queue| !queue.waiting.is_empty());
@@ -117,8 +113,8 @@
     /// Takes out every request that `should_remove` names.
     pub fn remove_if(
         &mut self,
-        mut should_remove: impl FnMut(&QueuedRequest<T>) -> bool,
-    ) -> Vec<QueuedRequest<T>> {
+        mut should_remove: impl FnMut(&QueueEntry<T>) -> bool,
+    ) -> Vec<QueueEntry<T>> {
         let mut removed = Vec::new();
         for queue in self.customer_queues.values_mut() {
             removed.extend(queue.waiting.extract_if(.., |_, request| should_remove(request)));
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -31,8 +31,8 @@
     let now = entry.daemon.now();
     let mut candidates = Vec::new();
     for link in usable_links(entry) {
-        let is_healthy = link.link.health(now) == PeerHealth::Live;
-        for report in link.backends() {
+        let is_healthy = link.peer_link.health(now) == PeerHealth::Live;
+        for report in link.backend_loads() {
             let load = report.load;
             let is_tried = tried.contains(&(link.conn.stable_id(), load.backend.clone()));
             if is_tried || !load.up || !accepts(&load) {
