--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -10,7 +10,7 @@
     Verdict,
 };
 
-use crate::clock::within;
+use crate::clock::with_timeout;
 use crate::wire::ConfigMark;
 use redwingfold_telemetry::Telemetry;
 
@@ -196,7 +196,7 @@
                 changed.await;
             }
         };
-        within(limit, reached).await.is_some()
+        with_timeout(limit, reached).await.is_some()
     }
 
     /// Compares a peer's mark with ours: equal offsets and rules must have equal hashes.
