--- a/core/src/serving/interrupted_runs.rs
+++ b/core/src/serving/interrupted_runs.rs
@@ -85,15 +85,15 @@
     /// assert_eq!(runs.record_broken(&server, run, Millis(8)), BrokenRun::ServerEnded);
     /// ```
     pub fn record_broken(&mut self, server: &BackendId, run: EndedRun, now: Millis) -> BrokenRun {
-        let known = self.known(server, now);
-        if known.has_ended {
+        let entry = self.server_runs(server, now);
+        if entry.has_ended {
             return BrokenRun::ServerEnded;
         }
-        if known.broken.len() < MAX_RUNS {
-            known.broken.push(run);
+        if entry.broken.len() < MAX_RUNS {
+            entry.broken.push(run);
         }
-        let is_first = known.first_broken_at.is_none();
-        known.first_broken_at.get_or_insert(now);
+        let is_first = entry.first_broken_at.is_none();
+        entry.first_broken_at.get_or_insert(now);
         if is_first { BrokenRun::ProbeServer } else { BrokenRun::ProbePending }
     }
 
@@ -111,17 +111,17 @@
     /// assert_eq!(runs.record_end(&server, Millis(7_000)), [run(2), run(3)]);
     /// ```
     pub fn record_abandoned(&mut self, server: &BackendId, run: EndedRun, now: Millis) {
-        let known = self.known(server, now);
-        if known.abandoned.len() >= MAX_RUNS {
-            known.abandoned.pop_front();
+        let entry = self.server_runs(server, now);
+        if entry.abandoned.len() >= MAX_RUNS {
+            entry.abandoned.pop_front();
         }
-        known.abandoned.push_back((run, now));
+        entry.abandoned.push_back((run, now));
     }
 
     /// Records an answer of a server: it survived the runs that were abandoned there some time before.
     pub fn record_answer(&mut self, server: &BackendId, now: Millis) {
-        if let Some(known) = self.servers.get_mut(server) {
-            known.abandoned.retain(|(_, at)| now.since(*at) <= ABANDONED_WINDOW);
+        if let Some(entry) = self.servers.get_mut(server) {
+            entry.abandoned.retain(|(_, at)| now.since(*at) <= ABANDONED_WINDOW);
         }
     }
 
@@ -129,14 +129,14 @@
     /// shortly before.
     pub fn record_end(&mut self, server: &BackendId, now: Millis) -> Vec<EndedRun> {
         self.prune(now);
-        let Some(known) = self.servers.get_mut(server) else { return Vec::new() };
-        known.has_ended = true;
+        let Some(entry) = self.servers.get_mut(server) else { return Vec::new() };
+        entry.has_ended = true;
         // Without a broken run, the server may have ended at any time since its last answer.
-        let ended_at = known.first_broken_at.unwrap_or_default();
-        let left = std::mem::take(&mut known.abandoned);
+        let ended_at = entry.first_broken_at.unwrap_or_default();
+        let left = std::mem::take(&mut entry.abandoned);
         let just_before =
             left.into_iter().filter(|(_, at)| ended_at.since(*at) <= ABANDONED_WINDOW);
-        let mut runs = std::mem::take(&mut known.broken);
+        let mut runs = std::mem::take(&mut entry.broken);
         runs.extend(just_before.map(|(run, _)| run));
         runs
     }
@@ -147,44 +147,44 @@
     /// A server with a recent run and no broken one has shut down as planned, because the record of a crashed server
     /// takes longer to expire.
     pub fn record_expiry(&mut self, server: &BackendId, now: Millis) -> Vec<EndedRun> {
-        let has_just_run = |known: &ServerRuns| {
-            let last = known.abandoned.back().map(|(_, at)| *at);
-            known.first_broken_at.is_none()
+        let has_just_run = |entry: &ServerRuns| {
+            let last = entry.abandoned.back().map(|(_, at)| *at);
+            entry.first_broken_at.is_none()
                 && last.is_some_and(|at| now.since(at) < MIN_EXPIRY_DELAY)
         };
         match self.servers.get(server) {
-            Some(known) if has_just_run(known) => Vec::new(),
+            Some(entry) if has_just_run(entry) => Vec::new(),
             _ => self.record_end(server, now),
         }
     }
 
     /// Records that a server was probed.
     pub fn record_probe(&mut self, server: &BackendId) {
-        if let Some(known) = self.servers.get_mut(server) {
-            known.is_probed = true;
+        if let Some(entry) = self.servers.get_mut(server) {
+            entry.is_probed = true;
         }
     }
 
     /// Returns whether a run broke at a server that has not been probed yet.
     pub fn awaits_probe(&self, server: &BackendId) -> bool {
-        let awaits_probe = |known: &ServerRuns| known.first_broken_at.is_some() && !known.is_probed;
-        self.servers.get(server).is_some_and(|known| awaits_probe(known) && !known.has_ended)
+        let awaits_probe = |entry: &ServerRuns| entry.first_broken_at.is_some() && !entry.is_probed;
+        self.servers.get(server).is_some_and(|entry| awaits_probe(entry) && !entry.has_ended)
     }
 
-    fn known(&mut self, server: &BackendId, now: Millis) -> &mut ServerRuns {
+    fn server_runs(&mut self, server: &BackendId, now: Millis) -> &mut ServerRuns {
         self.prune(now);
-        let known = self.servers.entry(server.clone()).or_default();
-        known.last_run_at = now;
-        known
+        let entry = self.servers.entry(server.clone()).or_default();
+        entry.last_run_at = now;
+        entry
     }
 
     fn prune(&mut self, now: Millis) {
         if now.since(self.pruned_at) >= PRUNE_INTERVAL {
             self.pruned_at = now;
-            self.servers.retain(|_, known| now.since(known.last_run_at) < RETENTION);
+            self.servers.retain(|_, entry| now.since(entry.last_run_at) < RETENTION);
         }
         if self.servers.len() >= MAX_SERVERS {
-            let earliest = self.servers.iter().min_by_key(|(_, known)| known.last_run_at);
+            let earliest = self.servers.iter().min_by_key(|(_, entry)| entry.last_run_at);
             let earliest = earliest.map(|(id, _)| id.clone());
             earliest.and_then(|id| self.servers.remove(&id));
         }
--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -35,7 +35,7 @@
     /// Models that it has loaded; empty if it is not a model engine.
     pub models: Vec<ModelName>,
     /// Incarnation of its process, if the platform reports it: a server may restart under the same id.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Remaining time for which it is cold, as of its record.
     pub cold_left: Millis,
 }
@@ -47,7 +47,7 @@
     /// the load and the failures of a process that no longer exists, and a server that once drained would never be used
     /// again.
     pub fn is_restart_of(&self, earlier: &Self) -> bool {
-        matches!((self.born, earlier.born), (Some(now), Some(then)) if now > then)
+        matches!((self.incarnation, earlier.incarnation), (Some(now), Some(then)) if now > then)
     }
 }
 
--- a/core/tests/restored_servers.rs
+++ b/core/tests/restored_servers.rs
@@ -138,7 +138,7 @@
         slots: 8,
         state: ServerState::Ready,
         models: Vec::new(),
-        born: Some(Incarnation(1)),
+        incarnation: Some(Incarnation(1)),
         cold_left: Millis(0),
     }
 }
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -19,7 +19,7 @@
         slots: 64,
         state,
         models: Vec::new(),
-        born: None,
+        incarnation: None,
         cold_left: Millis(0),
     }
 }
@@ -386,7 +386,10 @@
 /// late heartbeat of the earlier process must not restore its state.
 #[test]
 fn later_start_ends_what_was_believed() {
-    let start = |born, state| BackendServer { born: Some(Incarnation(born)), ..server("a", state) };
+    let start = |incarnation, state| BackendServer {
+        incarnation: Some(Incarnation(incarnation)),
+        ..server("a", state)
+    };
     let state = |registry: &Registry| registry.servers(Millis(0)).next().map(|s| s.state);
     let mut registry = Registry::default();
     assert_eq!(registry.put(start(1, ServerState::Ready), Millis(0)), PutOutcome::Applied);
--- a/gateway/src/exchange/tests.rs
+++ b/gateway/src/exchange/tests.rs
@@ -142,7 +142,7 @@
         slots: 8,
         state: ServerState::Ready,
         models: Vec::new(),
-        born: None,
+        incarnation: None,
         cold_left: Millis(0),
     }
 }
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -10,7 +10,7 @@
 
 /// Returns a hash of the server's id and incarnation, the same on every gateway.
 pub(crate) fn incarnation_hash(server: &BackendServer) -> u64 {
-    let incarnation = server.born.map_or(0, |born| born.0);
+    let incarnation = server.incarnation.map_or(0, |incarnation| incarnation.0);
     xxh3_64_with_seed(server.id.as_str().as_bytes(), incarnation)
 }
 
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -123,7 +123,7 @@
 
 impl From<&BackendServer> for ServerInstance {
     fn from(server: &BackendServer) -> Self {
-        Self { id: server.id.clone(), incarnation: server.born }
+        Self { id: server.id.clone(), incarnation: server.incarnation }
     }
 }
 
@@ -137,12 +137,12 @@
     /// Returns the entry of a server, reset if this is a later incarnation; `None` if the entry belongs to a later one than
     /// `server`.
     fn entry(&mut self, server: &BackendServer) -> Option<&mut ServerLoad> {
-        let born = server.born;
+        let incarnation = server.incarnation;
         let load = self.own.entry(server.id.clone()).or_default();
-        if load.incarnation < born {
-            *load = ServerLoad { incarnation: born, ..ServerLoad::default() };
+        if load.incarnation < incarnation {
+            *load = ServerLoad { incarnation, ..ServerLoad::default() };
         }
-        (load.incarnation == born).then_some(load)
+        (load.incarnation == incarnation).then_some(load)
     }
 }
 
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -191,7 +191,7 @@
             slots: server.slots,
             is_draining: server.state == ServerState::Draining,
             models: server.models.iter().map(ToString::to_string).collect(),
-            born: server.born.map(|born| born.0),
+            born: server.incarnation.map(|incarnation| incarnation.0),
             cold_left: server.cold_left.0.min(u64::from(u32::MAX)) as u32,
         }
     }
@@ -211,7 +211,7 @@
             slots: message.slots,
             state: if message.is_draining { ServerState::Draining } else { ServerState::Ready },
             models: models?,
-            born: message.born.map(Incarnation),
+            incarnation: message.born.map(Incarnation),
             cold_left: Millis(message.cold_left.into()),
         })
     }
