--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,7 +1,7 @@
-//! Claims, which give non-idempotent calls at-most-once execution.
+//! Claims, which run a non-repeatable service call with an idempotency key at most once.
 //!
-//! Before a call runs, its entry appends a claim to the log. The first valid claim of a key holds
-//! it; a later call with the same key gets the outcome of that run.
+//! Before such a call runs, its entry appends a claim to the log. The first valid claim of a key
+//! holds it; a later call with the same key gets the outcome of that run.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -47,7 +47,7 @@
 }
 
 fn partition_of(key: KeyHash) -> String {
-    format!("{}{}", stream::CLAIMS, key.0 % PARTITION_COUNT)
+    format!("{}{}", stream::CLAIMS_PREFIX, key.0 % PARTITION_COUNT)
 }
 
 /// The result of claiming a call.
@@ -63,7 +63,7 @@
 ///
 /// If another claim holds the key, its outcome is resolved first: a response is returned, and a
 /// claim that was closed without a run is replaced.
-pub(crate) async fn claim(
+pub(crate) async fn claim_call(
     entry: &Arc<Entry>,
     link: &SideLink,
     key: KeyHash,
@@ -155,7 +155,7 @@
 /// Asks the side that the holder's claim names for its outcome, and closes the claim if the side
 /// has not received it.
 async fn resolve_holder(entry: &Entry, holder: &Claim) -> Result<HolderOutcome, RequestError> {
-    let unknown = |why: &str| RequestError::new(ErrorKind::OutcomeUnknown, why);
+    let unknown = |detail: &str| RequestError::new(ErrorKind::OutcomeUnknown, detail);
     let connection = side_connection(entry, &holder.host).await;
     let connection =
         connection.ok_or_else(|| unknown("the side that may have run it is out of reach"))?;
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -10,7 +10,7 @@
 
 use super::context::Entry;
 use super::quality::{in_service_since, test_version};
-use crate::clock::{jittered, wall};
+use crate::clock::{jittered, unix_time};
 use crate::platform::{LogError, stream};
 
 const PAGE_RECORDS: usize = 500;
@@ -27,7 +27,7 @@
     }
     loop {
         Timer::after(jittered(entry.settings.batch.every_ms)).await;
-        let records = entry.quality.records(entry);
+        let records = entry.quality.tally_records(entry);
         let rated = records.iter().map(|r| r.total.rated()).sum::<u64>();
         if rated != published_ratings {
             let json = serde_json::to_vec(&records).unwrap_or_default();
@@ -38,7 +38,7 @@
         }
         let from = Offset(entry.quality.folded_offset().0 + 1);
         match entry.daemon.log.read(stream::RATINGS, from, PAGE_RECORDS, Millis(0)).await {
-            Ok(page) => entry.quality.fold(&page.records),
+            Ok(page) => entry.quality.apply_records(&page.records),
             Err(_) => continue,
         }
         let config = entry.daemon.store.current();
@@ -65,7 +65,7 @@
             continue;
         }
         let since = in_service_since(config, &rollout.to);
-        let (tally, _) = entry.quality.evidence(entry, &rollout.to, since);
+        let (tally, _) = entry.quality.tallies(entry, &rollout.to, since);
         let next = next_step(
             &rollout.steps,
             rollout.share,
@@ -99,7 +99,7 @@
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
-        at: wall(),
+        at: unix_time(),
         expects: [(key.clone(), stored.revision)].into(),
         put: vec![object],
         delete: Vec::new(),
@@ -123,7 +123,7 @@
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
-        at: wall(),
+        at: unix_time(),
         version,
         streams: StreamsOnWithdrawal::Finish,
     });
