--- a/src/billing/bill_outbox.rs
+++ b/src/billing/bill_outbox.rs
@@ -61,7 +61,7 @@
     /// Removes bills that are in the log or stored by another process.
     pub(crate) fn remove(&self, ids: &[KeyHash]) {
         let mut outbox = self.lock();
-        ids.iter().for_each(|id| outbox.forget(id));
+        ids.iter().for_each(|id| outbox.remove(id));
     }
 
     /// Returns all unconfirmed bills.
@@ -135,7 +135,7 @@
     /// Makes every bill due and waits until all are confirmed. Returns whether they were within the
     /// timeout.
     pub(crate) async fn flush(&self, timeout: Millis) -> bool {
-        self.lock().make_due();
+        self.lock().make_all_due();
         self.flush_signal.0.try_send(()).ok();
         let done = async {
             while self.len() > 0 {
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -6,7 +6,7 @@
 
 use event_listener::Event;
 use quinn::Connection;
-use redwingfold_core::{Bill, Detector, Health, KeyHash, Millis, Offset, Snapshot};
+use redwingfold_core::{Bill, FailureDetector, KeyHash, Millis, Offset, PeerHealth, Snapshot};
 use smol::Timer;
 use smol::channel::{Receiver, Sender, unbounded};
 
@@ -21,7 +21,7 @@
 /// State of a connection that is shared by the tasks of its control stream and its calls.
 #[derive(Debug)]
 pub(crate) struct Link {
-    detector: Mutex<Detector>,
+    detector: Mutex<FailureDetector>,
     is_closed: AtomicBool,
     is_replaced: AtomicBool,
     health_changed: Event,
@@ -38,7 +38,7 @@
     /// or only replies to those of the peer.
     pub(crate) fn new(daemon: &Daemon, sends_heartbeats: bool) -> Self {
         let (out_tx, out_rx) = unbounded();
-        let detector = Detector::new(daemon.heartbeat.policy(), daemon.now());
+        let detector = FailureDetector::new(daemon.heartbeat.policy(), daemon.now());
         Self {
             detector: Mutex::new(detector),
             is_closed: AtomicBool::new(false),
@@ -52,18 +52,18 @@
         }
     }
 
-    fn with_detector<T>(&self, f: impl FnOnce(&mut Detector) -> T) -> T {
+    fn with_detector<T>(&self, f: impl FnOnce(&mut FailureDetector) -> T) -> T {
         f(&mut self.detector.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Records for the failure detector that a message was received.
     pub(crate) fn record_receipt(&self, now: Millis) {
-        self.with_detector(|d| d.heard(now));
+        self.with_detector(|d| d.record_receipt(now));
     }
 
-    pub(crate) fn health(&self, now: Millis) -> Health {
+    pub(crate) fn health(&self, now: Millis) -> PeerHealth {
         match self.is_closed.load(Ordering::Relaxed) {
-            true => Health::Dead,
+            true => PeerHealth::Dead,
             false => self.with_detector(|d| d.health(now)),
         }
     }
@@ -79,7 +79,7 @@
         self.peer_offset.fetch_max(offset.0, Ordering::Relaxed);
     }
 
-    /// Marks the connection as closed: from now on its health is [`Health::Dead`].
+    /// Marks the connection as closed: from now on its health is [`PeerHealth::Dead`].
     pub(crate) fn mark_closed(&self) {
         self.is_closed.store(true, Ordering::Relaxed);
         self.health_changed.notify(usize::MAX);
@@ -104,7 +104,11 @@
     ///
     /// The control stream's timer checks the detector for all waiting tasks: with a thousand
     /// responses in flight, a timer for each would cost more than the responses.
-    pub(crate) async fn wait_for_health(&self, daemon: &Daemon, wanted: impl Fn(Health) -> bool) {
+    pub(crate) async fn wait_for_health(
+        &self,
+        daemon: &Daemon,
+        wanted: impl Fn(PeerHealth) -> bool,
+    ) {
         loop {
             let health_changed = self.health_changed.listen();
             if wanted(self.health(daemon.now())) {
@@ -122,7 +126,7 @@
     fn check_interval(&self, daemon: &Daemon) -> Millis {
         let interval = daemon.heartbeat.interval_ms;
         let is_idle = self.calls_in_flight.load(Ordering::Relaxed) == 0
-            && !self.with_detector(|d| d.is_asking());
+            && !self.with_detector(|d| d.awaits_response());
         match is_idle {
             true => interval,
             false => Millis((interval.0 / CHECKS_PER_INTERVAL).max(1)),
@@ -186,7 +190,7 @@
         }
     };
     let monitor = async {
-        let mut last = Health::Live;
+        let mut last = PeerHealth::Live;
         let mut counted_bytes = (0, 0);
         loop {
             Timer::after(to_duration(link.check_interval(daemon))).await;
@@ -196,12 +200,12 @@
             if std::mem::replace(&mut last, health) != health {
                 link.health_changed.notify(usize::MAX);
             }
-            if health == Health::Dead {
+            if health == PeerHealth::Dead {
                 return WireError::Lost("silent for too long".to_owned());
             }
             let is_busy = link.calls_in_flight.load(Ordering::Relaxed) > 0;
-            if link.sends_heartbeats && link.with_detector(|d| d.should_ask(now, is_busy)) {
-                link.with_detector(|d| d.asked(now));
+            if link.sends_heartbeats && link.with_detector(|d| d.is_heartbeat_due(now, is_busy)) {
+                link.with_detector(|d| d.record_heartbeat(now));
                 link.send(heartbeat(daemon, events, true));
             }
         }
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -176,7 +176,7 @@
         .entry((*next_version).clone())
         .or_insert_with(|| LoadFold::new(load_timeout));
     read_loads(side, &stream_name, loads).await?;
-    let active_elsewhere = loads.active_beside(&side.daemon.host, unix_time());
+    let active_elsewhere = loads.active_on_other_hosts(&side.daemon.host, unix_time());
     if active_elsewhere >= desired.limit as usize {
         return Err(NotOrdered::RetryLater(format!(
             "{active_elsewhere} loads are active on other hosts"
@@ -186,7 +186,7 @@
     // no clear answer, so the engine may still be loading. This side takes over the load slot and
     // keeps it until the engine has the version: if it released the slot earlier, more hosts than
     // allowed could load at the same time.
-    let inherited_slot = loads.active_of(&side.daemon.host);
+    let inherited_slot = loads.active_load_of(&side.daemon.host);
     let id = match inherited_slot {
         Some(id) => id,
         None => claim_load_slot(side, &stream_name, loads, next_version, desired.limit).await?,
@@ -244,7 +244,7 @@
             .entry(version.clone())
             .or_insert_with(|| LoadFold::new(load_timeout));
         read_loads(side, &name, loads).await?;
-        if let Some(id) = loads.active_of(&side.daemon.host) {
+        if let Some(id) = loads.active_load_of(&side.daemon.host) {
             append_load_end(side, &name, id).await?;
         }
         state.ended_loads.insert(version.clone());
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -63,8 +63,8 @@
     let outcome = Box::pin(admit_and_forward(side, &call, &mut tx, &mut claimed_id)).await;
     if let Err(failure) = outcome {
         match claimed_id {
-            Some(id) if failure.run == RunState::NotRun => side.calls().not_run(id),
-            Some(id) => side.calls().lost(id),
+            Some(id) if failure.run == RunState::NotRun => side.calls().mark_not_run(id),
+            Some(id) => side.calls().mark_unknown(id),
             None => {}
         }
         side.daemon.telemetry.info(
@@ -140,7 +140,7 @@
     let config = side.daemon.store.current();
     let denied = |kind| Failure::new(kind, format!("by the side, at offset {}", config.offset));
     if let Some(version) = &call.version {
-        config.may_run(&call.customer, call.session.as_ref(), version).map_err(denied)?;
+        config.check_access(&call.customer, call.session.as_ref(), version).map_err(denied)?;
     }
     if let Some(service) = &call.service {
         let labels = config.caller_labels(&call.customer, call.session.as_ref());
@@ -246,7 +246,7 @@
     let bill = make_bill(side, call, status, usage);
     if let Some(id) = call.claim.as_ref().map(|claim| claim.id) {
         let answer = CallAnswer { status, content_type, body: body.full_body };
-        side.calls().done(id, answer);
+        side.calls().mark_done(id, answer);
     }
     let end = RunEnd {
         length: body.length,
