--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -24,7 +24,7 @@
 }
 
 /// Sends bytes and reads what comes until the connection is closed.
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("connect");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout above zero");
     stream.write_all(bytes).ok();
@@ -33,7 +33,7 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn is_alive(fleet: &Fleet) {
+fn check_still_serves(fleet: &Fleet) {
     let answered = fleet.caller(0).send_blocking(&Ask::chat("ani", "slip", "one"));
     assert_eq!(answered.status, 200, "{}", answered.text());
 }
@@ -78,7 +78,7 @@
         assert_eq!(answered.error_code(), (code.to_owned(), "not_run".to_owned()), "{ask:?}");
         assert!(answered.header("x-request-id").is_some());
     }
-    is_alive(&fleet);
+    check_still_serves(&fleet);
     assert_eq!(fleet.engines["gpu-1"].history.of("run").len(), 1);
 }
 
@@ -110,13 +110,13 @@
         ),
     ];
     for (bytes, status) in cases {
-        let answer = raw(addr, bytes.as_bytes());
-        let shown = &bytes[..bytes.len().min(60)];
-        assert!(answer.starts_with(&format!("HTTP/1.1{status}")), "{shown:?}: {answer:?}");
+        let answer = send_raw(addr, bytes.as_bytes());
+        let excerpt = &bytes[..bytes.len().min(60)];
+        assert!(answer.starts_with(&format!("HTTP/1.1{status}")), "{excerpt:?}: {answer:?}");
         assert!(answer.contains("\"run_state\":\"not_run\""), "{answer}");
         assert!(answer.to_lowercase().contains("x-request-id: "), "{answer}");
     }
-    is_alive(&fleet);
+    check_still_serves(&fleet);
 }
 
 /// Connections beyond the limit are refused, with a time to come back, and work again when others
@@ -125,11 +125,12 @@
 fn too_many_connections() {
     let fleet = fleet();
     let addr = fleet.caller(0).addr;
-    let held: Vec<_> = (0..20).map(|_| TcpStream::connect(addr).expect("connect")).collect();
+    let open_connections: Vec<_> =
+        (0..20).map(|_| TcpStream::connect(addr).expect("connect")).collect();
     wait_until("the limit is reached", || {
-        raw(addr, b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").contains("too_many_open")
+        send_raw(addr, b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").contains("too_many_open")
     });
-    drop(held);
+    drop(open_connections);
     wait_until("others have gone", || {
         fleet.caller(0).send_blocking(&Ask::new(Method::Get, "/healthz", "ani")).status == 200
     });
@@ -140,8 +141,8 @@
 #[test]
 fn strangers_get_nowhere() {
     let fleet = fleet();
-    let stranger = builder().start_without_daemons();
-    let settings = stranger.dir().join("ctl.json");
+    let other_fleet = builder().start_without_daemons();
+    let settings = other_fleet.dir().join("ctl.json");
     let mut ours: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(fleet.dir().join("ctl.json")).unwrap())
             .unwrap();
@@ -149,16 +150,16 @@
         serde_json::from_str(&std::fs::read_to_string(&settings).unwrap()).unwrap();
     ours["tls"] = theirs["tls"].clone();
     std::fs::write(&settings, ours.to_string()).unwrap();
-    let output = stranger.ctl(&["status"]);
+    let output = other_fleet.ctl(&["status"]);
     assert_eq!(output.status.code(), Some(4), "{output:?}");
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(said.contains("silent") && !said.contains("serving"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(printed.contains("silent") && !printed.contains("serving"), "{printed}");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..200_u8 {
         let bytes: Vec<u8> = (0..=n).map(|i| i.wrapping_mul(n) ^ 0xc3).collect();
         socket.send_to(&bytes, fleet.peer_addr("gpu-1")).unwrap();
     }
-    is_alive(&fleet);
+    check_still_serves(&fleet);
 }
 
 /// The operator's tool refuses objects that do not fit, says what is wrong with which code, and
@@ -171,15 +172,15 @@
     let file = fleet.write_objects("dangling", &dangling);
     let output = fleet.ctl(&["publish", &file, "--reason", "x"]);
     assert_eq!(output.status.code(), Some(5));
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("bad_object") && said.contains("version/nowhere-1"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(printed.contains("bad_object") && printed.contains("version/nowhere-1"), "{printed}");
 
     let empty = Objects::default().grant("none", "org=nobody", "model=slip");
     let file = fleet.write_objects("empty", &empty);
     let output = fleet.ctl(&["check", &file, "--explain"]);
     assert_eq!(output.status.code(), Some(5));
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(said.contains("empty_selector") && said.contains("grant/none"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(printed.contains("empty_selector") && printed.contains("grant/none"), "{printed}");
 
     std::fs::write(fleet.dir().join("torn.json"), "[{\"kind\":\"model\",").unwrap();
     let torn = fleet.dir().join("torn.json");
@@ -191,8 +192,8 @@
     )
     .unwrap();
     let output = fleet.ctl(&["check", torn.to_str().unwrap(), "--offline"]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("selector"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(printed.contains("selector"), "{printed}");
     assert_eq!(fleet.log.records("config").len(), records);
 }
 
--- a/tests/common/checks.rs
+++ b/tests/common/checks.rs
@@ -10,21 +10,21 @@
 
 /// Finds runs of a version that began after a time.
 pub fn runs_after(events: &[Event], version: &str, at_us: u64) -> Vec<String> {
-    let late = events.iter().filter(|e| e.what == "run" && e.of == version && e.at_us > at_us);
-    late.map(|e| format!("{version} ran {} after it must not", e.request)).collect()
+    let late_runs = events.iter().filter(|e| e.what == "run" && e.of == version && e.at_us > at_us);
+    late_runs.map(|e| format!("{version} ran {} after it must not", e.request)).collect()
 }
 
 /// Finds sessions whose answers came from more than one version.
 pub fn moved_sessions(calls: &[Call]) -> Vec<String> {
-    let mut seen = BTreeMap::<&str, BTreeSet<&str>>::new();
+    let mut versions_by_session = BTreeMap::<&str, BTreeSet<&str>>::new();
     for call in calls.iter().filter(|c| c.answered.status == 200) {
         if let (Some(session), Some(version)) =
-            (call.asked("x-session-id"), call.answered.header("x-model-version"))
+            (call.request_header("x-session-id"), call.answered.header("x-model-version"))
         {
-            seen.entry(session).or_default().insert(version);
+            versions_by_session.entry(session).or_default().insert(version);
         }
     }
-    let moved = seen.into_iter().filter(|(_, versions)| versions.len() > 1);
+    let moved = versions_by_session.into_iter().filter(|(_, versions)| versions.len() > 1);
     moved.map(|(session, versions)| format!("session {session} had {versions:?}")).collect()
 }
 
@@ -33,16 +33,16 @@
     let mut found = Vec::new();
     for call in calls.iter().filter(|c| c.answered.status == 200) {
         let answered = &call.answered;
-        let asked: Value = serde_json::from_slice(&call.ask.body).unwrap_or_default();
-        let is_stream = asked["stream"] == true;
-        let prompt = asked["messages"][0]["content"].as_str().unwrap_or_default();
-        let tokens = asked["max_tokens"].as_u64().unwrap_or(8);
+        let request_body: Value = serde_json::from_slice(&call.ask.body).unwrap_or_default();
+        let is_stream = request_body["stream"] == true;
+        let prompt = request_body["messages"][0]["content"].as_str().unwrap_or_default();
+        let tokens = request_body["max_tokens"].as_u64().unwrap_or(8);
         let request = answered.header("x-request-id").unwrap_or_default();
         let version = answered.header("x-model-version").unwrap_or_default();
         let expected = answer_text(version, request, prompt, tokens);
         let content = answered.content();
-        let ended = if is_stream { answered.is_whole_stream() } else { answered.whole };
-        match ended {
+        let is_complete = if is_stream { answered.is_whole_stream() } else { answered.whole };
+        match is_complete {
             true if content != expected => {
                 found.push(format!("request {request}: {content:?}, not {expected:?}"));
             }
@@ -79,22 +79,22 @@
     let mut fold = BillFold::default();
     records.iter().for_each(|(_, raw)| fold.apply(raw.as_bytes()));
     let mut found = Vec::new();
-    let mut wanted = BTreeMap::<String, usize>::new();
+    let mut expected_bills = BTreeMap::<String, usize>::new();
     for call in calls.iter().filter(|c| c.answered.status == 200) {
         let id = call.answered.header("x-request-id").unwrap_or_default();
-        let key = call.asked("idempotency-key").unwrap_or(id);
-        *wanted.entry(key.to_owned()).or_default() += 1;
+        let key = call.request_header("idempotency-key").unwrap_or(id);
+        *expected_bills.entry(key.to_owned()).or_default() += 1;
     }
-    let answered: BTreeSet<_> =
+    let answered_ids: BTreeSet<_> =
         calls.iter().filter_map(|c| c.answered.header("x-request-id")).collect();
-    let billed = fold.bills().count();
-    let unknown = fold.bills().filter(|b| !answered.contains(b.request.to_string().as_str()));
-    let lost_calls = calls.iter().filter(|c| c.answered.status == 0).count();
-    if unknown.count() > lost_calls {
+    let bill_count = fold.bills().count();
+    let unmatched = fold.bills().filter(|b| !answered_ids.contains(b.request.to_string().as_str()));
+    let without_response = calls.iter().filter(|c| c.answered.status == 0).count();
+    if unmatched.count() > without_response {
         found.push("bills of requests that nobody made".to_owned());
     }
-    if billed < wanted.len() {
-        found.push(format!("{} answers, but {billed} bills", wanted.len()));
+    if bill_count < expected_bills.len() {
+        found.push(format!("{} answers, but {bill_count} bills", expected_bills.len()));
     }
     found
 }
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns a header of the request.
-    pub fn asked(&self, name: &str) -> Option<&str> {
+    pub fn request_header(&self, name: &str) -> Option<&str> {
         self.ask.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 }
@@ -50,18 +50,18 @@
     pub fn start(
         callers: Vec<Caller>,
         threads: usize,
-        ask: impl Fn(u64) -> Ask + Clone + Send + 'static,
+        make_request: impl Fn(u64) -> Ask + Clone + Send + 'static,
     ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let calls = Arc::new(Mutex::new(Vec::new()));
         let next = Arc::new(AtomicU64::new(0));
         let threads = (0..threads).map(|_| {
             let (stop, calls, next) = (stop.clone(), calls.clone(), next.clone());
-            let (callers, ask) = (callers.clone(), ask.clone());
+            let (callers, make_request) = (callers.clone(), make_request.clone());
             std::thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
                     let n = next.fetch_add(1, Ordering::SeqCst);
-                    let call = Call::send(&callers[n as usize % callers.len()], ask(n));
+                    let call = Call::send(&callers[n as usize % callers.len()], make_request(n));
                     if call.answered.status == 0 {
                         // A dead entry refuses at once; the loop must not spin on it.
                         std::thread::sleep(std::time::Duration::from_millis(5));
@@ -75,10 +75,10 @@
     }
 
     /// Waits until so many more calls have ended.
-    pub fn wait_for(&self, more: usize) {
+    pub fn wait_for(&self, additional: usize) {
         let count = || self.calls.lock().unwrap_or_else(PoisonError::into_inner).len();
-        let wanted = count() + more;
-        wait_until("calls", || count() >= wanted);
+        let target = count() + additional;
+        wait_until("calls", || count() >= target);
     }
 
     /// Stops the callers and returns what they saw.
--- a/tests/findings.rs
+++ b/tests/findings.rs
@@ -19,23 +19,23 @@
 }
 
 /// Returns the entry and the broken rules of each such day, as the findings write them.
-fn broken_days() -> Vec<(String, String)> {
+fn days_with_violations() -> Vec<(String, String)> {
     let files = fs::read_dir("journal").unwrap().map(|file| file.unwrap().path());
     let texts = files.filter(|path| path.extension().is_some_and(|e| e == "json"));
     let entries = texts.map(|path| {
         let text = fs::read(&path).unwrap();
         serde_json::from_slice::<Entry>(&text).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
     });
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for Entry { id, days } in entries {
         let rules = days.into_iter().flatten().filter_map(|day| day.rules);
         for rules in rules.filter(|rules| !rules.is_empty()) {
             let rules: Vec<_> =
                 rules.iter().map(|(rule, times)| format!("{rule} {times}")).collect();
-            broken.push((id.clone(), rules.join(", ")));
+            violations.push((id.clone(), rules.join(", ")));
         }
     }
-    broken
+    violations
 }
 
 /// A play that broke a rule is written down as one that broke none, or not at all.
@@ -43,12 +43,12 @@
 fn findings_agree_with_each_play_that_broke_a_rule() {
     let page = fs::read_to_string("docs/findings/plays.md").unwrap();
     let lines: Vec<_> = page.lines().collect();
-    let broken = broken_days();
-    assert!(!broken.is_empty());
-    let is_told = |(id, rules): &&(String, String)| {
-        let (begins, has) = (format!("| {id} |"), format!("| {rules} |"));
-        lines.iter().any(|line| line.starts_with(&begins) && line.contains(&has))
+    let violations = days_with_violations();
+    assert!(!violations.is_empty());
+    let is_listed = |(id, rules): &&(String, String)| {
+        let (row_start, cell) = (format!("| {id} |"), format!("| {rules} |"));
+        lines.iter().any(|line| line.starts_with(&row_start) && line.contains(&cell))
     };
-    let untold: Vec<_> = broken.iter().filter(|day| !is_told(day)).collect();
-    assert!(untold.is_empty(), "not in docs/findings/plays.md: {untold:?}");
+    let missing: Vec<_> = violations.iter().filter(|day| !is_listed(day)).collect();
+    assert!(missing.is_empty(), "not in docs/findings/plays.md: {missing:?}");
 }
--- a/tests/promise_allowed.rs
+++ b/tests/promise_allowed.rs
@@ -19,7 +19,7 @@
 }
 
 /// Takes the grant from `haus`; returns the offset of the change.
-fn take_grant(fleet: &Fleet) -> u64 {
+fn revoke_grant(fleet: &Fleet) -> u64 {
     fleet.publish(&Objects::default().grant("all", "org=ani", "model=slip"));
     fleet.log.records("config").last().map_or(0, |(offset, _)| *offset)
 }
@@ -33,14 +33,14 @@
 fn runs_of_haus(fleet: &Fleet, calls: &[Call], span: Range<u64>) -> Vec<String> {
     let of_haus: Vec<_> = calls
         .iter()
-        .filter(|c| c.asked("authorization").is_some_and(|v| v.ends_with("haus")))
+        .filter(|c| c.request_header("authorization").is_some_and(|v| v.ends_with("haus")))
         .filter_map(|c| c.answered.header("x-request-id"))
         .collect();
     let events = fleet.engines.values().flat_map(|e| e.history.events());
-    let late = |e: &Event| {
+    let is_in_span = |e: &Event| {
         e.what == "run" && span.contains(&e.at_us) && of_haus.contains(&e.request.as_str())
     };
-    events.filter(late).map(|e| e.request).collect()
+    events.filter(is_in_span).map(|e| e.request).collect()
 }
 
 fn traffic(fleet: &Fleet) -> Traffic {
@@ -50,15 +50,16 @@
     })
 }
 
-fn check(fleet: &Fleet, calls: &[Call], known: u64) {
-    assert_eq!(runs_of_haus(fleet, calls, known..u64::MAX), Vec::<String>::new());
+fn check(fleet: &Fleet, calls: &[Call], applied_at_us: u64) {
+    assert_eq!(runs_of_haus(fleet, calls, applied_at_us..u64::MAX), Vec::<String>::new());
     let events: Vec<_> = fleet.engines.values().flat_map(|e| e.history.events()).collect();
     assert_eq!(false_not_run(calls, &events), Vec::<String>::new());
     assert_eq!(wrong_answers(calls), Vec::<String>::new());
-    let denied = |c: &&Call| c.answered.error_code().0 == "not_allowed";
-    assert!(calls.iter().any(|c| denied(&c)), "nobody was refused");
-    let of_ani =
-        calls.iter().filter(|c| c.asked("authorization").is_some_and(|v| v.ends_with("ani")));
+    let is_denied = |c: &&Call| c.answered.error_code().0 == "not_allowed";
+    assert!(calls.iter().any(|c| is_denied(&c)), "nobody was refused");
+    let of_ani = calls
+        .iter()
+        .filter(|c| c.request_header("authorization").is_some_and(|v| v.ends_with("ani")));
     assert!(of_ani.clone().all(|c| c.answered.status == 200), "ani was refused");
 }
 
@@ -74,12 +75,12 @@
     let mut spans = Vec::new();
     for _ in 0..5 {
         fleet.process("entry-1").freeze();
-        let offset = take_grant(&fleet);
+        let offset = revoke_grant(&fleet);
         wait_for_offset(&fleet, &["entry-0", "gpu-1", "gpu-2"], offset);
-        let known = now_us();
+        let applied_at_us = now_us();
         fleet.process("entry-1").thaw();
         traffic.wait_for(50);
-        spans.push(known..now_us());
+        spans.push(applied_at_us..now_us());
         fleet.publish(&objects());
         fleet.wait_in_force();
         traffic.wait_for(20);
@@ -100,17 +101,17 @@
     traffic.wait_for(50);
     fleet.process("gpu-1").freeze();
     fleet.process("gpu-2").freeze();
-    let offset = take_grant(&fleet);
+    let offset = revoke_grant(&fleet);
     wait_for_offset(&fleet, &["entry-0", "entry-1"], offset);
-    let known = now_us();
+    let applied_at_us = now_us();
     // What was sent before the change may still run; it was allowed when it was decided. Those
     // requests are told apart by when they were sent.
     fleet.process("gpu-1").thaw();
     fleet.process("gpu-2").thaw();
     traffic.wait_for(50);
     let calls = traffic.stop();
-    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > known).collect();
-    check(&fleet, &later, known);
+    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > applied_at_us).collect();
+    check(&fleet, &later, applied_at_us);
 }
 
 /// The same when one entry and both sides slept through the change and wake together: they learn
@@ -123,15 +124,15 @@
     for host in ["entry-1", "gpu-1", "gpu-2"] {
         fleet.process(host).freeze();
     }
-    let offset = take_grant(&fleet);
+    let offset = revoke_grant(&fleet);
     wait_for_offset(&fleet, &["entry-0"], offset);
     for host in ["gpu-1", "gpu-2", "entry-1"] {
         fleet.process(host).thaw();
     }
     wait_for_offset(&fleet, &["entry-1", "gpu-1", "gpu-2"], offset);
-    let known = now_us();
+    let applied_at_us = now_us();
     traffic.wait_for(50);
     let calls = traffic.stop();
-    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > known).collect();
-    check(&fleet, &later, known);
+    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > applied_at_us).collect();
+    check(&fleet, &later, applied_at_us);
 }
--- a/tests/promise_at_most_once.rs
+++ b/tests/promise_at_most_once.rs
@@ -53,10 +53,10 @@
             .collect();
         calls.extend(threads.into_iter().map(|t| t.join().expect("caller")));
         // A repeat later gets the answer of the one run.
-        let again = Call::send(&fleet.caller(n % 2), ask);
-        assert_eq!(again.answered.status, 200, "{}", again.answered.text());
-        assert_eq!(again.answered.json()["run"], 1);
-        calls.push(again);
+        let repeat = Call::send(&fleet.caller(n % 2), ask);
+        assert_eq!(repeat.answered.status, 200, "{}", repeat.answered.text());
+        assert_eq!(repeat.answered.json()["run"], 1);
+        calls.push(repeat);
     }
     check(&fleet, &calls);
     assert_eq!(runs(&fleet), 20);
@@ -77,9 +77,9 @@
     let read = fleet.caller(0).send_blocking(&Ask::new(Method::Get, "/coop/members", "haus"));
     assert_eq!(read.status, 200);
     fleet.log.set(|faults| faults.outage = false);
-    let done = Call::send(&fleet.caller(1), confirm("swap-1"));
-    assert_eq!(done.answered.status, 200, "{}", done.answered.text());
-    let calls = [refused, done];
+    let retried = Call::send(&fleet.caller(1), confirm("swap-1"));
+    assert_eq!(retried.answered.status, 200, "{}", retried.answered.text());
+    let calls = [refused, retried];
     assert_eq!(repeated_runs(&events(&fleet)), Vec::<String>::new());
     assert_eq!(false_not_run(&calls[..1], &events(&fleet)), Vec::<String>::new());
 }
@@ -138,14 +138,14 @@
     fleet.process(&host).kill();
     let first = first.join().expect("caller");
     assert_eq!(first.answered.error_code().1, "may_have_run", "{}", first.answered.text());
-    let again = Call::send(&fleet.caller(1), confirm("swap-1"));
-    assert_eq!(again.answered.error_code().1, "may_have_run", "{}", again.answered.text());
+    let repeat = Call::send(&fleet.caller(1), confirm("swap-1"));
+    assert_eq!(repeat.answered.error_code().1, "may_have_run", "{}", repeat.answered.text());
     fleet.restart(&host);
     fleet.wait_ready("entry-1");
     let later = Call::send(&fleet.caller(1), confirm("swap-1"));
     let expected = ("outcome_unknown".to_owned(), "may_have_run".to_owned());
     assert_eq!(later.answered.error_code(), expected);
-    check(&fleet, &[first, again, later]);
+    check(&fleet, &[first, repeat, later]);
     assert_eq!(runs(&fleet), 1);
 }
 
@@ -160,7 +160,7 @@
     fleet.log.set(|faults| faults.append_ms = 400);
     let (caller, ask) = (fleet.caller(0), confirm("swap-1"));
     let first = std::thread::spawn(move || Call::send(&caller, ask));
-    let claims = || -> usize {
+    let claim_records = || -> usize {
         let streams = fleet.log.streams();
         streams
             .iter()
@@ -170,7 +170,7 @@
     };
     std::thread::sleep(Duration::from_millis(200));
     fleet.process("entry-0").freeze();
-    wait_until("the claim is in the log", || claims() == 1);
+    wait_until("the claim is in the log", || claim_records() == 1);
     fleet.log.set(|faults| faults.append_ms = 0);
     let second = Call::send(&fleet.caller(1), confirm("swap-1"));
     assert_eq!(second.answered.status, 200, "{}", second.answered.text());
@@ -179,5 +179,5 @@
     assert_eq!(first.answered.json()["run"], 1, "{}", first.answered.text());
     check(&fleet, &[first, second]);
     assert_eq!(runs(&fleet), 1);
-    assert_eq!(claims(), 3, "the frozen one, the one behind it, and the one in its place");
+    assert_eq!(claim_records(), 3, "the frozen one, the one behind it, and the one in its place");
 }
--- a/tests/promise_billed_once.rs
+++ b/tests/promise_billed_once.rs
@@ -33,7 +33,7 @@
 }
 
 /// Begins an outage of the log, and returns calls that were answered in it.
-fn answers_in_an_outage(fleet: &Fleet) -> Vec<Call> {
+fn answered_during_outage(fleet: &Fleet) -> Vec<Call> {
     fleet.log.set(|faults| faults.outage = true);
     let ask = |n| Ask::chat("ani", "slip", &format!("slip {n}"));
     let calls: Vec<_> = (0..8).map(|n| Call::send(&fleet.caller(0), ask(n))).collect();
@@ -81,7 +81,7 @@
 #[test]
 fn entry_dies_before_the_append() {
     let fleet = fleet();
-    let calls = answers_in_an_outage(&fleet);
+    let calls = answered_during_outage(&fleet);
     fleet.process("entry-0").kill();
     fleet.log.set(|faults| faults.outage = false);
     check(&fleet, &calls);
@@ -91,7 +91,7 @@
 #[test]
 fn sides_die_before_the_append() {
     let fleet = fleet();
-    let calls = answers_in_an_outage(&fleet);
+    let calls = answered_during_outage(&fleet);
     fleet.process("gpu-1").kill();
     fleet.process("gpu-2").kill();
     fleet.log.set(|faults| faults.outage = false);
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -27,16 +27,16 @@
 }
 
 /// Offsets that a daemon has had in force, in order.
-fn offsets(fleet: &Fleet, host: &str) -> Vec<u64> {
+fn offsets_in_force(fleet: &Fleet, host: &str) -> Vec<u64> {
     let lines = fleet.process(host).lines();
     let in_force = lines.iter().filter(|l| l.contains("event=config_in_force"));
     in_force.filter_map(|l| l.split("offset=").nth(1)?.split(' ').next()?.parse().ok()).collect()
 }
 
-fn check_never_back(fleet: &Fleet) {
+fn check_offsets_never_decrease(fleet: &Fleet) {
     for host in HOSTS {
-        let offsets = offsets(fleet, host);
-        assert!(offsets.is_sorted(), "{host} went back: {offsets:?}");
+        let offsets_in_force = offsets_in_force(fleet, host);
+        assert!(offsets_in_force.is_sorted(), "{host} went back: {offsets_in_force:?}");
     }
 }
 
@@ -46,7 +46,7 @@
 fn operators_race() {
     let fleet = fleet();
     let at = fold(&fleet).config().offset.to_string();
-    let threads: Vec<_> = (0..4)
+    let publications: Vec<_> = (0..4)
         .map(|n| {
             let cost = 1000 + n;
             let file = fleet.write_objects(
@@ -59,9 +59,9 @@
             (args, cost)
         })
         .collect();
-    let exits: Vec<_> = std::thread::scope(|scope| {
+    let outputs: Vec<_> = std::thread::scope(|scope| {
         let fleet = &fleet;
-        let running: Vec<_> = threads
+        let running: Vec<_> = publications
             .iter()
             .map(|(args, _)| {
                 let args: Vec<_> = args.iter().map(String::as_str).collect();
@@ -70,19 +70,19 @@
             .collect();
         running.into_iter().map(|t| t.join().expect("ctl")).collect()
     });
-    let won: Vec<_> = exits.iter().filter(|o| o.status.success()).collect();
-    assert_eq!(won.len(), 1, "{exits:?}");
-    for lost in exits.iter().filter(|o| !o.status.success()) {
-        assert_eq!(lost.status.code(), Some(3));
-        let said = [lost.stdout.as_slice(), &lost.stderr].concat();
-        let said = String::from_utf8_lossy(&said).into_owned();
-        assert!(said.contains("desk-") || said.contains("revision_moved"), "{said}");
+    let accepted: Vec<_> = outputs.iter().filter(|o| o.status.success()).collect();
+    assert_eq!(accepted.len(), 1, "{outputs:?}");
+    for rejected in outputs.iter().filter(|o| !o.status.success()) {
+        assert_eq!(rejected.status.code(), Some(3));
+        let printed = [rejected.stdout.as_slice(), &rejected.stderr].concat();
+        let printed = String::from_utf8_lossy(&printed).into_owned();
+        assert!(printed.contains("desk-") || printed.contains("revision_moved"), "{printed}");
     }
     fleet.wait_in_force();
     let status: Value = serde_json::from_slice(&fleet.ctl(&["status", "--json"]).stdout).unwrap();
     let hashes: Vec<_> = status.as_array().unwrap().iter().map(|d| d["hash"].clone()).collect();
     assert!(hashes.windows(2).all(|w| w[0] == w[1]), "{hashes:?}");
-    check_never_back(&fleet);
+    check_offsets_never_decrease(&fleet);
 }
 
 /// An operator whose answers are all lost is told what became of the change, and it is applied once.
@@ -110,17 +110,21 @@
         let snapshots = fleet.log.records("config-snapshots");
         let newest = snapshots.last().map(|(_, raw)| raw.clone()).unwrap_or_default();
         let value: Value = serde_json::from_str(&newest).unwrap_or_default();
-        value["config"]["offset"].as_u64().is_some_and(|covered| covered + 10 > fold_offset(&fleet))
+        value["config"]["offset"]
+            .as_u64()
+            .is_some_and(|covered| covered + 10 > newest_offset(&fleet))
     });
     fleet.log.set(|faults| faults.retain = 12);
     fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", 100));
     fleet.log.set(|faults| faults.retain = 100_000);
-    let newest = fold_offset(&fleet);
+    let newest = newest_offset(&fleet);
     fleet.process("entry-1").kill();
     // Its peers could help it too; the snapshot alone must do.
     fleet.process("gpu-1").freeze();
     fleet.restart("entry-1");
-    wait_until("the new entry has it", || offsets(&fleet, "entry-1").last() == Some(&newest));
+    wait_until("the new entry has it", || {
+        offsets_in_force(&fleet, "entry-1").last() == Some(&newest)
+    });
     fleet.process("gpu-1").thaw();
     fleet.wait_in_force();
     let status: Value = serde_json::from_slice(&fleet.ctl(&["status", "--json"]).stdout).unwrap();
@@ -128,7 +132,7 @@
     assert!(hashes.windows(2).all(|w| w[0] == w[1]), "{hashes:?}");
 }
 
-fn fold_offset(fleet: &Fleet) -> u64 {
+fn newest_offset(fleet: &Fleet) -> u64 {
     fleet.log.records("config").last().map_or(0, |(offset, _)| *offset)
 }
 
@@ -147,7 +151,7 @@
     }
     fleet.process("entry-1").thaw();
     fleet.wait_in_force();
-    check_never_back(&fleet);
+    check_offsets_never_decrease(&fleet);
 }
 
 /// Records that are torn or of an unknown kind are passed over by all alike, and serving goes on.
--- a/tests/promise_leaving.rs
+++ b/tests/promise_leaving.rs
@@ -41,11 +41,11 @@
     });
     // What an entry had picked when it read the list is on its way still.
     traffic.wait_for(20);
-    let known = now_us();
+    let since_us = now_us();
     traffic.wait_for(100);
     let calls = traffic.stop();
     let events = fleet.engines["gpu-1"].history.events();
-    assert_eq!(runs_after(&events, "slip-1", known), Vec::<String>::new());
+    assert_eq!(runs_after(&events, "slip-1", since_us), Vec::<String>::new());
     assert!(calls.iter().all(|c| c.answered.status == 200));
 }
 
@@ -57,15 +57,16 @@
     let traffic = traffic(&fleet);
     traffic.wait_for(50);
     fleet.process("gpu-1").term();
-    let left = fleet.process("gpu-1").wait_for_line("event=draining", Duration::from_secs(30));
-    left.expect("it drains");
-    let known = now_us();
+    let draining_line =
+        fleet.process("gpu-1").wait_for_line("event=draining", Duration::from_secs(30));
+    draining_line.expect("it drains");
+    let since_us = now_us();
     traffic.wait_for(100);
     let calls = traffic.stop();
     // Runs that had been let in when the drain began may still reach the engine.
     let events = fleet.engines["gpu-1"].history.events();
-    let late = runs_after(&events, "slip-1", known);
-    assert!(late.len() <= 6, "more than the callers had under way: {late:?}");
+    let late_runs = runs_after(&events, "slip-1", since_us);
+    assert!(late_runs.len() <= 6, "more than the callers had under way: {late_runs:?}");
     assert!(calls.iter().all(|c| c.answered.status == 200));
 }
 
--- a/tests/promise_not_run.rs
+++ b/tests/promise_not_run.rs
@@ -13,7 +13,7 @@
     fleet.engines.values().flat_map(|e| e.history.events()).collect()
 }
 
-fn slow() -> EngineSettings {
+fn slow_engine() -> EngineSettings {
     EngineSettings { slots: 2, token_ms: 30, ..engine(&["slip-1"]) }
 }
 
@@ -22,7 +22,7 @@
 /// a time to come back.
 #[test]
 fn deadlines_in_the_queue_and_in_the_run() {
-    let fleet = builder().engine("gpu-1", slow()).start(&objects());
+    let fleet = builder().engine("gpu-1", slow_engine()).start(&objects());
     let traffic = Traffic::start(vec![fleet.caller(0)], 16, |n| {
         let deadline = (50 + n * 37 % 700).to_string();
         Ask::chat("ani", "slip", &format!("slip {n}")).header("x-request-timeout-ms", &deadline)
@@ -30,17 +30,18 @@
     traffic.wait_for(150);
     let calls = traffic.stop();
     assert_eq!(false_not_run(&calls, &events(&fleet)), Vec::<String>::new());
-    let of = |state: &str| calls.iter().filter(|c| c.answered.error_code().1 == state).count();
+    let count_with_state =
+        |state: &str| calls.iter().filter(|c| c.answered.error_code().1 == state).count();
     assert!(
-        of("not_run") > 0 && of("may_have_run") > 0,
+        count_with_state("not_run") > 0 && count_with_state("may_have_run") > 0,
         "{} {}",
-        of("not_run"),
-        of("may_have_run")
+        count_with_state("not_run"),
+        count_with_state("may_have_run")
     );
     let refused = calls.iter().filter(|c| c.answered.status >= 400);
     for call in refused {
         assert!(call.answered.header("retry-after").is_some(), "{}", call.answered.text());
-        let deadline: u128 = call.asked("x-request-timeout-ms").unwrap().parse().unwrap();
+        let deadline: u128 = call.request_header("x-request-timeout-ms").unwrap().parse().unwrap();
         assert!(call.answered.took.as_millis() < deadline + 5_000, "held back");
     }
 }
@@ -50,7 +51,7 @@
 #[test]
 fn full_queue() {
     let fleet = builder()
-        .engine("gpu-1", slow())
+        .engine("gpu-1", slow_engine())
         .settings("side", "queue", json!({"max_per_customer": 4}))
         .start(&objects());
     let traffic = Traffic::start(vec![fleet.caller(0)], 20, |n| {
@@ -74,7 +75,7 @@
 #[test]
 fn silent_engine_and_dead_side() {
     let fleet = builder()
-        .engine("gpu-1", slow())
+        .engine("gpu-1", slow_engine())
         .settings("side", "queue", json!({"first_byte_timeout_ms": 200}))
         .start(&objects());
     fleet.engines["gpu-1"].set(|faults| faults.silent = true);
@@ -87,9 +88,9 @@
     fleet.process("gpu-1").kill();
     let killed = running.join().expect("caller");
     assert_eq!(killed.answered.error_code().1, "may_have_run", "{}", killed.answered.text());
-    let none = Call::send(&fleet.caller(0), Ask::chat("ani", "slip", "three"));
-    assert_eq!(none.answered.error_code(), ("no_backend".to_owned(), "not_run".to_owned()));
-    assert_eq!(false_not_run(&[call, killed, none], &events(&fleet)), Vec::<String>::new());
+    let without_side = Call::send(&fleet.caller(0), Ask::chat("ani", "slip", "three"));
+    assert_eq!(without_side.answered.error_code(), ("no_backend".to_owned(), "not_run".to_owned()));
+    assert_eq!(false_not_run(&[call, killed, without_side], &events(&fleet)), Vec::<String>::new());
 }
 
 /// A caller whose request was sent to one engine, which fell silent, and was then refused by the
@@ -97,8 +98,8 @@
 #[test]
 fn refused_after_a_lost_attempt() {
     let fleet = builder()
-        .engine("gpu-1", slow())
-        .engine("gpu-2", slow())
+        .engine("gpu-1", slow_engine())
+        .engine("gpu-2", slow_engine())
         .settings(
             "side",
             "queue",
@@ -109,7 +110,7 @@
     // gpu-2 is full of long streams, so that requests go to gpu-1 first.
     let caller = fleet.caller(0);
     let stream = |n| Ask::chat("haus", "slip", &format!("long {n}")).stream(200);
-    let busy: Vec<_> =
+    let long_streams: Vec<_> =
         (0..12).map(|n| std::thread::spawn(move || caller.send_blocking(&stream(n)))).collect();
     wait_until("gpu-2 is full", || {
         fleet.daemon_status("gpu-2")["backends"][0]["busy"] == json!(12)
@@ -123,5 +124,5 @@
     assert_eq!(false_not_run(&calls, &events(&fleet)), Vec::<String>::new());
     assert!(calls.iter().all(|c| c.answered.status != 200));
     drop(fleet);
-    busy.into_iter().for_each(|t| drop(t.join()));
+    long_streams.into_iter().for_each(|t| drop(t.join()));
 }
--- a/tests/promise_planned_stop.rs
+++ b/tests/promise_planned_stop.rs
@@ -12,7 +12,7 @@
 use redwingfold_standins::fleet::{Ask, Fleet, wait_until};
 use serde_json::json;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn fleet() -> Fleet {
     let slow = EngineSettings { token_ms: 5, ..engine(&["slip-1"]) };
@@ -25,7 +25,7 @@
         .start(&objects())
 }
 
-fn mixed(n: u64) -> Ask {
+fn plain_or_streamed(n: u64) -> Ask {
     let ask = Ask::chat("ani", "slip", &format!("slip {n}"));
     if n.is_multiple_of(2) { ask.stream(250) } else { ask }
 }
@@ -38,7 +38,7 @@
 }
 
 fn check_stopped(fleet: &Fleet, host: &str) {
-    let status = fleet.process(host).wait(PATIENCE);
+    let status = fleet.process(host).wait(STOP_TIMEOUT);
     assert!(status.is_some_and(|s| s.success()), "{host}: {status:?}");
     assert_eq!(fleet.process(host).count("drain_cut"), 0);
 }
@@ -48,7 +48,7 @@
 #[test]
 fn side_stops_under_load() {
     let fleet = fleet();
-    let traffic = Traffic::start(vec![fleet.caller(0), fleet.caller(1)], 12, mixed);
+    let traffic = Traffic::start(vec![fleet.caller(0), fleet.caller(1)], 12, plain_or_streamed);
     traffic.wait_for(24);
     fleet.process("gpu-1").term();
     check_stopped(&fleet, "gpu-1");
@@ -65,13 +65,14 @@
 #[test]
 fn entry_stops_under_load() {
     let fleet = fleet();
-    let stopping = fleet.caller(0);
-    let ready =
-        move || stopping.send_blocking(&Ask::new(Method::Get, "/readyz", "ani")).status == 200;
-    let traffic = Traffic::start(vec![fleet.caller(0)], 12, mixed);
+    let stopping_entry = fleet.caller(0);
+    let is_ready = move || {
+        stopping_entry.send_blocking(&Ask::new(Method::Get, "/readyz", "ani")).status == 200
+    };
+    let traffic = Traffic::start(vec![fleet.caller(0)], 12, plain_or_streamed);
     traffic.wait_for(24);
     fleet.process("entry-0").term();
-    wait_until("readiness goes first", || !ready());
+    wait_until("readiness goes first", || !is_ready());
     let calls = traffic.stop();
     check_stopped(&fleet, "entry-0");
     let cut: Vec<_> = calls.iter().filter(|c| !is_whole(c)).collect();
@@ -85,7 +86,8 @@
 fn stops_during_an_outage_lose_no_bill() {
     let fleet = fleet();
     fleet.log.set(|faults| faults.outage = true);
-    let calls: Vec<_> = (0..10).map(|n| Call::send(&fleet.caller(0), mixed(n))).collect();
+    let calls: Vec<_> =
+        (0..10).map(|n| Call::send(&fleet.caller(0), plain_or_streamed(n))).collect();
     assert!(calls.iter().all(is_whole));
     fleet.process("gpu-1").term();
     check_stopped(&fleet, "gpu-1");
--- a/tests/promise_session.rs
+++ b/tests/promise_session.rs
@@ -27,7 +27,7 @@
     })
 }
 
-fn share(fleet: &Fleet, share: u16) {
+fn set_share(fleet: &Fleet, share: u16) {
     fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", share));
     fleet.wait_in_force();
 }
@@ -44,7 +44,7 @@
     let traffic = traffic(&fleet);
     traffic.wait_for(100);
     for step in [100, 500, 1000, 300, 0] {
-        share(&fleet, step);
+        set_share(&fleet, step);
         traffic.wait_for(100);
     }
     let calls = traffic.stop();
@@ -52,12 +52,12 @@
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
     assert_eq!(versions(&calls), BTreeSet::from(["slip-1"]), "all began before the roll-out");
 
-    share(&fleet, 1000);
-    let fresh = Ask::chat("ani", "slip", "new").session("batch-new");
-    let answered = fleet.caller(0).send_blocking(&fresh);
+    set_share(&fleet, 1000);
+    let new_session = Ask::chat("ani", "slip", "new").session("batch-new");
+    let answered = fleet.caller(0).send_blocking(&new_session);
     assert_eq!(answered.header("x-model-version"), Some("slip-2"));
-    share(&fleet, 0);
-    let answered = fleet.caller(1).send_blocking(&fresh);
+    set_share(&fleet, 0);
+    let answered = fleet.caller(1).send_blocking(&new_session);
     assert_eq!(answered.header("x-model-version"), Some("slip-2"));
 }
 
@@ -67,24 +67,24 @@
 #[test]
 fn through_the_loss_of_an_entry_and_of_holders() {
     let mut fleet = fleet();
-    let ask_all = |fleet: &Fleet, entry: usize| -> Vec<Call> {
+    let send_for_all_sessions = |fleet: &Fleet, entry: usize| -> Vec<Call> {
         let caller = fleet.caller(entry);
         let ask = |n| Ask::chat("ani", "slip", "slip").session(&format!("batch-{n}"));
         (0..SESSIONS).map(|n| Call::send(&caller, ask(n))).collect()
     };
-    let mut calls = ask_all(&fleet, 0);
-    share(&fleet, 1000);
+    let mut calls = send_for_all_sessions(&fleet, 0);
+    set_share(&fleet, 1000);
     fleet.process("entry-0").kill();
-    calls.extend(ask_all(&fleet, 1));
+    calls.extend(send_for_all_sessions(&fleet, 1));
     for host in ["gpu-1", "gpu-2", "gpu-3", "gpu-4"] {
         fleet.process(host).kill();
         fleet.restart(host);
         fleet.wait_ready("entry-1");
-        calls.extend(ask_all(&fleet, 1));
+        calls.extend(send_for_all_sessions(&fleet, 1));
     }
     fleet.restart("entry-0");
     fleet.wait_ready("entry-0");
-    calls.extend(ask_all(&fleet, 0));
+    calls.extend(send_for_all_sessions(&fleet, 0));
     let failed: Vec<_> = calls.iter().filter(|c| c.answered.status != 200).collect();
     assert!(failed.is_empty(), "{:?}", failed[0].answered);
     assert_eq!(moved_sessions(&calls), Vec::<String>::new());
@@ -102,9 +102,9 @@
     fleet.publish(&Objects::default().model("slip", "slip-2"));
     assert!(fleet.ctl(&["withdraw", "slip-1", "--reason", "bad"]).status.success());
     fleet.wait_in_force();
-    let moved = fleet.caller(1).send_blocking(&ask);
-    assert_eq!(moved.header("x-model-version"), Some("slip-2"), "{}", moved.text());
-    assert_eq!(moved.header("x-session-moved"), Some("withdrawn slip-1"));
+    let reassigned = fleet.caller(1).send_blocking(&ask);
+    assert_eq!(reassigned.header("x-model-version"), Some("slip-2"), "{}", reassigned.text());
+    assert_eq!(reassigned.header("x-session-moved"), Some("withdrawn slip-1"));
     let after = fleet.caller(0).send_blocking(&ask);
     assert_eq!(after.header("x-model-version"), Some("slip-2"));
 }
--- a/tests/promise_whole_answer.rs
+++ b/tests/promise_whole_answer.rs
@@ -13,7 +13,7 @@
     builder().entries(2).engine("gpu-1", slow.clone()).engine("gpu-2", slow).start(&objects())
 }
 
-fn mixed(n: u64) -> Ask {
+fn plain_or_streamed(n: u64) -> Ask {
     let ask = Ask::chat("ani", "slip", &format!("slip {n}"));
     if n.is_multiple_of(2) { ask.stream(5 + n % 20) } else { ask }
 }
@@ -23,9 +23,9 @@
 #[test]
 fn crossing_answers() {
     let fleet = fleet();
-    let traffic = Traffic::start(vec![fleet.caller(0), fleet.caller(1)], 16, mixed);
-    for slow in [0, 400, 50, 800, 0] {
-        fleet.engines["gpu-1"].set(|faults| faults.slow_percent = slow);
+    let traffic = Traffic::start(vec![fleet.caller(0), fleet.caller(1)], 16, plain_or_streamed);
+    for slow_percent in [0, 400, 50, 800, 0] {
+        fleet.engines["gpu-1"].set(|faults| faults.slow_percent = slow_percent);
         traffic.wait_for(60);
     }
     let calls = traffic.stop();
@@ -40,18 +40,18 @@
 fn engine_dies_in_mid_stream() {
     let fleet = fleet();
     fleet.engines["gpu-1"].set(|faults| faults.die_after = Some(3));
-    let traffic = Traffic::start(vec![fleet.caller(0)], 8, mixed);
+    let traffic = Traffic::start(vec![fleet.caller(0)], 8, plain_or_streamed);
     traffic.wait_for(120);
     let calls = traffic.stop();
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
-    let streamed = |c: &&Call| String::from_utf8_lossy(&c.ask.body).contains("\"stream\":true");
-    let cut = calls.iter().filter(|c| streamed(c) && !c.answered.is_whole_stream());
+    let is_streamed = |c: &&Call| String::from_utf8_lossy(&c.ask.body).contains("\"stream\":true");
+    let cut = calls.iter().filter(|c| is_streamed(c) && !c.answered.is_whole_stream());
     let cut: Vec<_> = cut.collect();
     assert!(!cut.is_empty(), "no stream met the dying engine");
     for call in cut {
         assert!(call.answered.text().contains("backend_lost"), "{}", call.answered.text());
     }
-    assert!(calls.iter().filter(|c| !streamed(c)).all(|c| c.answered.status == 200));
+    assert!(calls.iter().filter(|c| !is_streamed(c)).all(|c| c.answered.status == 200));
 }
 
 /// A caller that goes away in mid-stream has its run cancelled at the engine, and those who come
@@ -59,18 +59,18 @@
 #[test]
 fn cancelled_callers_leave_nothing_behind() {
     let fleet = fleet();
-    let runs =
+    let count_events =
         |what: &str| -> usize { fleet.engines.values().map(|e| e.history.of(what).len()).sum() };
     for n in 0..10 {
         let caller = fleet.caller(0);
         let ask = Ask::chat("ani", "slip", &format!("gone {n}")).stream(5000);
-        let before = runs("run");
-        let cancelled = runs("cancel");
+        let before = count_events("run");
+        let cancelled = count_events("cancel");
         let call = smol::spawn(async move { caller.send(&ask).await });
-        wait_until("it runs", || runs("run") > before);
+        wait_until("it runs", || count_events("run") > before);
         smol::block_on(call.cancel());
-        wait_until("the engine is told", || runs("cancel") > cancelled);
-        let next = Call::send(&caller, mixed(n));
+        wait_until("the engine is told", || count_events("cancel") > cancelled);
+        let next = Call::send(&caller, plain_or_streamed(n));
         assert_eq!(wrong_answers(std::slice::from_ref(&next)), Vec::<String>::new());
         assert_eq!(next.answered.status, 200);
     }
@@ -80,7 +80,7 @@
 #[test]
 fn side_is_killed() {
     let fleet = fleet();
-    let traffic = Traffic::start(vec![fleet.caller(0)], 8, mixed);
+    let traffic = Traffic::start(vec![fleet.caller(0)], 8, plain_or_streamed);
     traffic.wait_for(40);
     fleet.process("gpu-1").kill();
     traffic.wait_for(80);
--- a/tests/promise_withdrawn.rs
+++ b/tests/promise_withdrawn.rs
@@ -8,8 +8,8 @@
 use redwingfold_standins::fleet::{Ask, wait_until};
 use redwingfold_standins::{EngineSettings, Event};
 
-fn withdraw(fleet: &redwingfold_standins::fleet::Fleet, more: &[&str]) {
-    let args = [&["withdraw", "slip-1", "--reason", "reads 8 as 3"], more].concat();
+fn withdraw(fleet: &redwingfold_standins::fleet::Fleet, extra_args: &[&str]) {
+    let args = [&["withdraw", "slip-1", "--reason", "reads 8 as 3"], extra_args].concat();
     let output = fleet.ctl(&args);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
@@ -36,11 +36,11 @@
     wait_until("sides know", || {
         ["gpu-1", "gpu-2"].iter().all(|h| fleet.process(h).count("config_in_force offset=2") > 0)
     });
-    let known = now_us();
+    let applied_at_us = now_us();
     fleet.process("entry-1").thaw();
     traffic.wait_for(50);
     let calls = traffic.stop();
-    assert_eq!(runs_after(&events(&fleet), "slip-1", known), Vec::<String>::new());
+    assert_eq!(runs_after(&events(&fleet), "slip-1", applied_at_us), Vec::<String>::new());
     assert_eq!(false_not_run(&calls, &events(&fleet)), Vec::<String>::new());
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
     assert!(calls.iter().any(|c| c.answered.error_code().0 == "version_withdrawn"));
@@ -108,7 +108,7 @@
     }
     withdraw(&fleet, &[]);
     fleet.log.set(|faults| faults.outage = true);
-    let known = now_us();
+    let withdrawn_at_us = now_us();
     // A side that is replaced in the outage has no log to read; it learns from an entry.
     fleet.process("gpu-2").kill();
     fleet.restart("gpu-2");
@@ -116,7 +116,7 @@
         let answered = fleet.caller(n % 2).send_blocking(&Ask::chat("ani", "slip", "one"));
         assert_ne!(answered.status, 200, "{}", answered.text());
     }
-    assert_eq!(runs_after(&events(&fleet), "slip-1", known), Vec::<String>::new());
+    assert_eq!(runs_after(&events(&fleet), "slip-1", withdrawn_at_us), Vec::<String>::new());
     wait_until("the new side has it", || {
         fleet.process("gpu-2").count("config_in_force offset=2") > 0
     });
