--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear answer, and the process goes on.
+//! Invalid input gets a clear error, and the process continues to serve.
 
 mod common;
 
@@ -23,7 +23,7 @@
         .start(&objects())
 }
 
-/// Sends bytes and reads what comes until the connection is closed.
+/// Sends bytes and returns the response up to the end of the connection.
 fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("connect");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout above zero");
@@ -38,7 +38,8 @@
     assert_eq!(answered.status, 200, "{}", answered.text());
 }
 
-/// Each malformed request is answered with its row of the table of error kinds.
+/// Each malformed request gets the status and code of its error kind, as `not_run`, and a request
+/// id.
 #[test]
 fn malformed_requests() {
     let fleet = fleet();
@@ -82,8 +83,8 @@
     assert_eq!(fleet.engines["gpu-1"].history.of("run").len(), 1);
 }
 
-/// What is no HTTP is answered with 400, a head without end with 431, and a sender that stops in
-/// the middle with 408; each answer closes its connection.
+/// Bytes that are not valid HTTP get status 400, an oversized head 431, a request that stops in the
+/// middle 408, and an oversized body 413. Each response closes its connection.
 #[test]
 fn bytes_that_are_no_request() {
     let fleet = fleet();
@@ -119,25 +120,25 @@
     check_still_serves(&fleet);
 }
 
-/// Connections beyond the limit are refused, with a time to come back, and work again when others
-/// have gone.
+/// Connections beyond the limit are refused with `too_many_open`, and accepted again after others
+/// were closed.
 #[test]
 fn too_many_connections() {
     let fleet = fleet();
     let addr = fleet.caller(0).addr;
     let open_connections: Vec<_> =
         (0..20).map(|_| TcpStream::connect(addr).expect("connect")).collect();
-    wait_until("the limit is reached", || {
+    wait_until("a connection beyond the limit is refused", || {
         send_raw(addr, b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").contains("too_many_open")
     });
     drop(open_connections);
-    wait_until("others have gone", || {
+    wait_until("a new connection is accepted", || {
         fleet.caller(0).send_blocking(&Ask::new(Method::Get, "/healthz", "ani")).status == 200
     });
 }
 
-/// A process without a certificate of this fleet gets nowhere: neither with one of another fleet
-/// nor with bytes that are no handshake.
+/// A process without a certificate of this fleet is rejected: the tool with a certificate of
+/// another fleet gets no status, and datagrams that are not a handshake do no harm.
 #[test]
 fn strangers_get_nowhere() {
     let fleet = fleet();
@@ -162,7 +163,7 @@
     check_still_serves(&fleet);
 }
 
-/// The operator's tool refuses objects that do not fit, says what is wrong with which code, and
+/// The operator's tool rejects invalid objects with an error code and the name of the object, and
 /// publishes nothing.
 #[test]
 fn bad_configurations() {
@@ -197,8 +198,9 @@
     assert_eq!(fleet.log.records("config").len(), records);
 }
 
-/// A caller sends a body far over the limit. It is refused before the body has come, and must read the
-/// refusal: were the connection closed with the rest unread, a reset would meet the caller while it sends.
+/// A caller whose body is far over the limit is refused before it has sent all of it, and must be
+/// able to read the refusal. If the entry closed the connection with unread data, the caller would
+/// get a TCP reset while it sends.
 #[test]
 fn refusal_of_a_large_body_reaches_a_caller_that_is_still_sending() {
     use std::io::{Read, Write};
--- a/tests/checkers.rs
+++ b/tests/checkers.rs
@@ -1,4 +1,5 @@
-//! Each checker of histories finds a violation that was planted, and nothing in a good history.
+//! Each check of `common::checks` finds an injected violation and reports none in a correct
+//! history.
 
 mod common;
 
@@ -58,7 +59,7 @@
     let mut cut = call("s", 1, "v1", &answer(1, "v1"));
     cut.answered.whole = false;
     assert_eq!(wrong_answers(&[cut]).len(), 1);
-    // The rest of another attempt, behind the beginning of this one.
+    // A token of another attempt within the answer.
     let spliced = answer(1, "v1").replace("5:v1", "5:v2");
     assert_eq!(wrong_answers(&[call("s", 1, "v1", &spliced)]).len(), 1);
 }
--- a/tests/common/checks.rs
+++ b/tests/common/checks.rs
@@ -1,4 +1,5 @@
-//! Checkers of histories: each returns what it finds wrong.
+//! Checks of recorded calls and events. Each returns its violations as texts, empty if there are
+//! none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +9,10 @@
 
 use super::traffic::Call;
 
-/// Finds runs of a version that began after a time.
+/// Finds runs of a version that began after `at_us`, in microseconds since 1970.
 pub fn runs_after(events: &[Event], version: &str, at_us: u64) -> Vec<String> {
     let late_runs = events.iter().filter(|e| e.what == "run" && e.of == version && e.at_us > at_us);
-    late_runs.map(|e| format!("{version} ran {} after it must not", e.request)).collect()
+    late_runs.map(|e| format!("{version} ran {} after the time limit", e.request)).collect()
 }
 
 /// Finds sessions whose answers came from more than one version.
@@ -28,7 +29,8 @@
     moved.map(|(session, versions)| format!("session {session} had {versions:?}")).collect()
 }
 
-/// Finds answers with a 200 that are not whole, or that belong to another request.
+/// Finds answers with status 200 that are incomplete or differ from what the engine generates for
+/// the request.
 pub fn wrong_answers(calls: &[Call]) -> Vec<String> {
     let mut found = Vec::new();
     for call in calls.iter().filter(|c| c.answered.status == 200) {
@@ -46,25 +48,29 @@
             true if content != expected => {
                 found.push(format!("request {request}: {content:?}, not {expected:?}"));
             }
-            // A cut stream may be given, openly cut: then what came is a beginning of the answer.
+            // A stream may end early if its HTTP body is visibly incomplete; the received part must
+            // then be a prefix of the answer.
             false if is_stream && !answered.whole && expected.starts_with(&content) => {}
-            false => found.push(format!("request {request}: ended without being whole")),
+            false => found.push(format!("request {request}: the answer is incomplete")),
             true => {}
         }
     }
     found
 }
 
-/// Finds refusals that say "not run" of requests that an engine or service has run.
+/// Finds refusals with run state `not_run` of requests that an engine or service has run.
 pub fn false_not_run(calls: &[Call], events: &[Event]) -> Vec<String> {
     let ran: BTreeSet<_> =
         events.iter().filter(|e| e.what == "run").map(|e| e.request.as_str()).collect();
     let refused = calls.iter().filter(|c| c.answered.error_code().1 == "not_run");
     let ids = refused.filter_map(|c| c.answered.header("x-request-id"));
-    ids.filter(|id| ran.contains(id)).map(|id| format!("{id} ran, and was said not to")).collect()
+    ids.filter(|id| ran.contains(id))
+        .map(|id| format!("{id} ran, but was refused as not run"))
+        .collect()
 }
 
-/// Finds keys for which a service ran more than once. Bodies hold the keys.
+/// Finds idempotency keys for which a service ran more than once. The tests send the key as the
+/// request body, which the service records as the event's detail.
 pub fn repeated_runs(events: &[Event]) -> Vec<String> {
     let mut runs = BTreeMap::<&str, usize>::new();
     for event in events.iter().filter(|e| e.what == "run") {
@@ -74,7 +80,8 @@
     repeated.map(|(key, n)| format!("{key} ran {n} times")).collect()
 }
 
-/// Finds whole answers that are not billed, and bills that are not of an answer or counted twice.
+/// Finds answers without a bill, and more bills of requests without a known response than there are
+/// calls whose response was lost.
 pub fn wrong_bills(calls: &[Call], records: &[(u64, String)]) -> Vec<String> {
     let mut fold = BillFold::default();
     records.iter().for_each(|(_, raw)| fold.apply(raw.as_bytes()));
@@ -91,7 +98,7 @@
     let unmatched = fold.bills().filter(|b| !answered_ids.contains(b.request.to_string().as_str()));
     let without_response = calls.iter().filter(|c| c.answered.status == 0).count();
     if unmatched.count() > without_response {
-        found.push("bills of requests that nobody made".to_owned());
+        found.push("bills of requests that no caller has sent".to_owned());
     }
     if bill_count < expected_bills.len() {
         found.push(format!("{} answers, but {bill_count} bills", expected_bills.len()));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of whole fleets share.
+//! Helpers shared by the tests that run a whole fleet.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test program uses only some of the helpers")]
 
 pub mod checks;
 pub mod traffic;
@@ -11,24 +11,25 @@
 use redwingfold_standins::fleet::{FleetBuilder, Objects, key_of};
 use sha2::{Digest, Sha256};
 
-/// Begins a fleet of the programs under test.
+/// Returns a builder of a fleet that runs the binaries under test.
 pub fn builder() -> FleetBuilder {
     let entry = Path::new(env!("CARGO_BIN_EXE_redwingfold-entry"));
-    FleetBuilder::new(entry.parent().expect("folder of the programs"))
+    FleetBuilder::new(entry.parent().expect("folder of the binaries"))
 }
 
-/// Returns the hash of a test customer's key.
+/// Returns the SHA-256 hash of a test customer's API key, in hexadecimal.
 pub fn sha256_of(customer: &str) -> String {
     Sha256::digest(key_of(customer).as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// A fast engine with these versions.
+/// Returns the settings of an engine with 16 slots and these versions loaded.
 pub fn engine(versions: &[&str]) -> EngineSettings {
     let versions = versions.iter().map(|v| (*v).to_owned()).collect();
     EngineSettings { versions, slots: 16, ..EngineSettings::default() }
 }
 
-/// Two customers, two versions of one model, and a plain service.
+/// Returns the configuration of most tests: two customers, two versions of one model, and a plain
+/// HTTP service.
 pub fn objects() -> Objects {
     Objects::default()
         .customer("ani", 1, &sha256_of("ani"))
--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers in the background, and what they saw.
+//! Callers that send requests in background threads and record the responses.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,38 +6,38 @@
 
 use redwingfold_standins::fleet::{Answered, Ask, Caller, wait_until};
 
-/// One call as its caller saw it.
+/// A request and its response, as its caller recorded them.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What was asked.
+    /// The request.
     pub ask: Ask,
     /// When it was sent, in microseconds since 1970.
     pub sent_us: u64,
-    /// What came back.
+    /// The response; its status is 0 if none was received.
     pub answered: Answered,
 }
 
 impl Call {
-    /// Sends a request and notes what came back.
+    /// Sends a request and records the response.
     pub fn send(caller: &Caller, ask: Ask) -> Self {
         let sent_us = now_us();
         let answered = caller.send_blocking(&ask);
         Self { ask, sent_us, answered }
     }
 
-    /// Returns a header of the request.
+    /// Returns the value of a request header, by its name in lower case.
     pub fn request_header(&self, name: &str) -> Option<&str> {
         self.ask.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// Returns microseconds since 1970.
+/// Returns the wall clock in microseconds since 1970.
 pub fn now_us() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(0, |d| d.as_micros() as u64)
 }
 
-/// Callers that send until they are stopped.
+/// Caller threads that send one request after the other until they are stopped.
 pub struct Traffic {
     stop: Arc<AtomicBool>,
     calls: Arc<Mutex<Vec<Call>>>,
@@ -45,8 +45,8 @@
 }
 
 impl Traffic {
-    /// Starts `threads` callers; each asks what `ask` makes of a running number, at one of
-    /// `callers` in turn.
+    /// Starts `threads` threads. `make_request` gets the number of the request, counted over all
+    /// threads; requests are sent through `callers` in round-robin order.
     pub fn start(
         callers: Vec<Caller>,
         threads: usize,
@@ -63,7 +63,8 @@
                     let n = next.fetch_add(1, Ordering::SeqCst);
                     let call = Call::send(&callers[n as usize % callers.len()], make_request(n));
                     if call.answered.status == 0 {
-                        // A dead entry refuses at once; the loop must not spin on it.
+                        // A killed entry refuses connections at once; without a pause the loop
+                        // would spin.
                         std::thread::sleep(std::time::Duration::from_millis(5));
                     }
                     calls.lock().unwrap_or_else(PoisonError::into_inner).push(call);
@@ -74,14 +75,14 @@
         Self { stop, calls, threads }
     }
 
-    /// Waits until so many more calls have ended.
+    /// Waits until this many additional calls have ended.
     pub fn wait_for(&self, additional: usize) {
         let count = || self.calls.lock().unwrap_or_else(PoisonError::into_inner).len();
         let target = count() + additional;
-        wait_until("calls", || count() >= target);
+        wait_until("enough calls have ended", || count() >= target);
     }
 
-    /// Stops the callers and returns what they saw.
+    /// Stops the threads and returns all calls.
     pub fn stop(self) -> Vec<Call> {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -1,4 +1,4 @@
-//! A bad version is stopped by the ratings of its answers, a good one goes on by itself.
+//! Ratings of answers stop the roll-out of a bad version and advance that of a good one.
 
 mod common;
 
@@ -53,8 +53,8 @@
     })
 }
 
-/// Callers see few answers of a new version that reads everything wrong: it never leaves its first
-/// step, an entry withdraws it, and both entries stop. The audit trail says by whom and why.
+/// A new version that gives only bad answers never leaves the first step of its roll-out: an entry
+/// withdraws it, and both entries stop using it. The audit trail names the entry and the reason.
 #[test]
 fn bad_version_is_stopped_in_its_first_step() {
     let fleet = fleet(1000);
@@ -74,13 +74,14 @@
     assert!(audit.contains("entry entry-") && audit.contains("rated answers were bad"), "{audit}");
 }
 
-/// A good version gets all new sessions in the end, through every step, and nobody had to say so.
+/// The roll-out of a good version advances through every step to all new sessions without an
+/// operator.
 #[test]
 fn good_version_goes_on_by_itself() {
     let fleet = fleet(1000);
     roll_out(&fleet, 50);
     let traffic = traffic(&fleet);
-    wait_until("it has all", || share(&fleet) == 1000);
+    wait_until("the share is 1000 per mille", || share(&fleet) == 1000);
     traffic.stop();
     assert!(!is_withdrawn(&fleet, "slip-2"));
     let audit: Value = serde_json::from_slice(&fleet.ctl(&["audit", "--json"]).stdout).unwrap();
@@ -88,11 +89,11 @@
     let accepted = audit.iter().filter(|e| {
         e["verdict"] == "accepted" && e["author"].as_str().unwrap().starts_with("entry ")
     });
-    assert_eq!(accepted.count(), 2, "one change for each step, whichever entry was first");
+    assert_eq!(accepted.count(), 2, "one change per step, by whichever entry was first");
 }
 
-/// A version is stopped by what two entries saw together, although neither saw enough: at one false
-/// stop in a million it takes eight bad answers of eight, and each entry has had five.
+/// The ratings of two entries are added up. At one false stop per million, a version is withdrawn
+/// after eight bad answers out of eight; each entry alone has only five.
 #[test]
 fn evidence_of_two_entries_adds_up() {
     let fleet = fleet(1);
@@ -100,14 +101,14 @@
     for n in 0..10 {
         let answered =
             fleet.caller(n % 2).send_blocking(&Ask::chat("ani", "slip", &format!("slip {n}")));
-        // The entries tell each other while this goes on, so that the last ones may be refused.
+        // The entries exchange ratings meanwhile, so the last requests may be refused.
         let is_refused = answered.error_code().0 == "version_withdrawn";
         assert!(answered.status == 200 || is_refused, "{}", answered.text());
     }
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-1"));
 }
 
-/// A version that turns bad long after its roll-out is caught by the same test.
+/// A version whose answers turn bad after its roll-out is withdrawn by the same statistical test.
 #[test]
 fn version_that_turns_bad_later() {
     let fleet = fleet(1000);
--- a/tests/findings.rs
+++ b/tests/findings.rs
@@ -1,4 +1,4 @@
-//! What the findings say of plays, against the journal of these plays.
+//! Compares docs/findings/plays.md with the journal of the plays.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -18,7 +18,8 @@
     rules: Option<BTreeMap<String, u64>>,
 }
 
-/// Returns the entry and the broken rules of each such day, as the findings write them.
+/// Returns for each day with violated rules the id of its journal entry and the rules with their
+/// counts, in the form of docs/findings/plays.md.
 fn days_with_violations() -> Vec<(String, String)> {
     let files = fs::read_dir("journal").unwrap().map(|file| file.unwrap().path());
     let texts = files.filter(|path| path.extension().is_some_and(|e| e == "json"));
@@ -38,7 +39,7 @@
     violations
 }
 
-/// A play that broke a rule is written down as one that broke none, or not at all.
+/// Guards against a play with violated rules that the findings omit or list without violations.
 #[test]
 fn findings_agree_with_each_play_that_broke_a_rule() {
     let page = fs::read_to_string("docs/findings/plays.md").unwrap();
--- a/tests/promise_allowed.rs
+++ b/tests/promise_allowed.rs
@@ -1,4 +1,4 @@
-//! A request runs only on a model and version that its customer allows.
+//! A request runs only on a model and version that its customer is granted.
 
 mod common;
 
@@ -18,7 +18,7 @@
         .start(&objects())
 }
 
-/// Takes the grant from `haus`; returns the offset of the change.
+/// Revokes the grant of `haus` and returns the offset of the change.
 fn revoke_grant(fleet: &Fleet) -> u64 {
     fleet.publish(&Objects::default().grant("all", "org=ani", "model=slip"));
     fleet.log.records("config").last().map_or(0, |(offset, _)| *offset)
@@ -26,10 +26,13 @@
 
 fn wait_for_offset(fleet: &Fleet, hosts: &[&str], offset: u64) {
     let text = format!("config_in_force offset={offset}");
-    wait_until("they know", || hosts.iter().all(|h| fleet.process(h).count(&text) > 0));
+    wait_until("the hosts have the change in force", || {
+        hosts.iter().all(|h| fleet.process(h).count(&text) > 0)
+    });
 }
 
-/// Returns the runs for `haus` that began within a span of time.
+/// Returns the ids of requests of `haus` whose runs began within a time span, in microseconds since
+/// 1970.
 fn runs_of_haus(fleet: &Fleet, calls: &[Call], span: Range<u64>) -> Vec<String> {
     let of_haus: Vec<_> = calls
         .iter()
@@ -56,17 +59,17 @@
     assert_eq!(false_not_run(calls, &events), Vec::<String>::new());
     assert_eq!(wrong_answers(calls), Vec::<String>::new());
     let is_denied = |c: &&Call| c.answered.error_code().0 == "not_allowed";
-    assert!(calls.iter().any(|c| is_denied(&c)), "nobody was refused");
+    assert!(calls.iter().any(|c| is_denied(&c)), "no request was refused as not allowed");
     let of_ani = calls
         .iter()
         .filter(|c| c.request_header("authorization").is_some_and(|v| v.ends_with("ani")));
-    assert!(of_ani.clone().all(|c| c.answered.status == 200), "ani was refused");
+    assert!(of_ani.clone().all(|c| c.answered.status == 200), "a request of ani was refused");
 }
 
-/// Callers of `haus` are refused after their grant was taken, also by an entry that slept through
-/// the change and wakes with requests in hand: the sides know better and refuse what it sends. The
-/// grant is given back and taken again several times, since the entry may hear of the change before
-/// it comes to its requests.
+/// Requests of `haus` are refused after its grant was revoked, also at an entry that was paused
+/// during the change and resumes with requests in flight: the sides have the newer configuration
+/// and refuse what the entry forwards. The grant is restored and revoked several times, since the
+/// resumed entry may receive the change before it handles its requests.
 #[test]
 fn stale_entry() {
     let fleet = fleet();
@@ -92,8 +95,9 @@
     check(&fleet, &calls, u64::MAX);
 }
 
-/// The same when the sides slept through the change: an entry that knows it refuses by itself, and
-/// a side that hears of a newer configuration waits for it before it decides.
+/// Requests of `haus` are refused when the sides were paused during the change. The entries have it
+/// and refuse the requests themselves, and a side that is sent a newer offset than its own waits
+/// for that configuration before it decides.
 #[test]
 fn stale_sides() {
     let fleet = fleet();
@@ -104,8 +108,8 @@
     let offset = revoke_grant(&fleet);
     wait_for_offset(&fleet, &["entry-0", "entry-1"], offset);
     let applied_at_us = now_us();
-    // What was sent before the change may still run; it was allowed when it was decided. Those
-    // requests are told apart by when they were sent.
+    // Requests that were sent before the change may still run, as they were allowed when the entry
+    // decided. Only requests that were sent later are checked.
     fleet.process("gpu-1").thaw();
     fleet.process("gpu-2").thaw();
     traffic.wait_for(50);
@@ -114,8 +118,8 @@
     check(&fleet, &later, applied_at_us);
 }
 
-/// The same when one entry and both sides slept through the change and wake together: they learn
-/// of it from the log and from each other.
+/// Requests of `haus` are refused when one entry and both sides were paused during the change.
+/// After they resume they get it from the log and from each other.
 #[test]
 fn stale_entry_and_sides_together() {
     let fleet = fleet();
--- a/tests/promise_at_most_once.rs
+++ b/tests/promise_at_most_once.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once.
+//! A non-idempotent request runs at most once.
 
 mod common;
 
@@ -37,8 +37,9 @@
     events(fleet).iter().filter(|e| e.what == "run").count()
 }
 
-/// A family that presses the button twice, through two entries at once, has one confirmation: one
-/// entry's claim is first in the log, the other gets the first one's answer or is told to wait.
+/// Requests with the same idempotency key that arrive at two entries at once run once. The first
+/// claim in the log holds the key; the other requests get its answer or are refused as still
+/// running.
 #[test]
 fn same_key_at_two_entries_at_once() {
     let fleet = fleet();
@@ -52,7 +53,7 @@
             })
             .collect();
         calls.extend(threads.into_iter().map(|t| t.join().expect("caller")));
-        // A repeat later gets the answer of the one run.
+        // A later repeat gets the answer of the first run.
         let repeat = Call::send(&fleet.caller(n % 2), ask);
         assert_eq!(repeat.answered.status, 200, "{}", repeat.answered.text());
         assert_eq!(repeat.answered.json()["run"], 1);
@@ -62,8 +63,8 @@
     assert_eq!(runs(&fleet), 20);
 }
 
-/// A caller is refused at once while the log service is away, and nothing has run; the same call
-/// runs when it is back.
+/// While the log service is down, no claim can be appended: a non-idempotent request is refused as
+/// not run. The same request runs once the log service is available again.
 #[test]
 fn log_is_down() {
     let fleet = fleet();
@@ -73,7 +74,7 @@
     assert_eq!(refused.answered.error_code(), expected);
     assert!(refused.answered.header("retry-after").is_some());
     assert_eq!(runs(&fleet), 0);
-    // A call that may be repeated needs no claim and goes on.
+    // An idempotent request needs no claim and is served.
     let read = fleet.caller(0).send_blocking(&Ask::new(Method::Get, "/coop/members", "haus"));
     assert_eq!(read.status, 200);
     fleet.log.set(|faults| faults.outage = false);
@@ -84,8 +85,9 @@
     assert_eq!(false_not_run(&calls[..1], &events(&fleet)), Vec::<String>::new());
 }
 
-/// Calls run once each although the log service loses the answers to all claims: the entry finds
-/// its claim in the log by its id.
+/// Requests run once each although every append of a claim loses its response. The entry can't tell
+/// from the lost response whether the claim was appended, so it searches the log for the claim's
+/// id.
 #[test]
 fn claims_answer_is_lost() {
     let fleet = fleet();
@@ -101,20 +103,20 @@
     assert_eq!(runs(&fleet), 10);
 }
 
-/// A caller whose entry died in the middle of the run repeats through another: it is told that the
-/// call is running, and later gets its answer. The call has run once.
+/// The entry is killed during the run and the caller repeats the request through another entry. It
+/// is refused as still running until the outcome is known, and the request runs only once.
 #[test]
 fn entry_dies_during_the_run() {
     let fleet = fleet();
     fleet.services.values().for_each(|s| s.set_delay(Duration::from_millis(1500)));
     let (caller, ask) = (fleet.caller(0), confirm("swap-1"));
     let first = std::thread::spawn(move || Call::send(&caller, ask));
-    wait_until("it runs", || runs(&fleet) == 1);
+    wait_until("the request runs", || runs(&fleet) == 1);
     fleet.process("entry-0").kill();
     let first = first.join().expect("caller");
     assert_eq!(first.answered.status, 0);
     let mut calls = vec![first];
-    wait_until("a repeat is settled", || {
+    wait_until("a repeat is no longer refused as still running", || {
         let call = Call::send(&fleet.caller(1), confirm("swap-1"));
         let settled = call.answered.error_code().0 != "still_running";
         calls.push(call);
@@ -124,15 +126,15 @@
     assert_eq!(runs(&fleet), 1);
 }
 
-/// A caller whose side died in the middle of the run is told that it may have run, and so is every
-/// repeat: nobody knows, and so it is not run again.
+/// The side is killed during the run, so it is unknown whether the request has run. The request and
+/// each of its repeats are refused as `may_have_run`, and the request does not run again.
 #[test]
 fn side_dies_during_the_run() {
     let mut fleet = fleet();
     fleet.services.values().for_each(|s| s.set_delay(Duration::from_secs(5)));
     let (caller, ask) = (fleet.caller(0), confirm("swap-1"));
     let first = std::thread::spawn(move || Call::send(&caller, ask));
-    wait_until("it runs", || runs(&fleet) == 1);
+    wait_until("the request runs", || runs(&fleet) == 1);
     let host = fleet.services.iter().find(|(_, s)| !s.history.of("run").is_empty());
     let host = host.map(|(host, _)| host.clone()).expect("a service");
     fleet.process(&host).kill();
@@ -149,14 +151,14 @@
     assert_eq!(runs(&fleet), 1);
 }
 
-/// An entry is frozen while its claim is appended; a repeat through another entry has the claim
-/// closed at its side and is served under a claim of its own. The frozen entry wakes, reads that
-/// its claim holds the key no more, and gives its caller the answer of the other's run.
-/// The case that it wakes after that read is in core/tests/claims.rs: the side refuses the run.
+/// An entry is paused while its claim is being appended. A repeat through another entry has the
+/// side close that claim and runs under a claim of its own. The resumed entry reads that its claim
+/// no longer holds the key, and answers its caller with the result of the other run. For an entry
+/// that is paused after this read, see core/tests/claims.rs: the side refuses the run.
 #[test]
 fn frozen_holder_wakes() {
     let fleet = fleet();
-    // The append takes long enough to freeze the entry while it waits for the answer.
+    // The append is slow, so that the entry can be paused while it waits for the response.
     fleet.log.set(|faults| faults.append_ms = 400);
     let (caller, ask) = (fleet.caller(0), confirm("swap-1"));
     let first = std::thread::spawn(move || Call::send(&caller, ask));
@@ -179,5 +181,9 @@
     assert_eq!(first.answered.json()["run"], 1, "{}", first.answered.text());
     check(&fleet, &[first, second]);
     assert_eq!(runs(&fleet), 1);
-    assert_eq!(claim_records(), 3, "the frozen one, the one behind it, and the one in its place");
+    assert_eq!(
+        claim_records(),
+        3,
+        "the paused entry's claim, the second entry's claim, and the one that replaces the first"
+    );
 }
--- a/tests/promise_billed_once.rs
+++ b/tests/promise_billed_once.rs
@@ -27,12 +27,12 @@
 
 fn check(fleet: &Fleet, calls: &[Call]) {
     let wrong = || wrong_bills(calls, &fleet.log.records("bills"));
-    wait_until("all are billed", || wrong().is_empty());
+    wait_until("all answers are billed", || wrong().is_empty());
     let answers = calls.iter().filter(|c| c.answered.status == 200).count();
     assert!(answers > 0);
 }
 
-/// Begins an outage of the log, and returns calls that were answered in it.
+/// Starts an outage of the log service and returns calls that were answered during it.
 fn answered_during_outage(fleet: &Fleet) -> Vec<Call> {
     fleet.log.set(|faults| faults.outage = true);
     let ask = |n| Ask::chat("ani", "slip", &format!("slip {n}"));
@@ -41,8 +41,8 @@
     calls
 }
 
-/// A co-op pays once for a receipt that it sends again through another entry, whole or streamed,
-/// since the bill's id comes from the customer's key for the request.
+/// A request that is repeated through another entry is billed once, streamed or not: the id of the
+/// bill is derived from the customer's idempotency key.
 #[test]
 fn repeats_through_another_entry() {
     let fleet = fleet();
@@ -59,8 +59,8 @@
     assert_eq!(bills(&fleet).bills().count(), 10);
 }
 
-/// Bills are in the log once each although half of the appends lose their answers, so that daemons
-/// append batches again which the log has.
+/// Each bill counts once although half of the appends lose their responses, so that daemons append
+/// batches a second time.
 #[test]
 fn lost_answers() {
     let fleet = fleet();
@@ -72,12 +72,13 @@
     let calls = traffic.stop();
     check(&fleet, &calls);
     let lost = fleet.log.history.of("append").iter().filter(|e| !e.detail.is_empty()).count();
-    assert!(lost > 0, "no answer was lost");
+    assert!(lost > 0, "no response of an append was lost");
     assert_eq!(bills(&fleet).bills().count(), calls.len());
 }
 
-/// Answers are billed although the entry dies between the answer and the append: the side holds
-/// the other copy, and appends it when it has waited long enough for the entry.
+/// Answers are billed although the entry is killed between the answer and the append. The side
+/// holds a copy of each bill and appends it if the entry has not confirmed it after
+/// `side_grace_ms`.
 #[test]
 fn entry_dies_before_the_append() {
     let fleet = fleet();
@@ -87,7 +88,7 @@
     check(&fleet, &calls);
 }
 
-/// The same when the side dies: the entry holds the other copy.
+/// Answers are billed although the sides are killed before the append: the entry also holds a copy.
 #[test]
 fn sides_die_before_the_append() {
     let fleet = fleet();
@@ -98,7 +99,8 @@
     check(&fleet, &calls);
 }
 
-/// Entry and side both append when an outage outlasts the side's patience; each bill counts once.
+/// If an outage lasts longer than `side_grace_ms`, entry and side both append the bill, and it
+/// counts once.
 #[test]
 fn both_append_after_an_outage() {
     let fleet = fleet();
@@ -106,8 +108,8 @@
     let calls: Vec<_> = (0..8)
         .map(|n| Call::send(&fleet.caller(n % 2), Ask::chat("ani", "slip", &format!("slip {n}"))))
         .collect();
-    // Both have tried while the log was away, the side only after its grace.
-    wait_until("both try", || {
+    // Both have tried to append during the outage; the side only tries after `side_grace_ms`.
+    wait_until("entries and a side have tried to append", || {
         let tried = |h: &str| fleet.process(h).count("bills_not_appended") > 0;
         tried("entry-0") && tried("entry-1") && (tried("gpu-1") || tried("gpu-2"))
     });
@@ -116,8 +118,8 @@
     assert_eq!(bills(&fleet).bills().count(), calls.len());
 }
 
-/// A request that went through two versions of a cascade has one bill, for all its tokens, and the
-/// answer of the second version: the first's was bad.
+/// A request that a cascade ran on two versions, as the first answer was bad, returns the answer of
+/// the second version and has one bill for the tokens of both runs.
 #[test]
 fn cascade_is_one_bill() {
     let cascade = objects()
@@ -138,9 +140,11 @@
     assert_eq!(call.answered.header("x-model-version"), Some("large-1"), "{call:?}");
     let attempts = [&fleet.engines["gpu-1"], &fleet.engines["gpu-2"]];
     assert!(attempts.iter().all(|e| e.history.of("run").len() == 1));
-    wait_until("it is billed", || bills(&fleet).bills().any(|bill| bill.attempt == 2));
+    wait_until("the second attempt is billed", || {
+        bills(&fleet).bills().any(|bill| bill.attempt == 2)
+    });
     let fold = bills(&fleet);
     let bill = fold.bills().next().expect("bill");
     assert_eq!((fold.bills().count(), bill.version.as_str()), (1, "large-1"));
-    assert_eq!(bill.tokens, 18, "nine tokens of each attempt");
+    assert_eq!(bill.tokens, 18, "nine tokens for each attempt");
 }
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -1,4 +1,5 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! An accepted configuration is in force on all daemons within seconds and is never reverted to an
+//! older one.
 
 mod common;
 
@@ -26,7 +27,7 @@
     fold
 }
 
-/// Offsets that a daemon has had in force, in order.
+/// Returns the offsets of the configurations that a daemon has put in force, in that order.
 fn offsets_in_force(fleet: &Fleet, host: &str) -> Vec<u64> {
     let lines = fleet.process(host).lines();
     let in_force = lines.iter().filter(|l| l.contains("event=config_in_force"));
@@ -36,12 +37,16 @@
 fn check_offsets_never_decrease(fleet: &Fleet) {
     for host in HOSTS {
         let offsets_in_force = offsets_in_force(fleet, host);
-        assert!(offsets_in_force.is_sorted(), "{host} went back: {offsets_in_force:?}");
+        assert!(
+            offsets_in_force.is_sorted(),
+            "{host} reverted to an older configuration: {offsets_in_force:?}"
+        );
     }
 }
 
-/// Of operators who change the same object at once from the same state, one wins, and each other is
-/// told who was faster. Every daemon ends with the winner's object.
+/// Of several concurrent changes to an object that are based on the same revision, one is accepted.
+/// The others are rejected with exit code 3 and the author of the accepted change, or with
+/// `revision_moved`. All daemons end with the same configuration.
 #[test]
 fn operators_race() {
     let fleet = fleet();
@@ -85,7 +90,8 @@
     check_offsets_never_decrease(&fleet);
 }
 
-/// An operator whose answers are all lost is told what became of the change, and it is applied once.
+/// A publication succeeds and is applied once although the log service loses the response of
+/// every append.
 #[test]
 fn publish_with_lost_answers() {
     let fleet = fleet();
@@ -97,16 +103,16 @@
     fleet.wait_in_force();
 }
 
-/// A daemon that starts when the head of the stream has expired begins from a snapshot, and has the
-/// same state as the others. Without the snapshots it would serve nothing, and say so.
+/// A daemon that starts after the first records of the stream have expired loads a snapshot and
+/// reaches the same state as the others. Without a snapshot it could not serve.
 #[test]
 fn snapshots_outlive_retention() {
     let mut fleet = fleet();
     for share in 1..=25 {
         fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", share));
     }
-    // Retention holds more than one period of snapshots, as the platform's page asks.
-    wait_until("the newest snapshot is less than a period old", || {
+    // The records that are retained must span more than one snapshot interval.
+    wait_until("the newest snapshot is less than one snapshot interval old", || {
         let snapshots = fleet.log.records("config-snapshots");
         let newest = snapshots.last().map(|(_, raw)| raw.clone()).unwrap_or_default();
         let value: Value = serde_json::from_str(&newest).unwrap_or_default();
@@ -119,10 +125,10 @@
     fleet.log.set(|faults| faults.retain = 100_000);
     let newest = newest_offset(&fleet);
     fleet.process("entry-1").kill();
-    // Its peers could help it too; the snapshot alone must do.
+    // While gpu-1 is paused it can't send the configuration; the snapshot must suffice.
     fleet.process("gpu-1").freeze();
     fleet.restart("entry-1");
-    wait_until("the new entry has it", || {
+    wait_until("the restarted entry has the newest configuration in force", || {
         offsets_in_force(&fleet, "entry-1").last() == Some(&newest)
     });
     fleet.process("gpu-1").thaw();
@@ -136,8 +142,8 @@
     fleet.log.records("config").last().map_or(0, |(offset, _)| *offset)
 }
 
-/// A daemon that is cut off from the log gets changes from its peers, and one that was alone for a
-/// while has the newest state when it is back, never an older one in between.
+/// A daemon without a connection to the log gets changes from its peers. A daemon that was paused
+/// during several changes catches up to the newest one and never puts an older one in force.
 #[test]
 fn cut_off_and_back() {
     let fleet = fleet();
@@ -154,7 +160,8 @@
     check_offsets_never_decrease(&fleet);
 }
 
-/// Records that are torn or of an unknown kind are passed over by all alike, and serving goes on.
+/// All daemons skip the same truncated records and records of an unknown type, and continue to
+/// serve.
 #[test]
 fn unknown_and_torn_records() {
     let fleet = fleet();
@@ -171,8 +178,8 @@
     assert_eq!(answered.header("x-model-version"), Some("slip-2"));
 }
 
-/// A daemon that starts in a log outage gets the configuration from a peer; with neither log nor
-/// peer it is not ready, and refuses requests as not run.
+/// A daemon that starts during an outage of the log service gets the configuration from a peer.
+/// Without log service and peers it is not ready, and refuses requests as not run with `no_config`.
 #[test]
 fn starts_in_an_outage() {
     let mut fleet = fleet();
--- a/tests/promise_leaving.rs
+++ b/tests/promise_leaving.rs
@@ -1,4 +1,4 @@
-//! A backend server that is leaving receives no new work after a few seconds.
+//! A backend server that is leaving receives no new requests after a few seconds.
 
 mod common;
 
@@ -23,8 +23,8 @@
     })
 }
 
-/// Callers see nothing of a host that the platform says is leaving: its side works on, but both
-/// entries stop sending it work once they have read the list.
+/// No request fails when the host list reports a host as leaving. Its side keeps running, but both
+/// entries stop sending requests to it once they have read the list.
 #[test]
 fn host_list_says_so() {
     let fleet = fleet();
@@ -36,10 +36,10 @@
             .filter(|h| h.host == "gpu-1")
             .for_each(|h| "leaving".clone_into(&mut h.state));
     });
-    wait_until("entries have read the list", || {
+    wait_until("both entries have read the host list", || {
         ["entry-0", "entry-1"].iter().all(|h| fleet.process(h).count("hosts_changed") > 1)
     });
-    // What an entry had picked when it read the list is on its way still.
+    // Requests that were assigned to the host before the list was read are still in flight.
     traffic.wait_for(20);
     let since_us = now_us();
     traffic.wait_for(100);
@@ -49,8 +49,8 @@
     assert!(calls.iter().all(|c| c.answered.status == 200));
 }
 
-/// A side that is told to stop says so on its connections, long before the host list does, and
-/// refuses what an entry sends before it heard.
+/// A side that receives SIGTERM announces it on its connections, long before the host list does. It
+/// refuses requests from entries that have not received the announcement, and no request fails.
 #[test]
 fn side_says_so_itself() {
     let fleet = fleet();
@@ -59,19 +59,22 @@
     fleet.process("gpu-1").term();
     let draining_line =
         fleet.process("gpu-1").wait_for_line("event=draining", Duration::from_secs(30));
-    draining_line.expect("it drains");
+    draining_line.expect("the side logs that it drains");
     let since_us = now_us();
     traffic.wait_for(100);
     let calls = traffic.stop();
-    // Runs that had been let in when the drain began may still reach the engine.
+    // Requests that were admitted before the drain began may still start at the engine.
     let events = fleet.engines["gpu-1"].history.events();
     let late_runs = runs_after(&events, "slip-1", since_us);
-    assert!(late_runs.len() <= 6, "more than the callers had under way: {late_runs:?}");
+    assert!(
+        late_runs.len() <= 6,
+        "more than one request in flight per caller thread: {late_runs:?}"
+    );
     assert!(calls.iter().all(|c| c.answered.status == 200));
 }
 
-/// A host that is gone from the list is gone from the entries: requests are not sent on a connection
-/// that nobody watches any more. Its stream under way goes on to its end.
+/// An entry removes a host that is no longer listed: requests must not be sent on a connection that
+/// is no longer monitored. Streams in flight from that host run to their end.
 #[test]
 fn a_host_that_is_listed_no_more_is_let_go() {
     let fleet = fleet();
@@ -84,12 +87,12 @@
             std::thread::spawn(move || caller.send_blocking(&ask))
         })
         .collect();
-    wait_until("a stream runs there", || !fleet.engines["gpu-1"].history.of("run").is_empty());
+    wait_until("a stream runs at gpu-1", || !fleet.engines["gpu-1"].history.of("run").is_empty());
     fleet.hosts.update(Duration::ZERO, |hosts| hosts.retain(|h| h.host != "gpu-1"));
-    wait_until("it is let go", || !sides().contains("gpu-1"));
+    wait_until("the entry has removed gpu-1", || !sides().contains("gpu-1"));
     for stream in streams {
         assert!(stream.join().expect("caller").is_whole_stream());
     }
     fleet.list_hosts(Duration::ZERO);
-    wait_until("it is taken again", || sides().contains("gpu-1"));
+    wait_until("the entry has added gpu-1 again", || sides().contains("gpu-1"));
 }
--- a/tests/promise_not_run.rs
+++ b/tests/promise_not_run.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true.
+//! A request that is refused as `not_run` has not run.
 
 mod common;
 
@@ -17,9 +17,9 @@
     EngineSettings { slots: 2, token_ms: 30, ..engine(&["slip-1"]) }
 }
 
-/// Callers with short deadlines behind a slow engine: some are refused in the queue, which never
-/// reached the engine, and some give up in the run, which did. Both get their answer at once, with
-/// a time to come back.
+/// Requests with short deadlines at a slow engine: some time out in the queue and are refused as
+/// `not_run`, others time out during the run and are refused as `may_have_run`. Both are refused
+/// soon after their deadline, with a `retry-after`.
 #[test]
 fn deadlines_in_the_queue_and_in_the_run() {
     let fleet = builder().engine("gpu-1", slow_engine()).start(&objects());
@@ -42,12 +42,15 @@
     for call in refused {
         assert!(call.answered.header("retry-after").is_some(), "{}", call.answered.text());
         let deadline: u128 = call.request_header("x-request-timeout-ms").unwrap().parse().unwrap();
-        assert!(call.answered.took.as_millis() < deadline + 5_000, "held back");
+        assert!(
+            call.answered.took.as_millis() < deadline + 5_000,
+            "refused more than 5 s after its deadline"
+        );
     }
 }
 
-/// A caller whose customer has filled its part of the queue is refused at once, as not run; another
-/// customer's request is let in.
+/// Requests of a customer that has filled its share of the queue are refused at once, as not run;
+/// the request of another customer is admitted.
 #[test]
 fn full_queue() {
     let fleet = builder()
@@ -70,8 +73,8 @@
     }
 }
 
-/// A caller whose engine falls silent, or whose side dies, is not told "not run": the engine had
-/// the request.
+/// If the engine stops responding or the side is killed after the engine has received a request,
+/// the request is refused as `may_have_run`, not as `not_run`.
 #[test]
 fn silent_engine_and_dead_side() {
     let fleet = builder()
@@ -84,7 +87,7 @@
     fleet.engines["gpu-1"].set(|faults| faults.silent = false);
     let caller = fleet.caller(0);
     let running = std::thread::spawn(move || Call::send(&caller, Ask::chat("ani", "slip", "two")));
-    wait_until("it runs", || fleet.engines["gpu-1"].history.of("run").len() == 2);
+    wait_until("the second request runs", || fleet.engines["gpu-1"].history.of("run").len() == 2);
     fleet.process("gpu-1").kill();
     let killed = running.join().expect("caller");
     assert_eq!(killed.answered.error_code().1, "may_have_run", "{}", killed.answered.text());
@@ -93,8 +96,9 @@
     assert_eq!(false_not_run(&[call, killed, without_side], &events(&fleet)), Vec::<String>::new());
 }
 
-/// A caller whose request was sent to one engine, which fell silent, and was then refused by the
-/// next is not told "not run": what the last of several attempts says does not hold for the first.
+/// A request is sent to an engine that does not respond, and the next engine then refuses it. It
+/// must not be refused as `not_run`: the run state of the last attempt does not cover the earlier
+/// ones.
 #[test]
 fn refused_after_a_lost_attempt() {
     let fleet = builder()
@@ -107,7 +111,7 @@
         )
         .start(&objects());
     fleet.engines["gpu-1"].set(|faults| faults.silent = true);
-    // gpu-2 is full of long streams, so that requests go to gpu-1 first.
+    // Long streams fill gpu-2, so that requests go to gpu-1 first.
     let caller = fleet.caller(0);
     let stream = |n| Ask::chat("haus", "slip", &format!("long {n}")).stream(200);
     let long_streams: Vec<_> =
--- a/tests/promise_planned_stop.rs
+++ b/tests/promise_planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop is a graceful shutdown: it cuts no request.
+//! A planned stop is a graceful shutdown: no request in flight is aborted.
 
 mod common;
 
@@ -30,7 +30,7 @@
     if n.is_multiple_of(2) { ask.stream(250) } else { ask }
 }
 
-/// Says whether an answer is whole, of either sort.
+/// Returns whether a call was answered completely, be it streamed or not.
 fn is_whole(call: &Call) -> bool {
     let answered = &call.answered;
     let is_stream = String::from_utf8_lossy(&call.ask.body).contains("\"stream\":true");
@@ -43,8 +43,8 @@
     assert_eq!(fleet.process(host).count("drain_cut"), 0);
 }
 
-/// Callers behind a side that stops see nothing of it: streams run to their end, what comes later
-/// goes to the other side.
+/// No request fails when a side stops under load: streams in flight run to their end, and later
+/// requests go to the other side.
 #[test]
 fn side_stops_under_load() {
     let fleet = fleet();
@@ -57,11 +57,13 @@
     let cut: Vec<_> = calls.iter().filter(|c| !is_whole(c)).collect();
     assert!(cut.is_empty(), "{} of {}: {:?}", cut.len(), calls.len(), cut[0].answered);
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
-    wait_until("all are billed", || wrong_bills(&calls, &fleet.log.records("bills")).is_empty());
+    wait_until("all answers are billed", || {
+        wrong_bills(&calls, &fleet.log.records("bills")).is_empty()
+    });
 }
 
-/// Callers of an entry that stops get whole answers to all that they sent. They heed the balancer:
-/// once the entry is not ready any more they go to the other.
+/// An entry that stops under load answers all its requests completely. Like behind a load balancer,
+/// the callers stop sending to the entry once `/readyz` fails.
 #[test]
 fn entry_stops_under_load() {
     let fleet = fleet();
@@ -72,16 +74,18 @@
     let traffic = Traffic::start(vec![fleet.caller(0)], 12, plain_or_streamed);
     traffic.wait_for(24);
     fleet.process("entry-0").term();
-    wait_until("readiness goes first", || !is_ready());
+    wait_until("the entry reports that it is not ready", || !is_ready());
     let calls = traffic.stop();
     check_stopped(&fleet, "entry-0");
     let cut: Vec<_> = calls.iter().filter(|c| !is_whole(c)).collect();
     assert!(cut.is_empty(), "{} of {}: {:?}", cut.len(), calls.len(), cut[0].answered);
-    wait_until("all are billed", || wrong_bills(&calls, &fleet.log.records("bills")).is_empty());
+    wait_until("all answers are billed", || {
+        wrong_bills(&calls, &fleet.log.records("bills")).is_empty()
+    });
 }
 
-/// Daemons that stop while the log is away hand their unconfirmed bills to another process, and
-/// none is lost: the side to an entry, then the entry to the other side.
+/// Daemons that stop during an outage of the log service send their unconfirmed bills to another
+/// process, so that no bill is lost: the side to an entry, then the entry to the other side.
 #[test]
 fn stops_during_an_outage_lose_no_bill() {
     let fleet = fleet();
@@ -95,5 +99,7 @@
     check_stopped(&fleet, "entry-0");
     assert!(fleet.process("entry-0").count("bills_handed_over") > 0);
     fleet.log.set(|faults| faults.outage = false);
-    wait_until("all are billed", || wrong_bills(&calls, &fleet.log.records("bills")).is_empty());
+    wait_until("all answers are billed", || {
+        wrong_bills(&calls, &fleet.log.records("bills")).is_empty()
+    });
 }
--- a/tests/promise_session.rs
+++ b/tests/promise_session.rs
@@ -1,4 +1,4 @@
-//! A session keeps its version.
+//! A session stays on its version.
 
 mod common;
 
@@ -21,7 +21,7 @@
 
 fn traffic(fleet: &Fleet) -> Traffic {
     Traffic::start(vec![fleet.caller(0), fleet.caller(1)], 4, |n| {
-        // Each session meets both entries: its number and that of the entry are not in step.
+        // The entry is chosen by n % 2; with n / 2 each session sends through both entries.
         let session = format!("batch-{}", n / 2 % SESSIONS);
         Ask::chat("ani", "slip", &format!("slip {n}")).session(&session)
     })
@@ -36,8 +36,8 @@
     calls.iter().filter_map(|c| c.answered.header("x-model-version")).collect()
 }
 
-/// Treasurers see one version for all of a batch, whichever entry they meet, while a roll-out goes
-/// up in steps, is left half done, goes on and goes back. New sessions follow the share.
+/// Existing sessions stay on their version through both entries while a roll-out's share goes up in
+/// steps and is rolled back. New sessions get the version that the share selects.
 #[test]
 fn through_every_step_of_a_roll_out() {
     let fleet = fleet();
@@ -61,9 +61,9 @@
     assert_eq!(answered.header("x-model-version"), Some("slip-2"));
 }
 
-/// The same when an entry is killed, and when hosts that hold sessions are replaced one after the
-/// other: each session has its version at three of them, and a new holder gets its copy from the
-/// others at the session's next request.
+/// Sessions stay on their version when an entry is killed and when the sides that store the
+/// sessions are restarted one after the other. Each session is stored on three sides; a restarted
+/// side has lost its copy and gets a new one from the others at the session's next request.
 #[test]
 fn through_the_loss_of_an_entry_and_of_holders() {
     let mut fleet = fleet();
@@ -91,8 +91,9 @@
     assert_eq!(versions(&calls), BTreeSet::from(["slip-1"]));
 }
 
-/// A treasurer whose version was withdrawn is told so with the first answer of the next one, and
-/// keeps that one, through the other entry too.
+/// If a session's version is withdrawn, the session moves to the model's new version. The first
+/// answer reports the move in `x-session-moved`, and the session then stays on the new version
+/// through both entries.
 #[test]
 fn withdrawal_is_the_one_exception() {
     let fleet = fleet();
@@ -109,8 +110,8 @@
     assert_eq!(after.header("x-model-version"), Some("slip-2"));
 }
 
-/// A treasurer whose version is in service is served, although the version that new sessions would
-/// get has been withdrawn: nothing of hers was.
+/// A session whose own version is in service is still served if the version for new sessions has
+/// been withdrawn. Only new sessions are refused.
 #[test]
 fn withdrawal_of_another_version_changes_nothing() {
     let fleet = fleet();
@@ -129,13 +130,13 @@
     }
 }
 
-/// Two entries that get a new session's first requests at once give it one version, although one
-/// of them does not know yet that the roll-out's share has moved.
+/// Two entries that receive a new session's first requests at the same time assign it the same
+/// version, although one of them still has the old share of the roll-out.
 #[test]
 fn first_requests_race_through_two_entries() {
     let fleet = fleet();
     for n in 0..10 {
-        // The entry that slept decides by the old share, the other by the new one.
+        // The paused entry selects by the old share, the other one by the new share.
         fleet.process("entry-1").freeze();
         let to = if n % 2 == 0 { 1000 } else { 0 };
         fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", to));
--- a/tests/promise_whole_answer.rs
+++ b/tests/promise_whole_answer.rs
@@ -1,4 +1,4 @@
-//! A caller receives the whole answer to its own request.
+//! A caller receives the complete answer to its own request.
 
 mod common;
 
@@ -18,8 +18,8 @@
     if n.is_multiple_of(2) { ask.stream(5 + n % 20) } else { ask }
 }
 
-/// Every caller gets the answer to its own prompt, whole, while hundreds cross each other and the
-/// engines' speed goes up and down.
+/// Each caller gets the complete answer to its own prompt, with hundreds of concurrent requests and
+/// an engine whose speed changes, so that answers overtake each other.
 #[test]
 fn crossing_answers() {
     let fleet = fleet();
@@ -33,9 +33,9 @@
     assert!(calls.iter().all(|c| c.answered.status == 200));
 }
 
-/// A caller whose engine dies in the middle of a stream sees the stream cut, with an error event and
-/// without an end mark; never the rest of another attempt. Whole answers are had from the other
-/// engine, so their callers see nothing of it.
+/// If an engine fails in mid-stream, the stream ends with an error event and without the end
+/// marker; it is never continued with the tokens of another attempt. Requests that are not streamed
+/// are retried at the other engine and succeed.
 #[test]
 fn engine_dies_in_mid_stream() {
     let fleet = fleet();
@@ -47,15 +47,15 @@
     let is_streamed = |c: &&Call| String::from_utf8_lossy(&c.ask.body).contains("\"stream\":true");
     let cut = calls.iter().filter(|c| is_streamed(c) && !c.answered.is_whole_stream());
     let cut: Vec<_> = cut.collect();
-    assert!(!cut.is_empty(), "no stream met the dying engine");
+    assert!(!cut.is_empty(), "no stream ran on the failing engine");
     for call in cut {
         assert!(call.answered.text().contains("backend_lost"), "{}", call.answered.text());
     }
     assert!(calls.iter().filter(|c| !is_streamed(c)).all(|c| c.answered.status == 200));
 }
 
-/// A caller that goes away in mid-stream has its run cancelled at the engine, and those who come
-/// after it get their own answers.
+/// If a caller disconnects in mid-stream, its run is cancelled at the engine, and later requests
+/// get their own answers.
 #[test]
 fn cancelled_callers_leave_nothing_behind() {
     let fleet = fleet();
@@ -67,16 +67,17 @@
         let before = count_events("run");
         let cancelled = count_events("cancel");
         let call = smol::spawn(async move { caller.send(&ask).await });
-        wait_until("it runs", || count_events("run") > before);
+        wait_until("the stream runs", || count_events("run") > before);
         smol::block_on(call.cancel());
-        wait_until("the engine is told", || count_events("cancel") > cancelled);
+        wait_until("the run is cancelled at the engine", || count_events("cancel") > cancelled);
         let next = Call::send(&caller, plain_or_streamed(n));
         assert_eq!(wrong_answers(std::slice::from_ref(&next)), Vec::<String>::new());
         assert_eq!(next.answered.status, 200);
     }
 }
 
-/// A side that is killed under load cuts its streams openly; whole answers come from the other.
+/// When a side is killed under load, its streams end visibly incomplete, and the other side serves
+/// the requests that follow.
 #[test]
 fn side_is_killed() {
     let fleet = fleet();
--- a/tests/promise_withdrawn.rs
+++ b/tests/promise_withdrawn.rs
@@ -1,4 +1,4 @@
-//! A withdrawn version receives no new work.
+//! A withdrawn version receives no new requests.
 
 mod common;
 
@@ -18,9 +18,9 @@
     fleet.engines.values().flat_map(|e| e.history.events()).collect()
 }
 
-/// Callers see answers by slip-1, then a refusal, and never slip-1 again. Two entries are under
-/// load; one is frozen while slip-1 is withdrawn, and wakes with requests in hand and the old
-/// configuration. The side has the new one and refuses what the stale entry sends.
+/// One of two entries under load is paused while slip-1 is withdrawn, and resumes with requests in
+/// flight and the old configuration. The sides have the new one and refuse what the stale entry
+/// forwards, so slip-1 runs no further request.
 #[test]
 fn stale_entry_cannot_give_it_work() {
     let fleet = builder()
@@ -33,7 +33,7 @@
     traffic.wait_for(50);
     fleet.process("entry-1").freeze();
     withdraw(&fleet, &[]);
-    wait_until("sides know", || {
+    wait_until("the sides have the withdrawal in force", || {
         ["gpu-1", "gpu-2"].iter().all(|h| fleet.process(h).count("config_in_force offset=2") > 0)
     });
     let applied_at_us = now_us();
@@ -46,8 +46,8 @@
     assert!(calls.iter().any(|c| c.answered.error_code().0 == "version_withdrawn"));
 }
 
-/// Callers whose requests wait in a side's queue are refused as not run, at once. The engine has
-/// one slot and long answers; the version is withdrawn while others wait behind the first.
+/// Requests that are queued at a side when their version is withdrawn are refused at once, as not
+/// run. The engine has one slot, so the others are queued while the first one runs.
 #[test]
 fn queued_work_is_refused() {
     let slow = EngineSettings { slots: 1, token_ms: 40, ..engine(&["slip-1"]) };
@@ -56,14 +56,16 @@
     let first = std::thread::spawn(move || {
         caller.send_blocking(&Ask::chat("ani", "slip", "first").stream(100))
     });
-    wait_until("the first runs", || fleet.engines["gpu-1"].history.of("run").len() == 1);
+    wait_until("the first request runs", || fleet.engines["gpu-1"].history.of("run").len() == 1);
     let waiting: Vec<_> = (0..5)
         .map(|n| {
             let ask = Ask::chat("ani", "slip", &format!("waits {n}"));
             std::thread::spawn(move || caller.send_blocking(&ask))
         })
         .collect();
-    wait_until("others wait", || fleet.daemon_status("gpu-1")["backends"][0]["busy"] == 6);
+    wait_until("the other requests are queued", || {
+        fleet.daemon_status("gpu-1")["backends"][0]["busy"] == 6
+    });
     withdraw(&fleet, &[]);
     for thread in waiting {
         let answered = thread.join().expect("caller");
@@ -72,11 +74,12 @@
         assert!(answered.header("retry-after").is_some());
     }
     assert_eq!(fleet.engines["gpu-1"].history.of("run").len(), 1);
-    // The stream under way is left to its end, as the withdrawal did not say otherwise.
+    // Without `--cut`, a stream in flight runs to its end.
     assert!(first.join().expect("caller").is_whole_stream());
 }
 
-/// A caller of a stream sees it cut, openly, when the withdrawal says so.
+/// A withdrawal with `--cut` aborts streams in flight. The stream ends with an error event instead
+/// of the end marker, and the run is cancelled at the engine.
 #[test]
 fn streams_are_cut_on_demand() {
     let slow = EngineSettings { token_ms: 40, ..engine(&["slip-1"]) };
@@ -85,16 +88,19 @@
     let first = std::thread::spawn(move || {
         caller.send_blocking(&Ask::chat("ani", "slip", "long").stream(1000))
     });
-    wait_until("it runs", || fleet.engines["gpu-1"].history.of("run").len() == 1);
+    wait_until("the stream runs", || fleet.engines["gpu-1"].history.of("run").len() == 1);
     withdraw(&fleet, &["--cut"]);
     let answered = first.join().expect("caller");
     assert!(!answered.is_whole_stream());
     assert!(answered.text().contains("version_withdrawn"), "{}", answered.text());
-    wait_until("engine is told", || fleet.engines["gpu-1"].history.of("cancel").len() == 1);
+    wait_until("the run is cancelled at the engine", || {
+        fleet.engines["gpu-1"].history.of("cancel").len() == 1
+    });
 }
 
-/// Callers are refused although the log service went away right after it took the withdrawal. The
-/// operator's tool gives the record to the daemons itself, and they pass it on.
+/// A withdrawal takes effect although the log service becomes unavailable right after it accepted
+/// the record: the operator's tool sends the record to the daemons, and they forward it to each
+/// other.
 #[test]
 fn outage_right_after_the_acceptance() {
     let mut fleet = builder()
@@ -102,14 +108,14 @@
         .engine("gpu-1", engine(&["slip-1"]))
         .engine("gpu-2", engine(&["slip-1"]))
         .start(&objects());
-    // No daemon reads the log any more: what they learn, they learn from the tool.
+    // No daemon can read the log, so the record must come from the tool.
     for host in ["entry-0", "entry-1", "gpu-1", "gpu-2"] {
         fleet.cut_log(host, true);
     }
     withdraw(&fleet, &[]);
     fleet.log.set(|faults| faults.outage = true);
     let withdrawn_at_us = now_us();
-    // A side that is replaced in the outage has no log to read; it learns from an entry.
+    // A side that is restarted during the outage gets the record from a peer.
     fleet.process("gpu-2").kill();
     fleet.restart("gpu-2");
     for n in 0..20 {
@@ -117,7 +123,7 @@
         assert_ne!(answered.status, 200, "{}", answered.text());
     }
     assert_eq!(runs_after(&events(&fleet), "slip-1", withdrawn_at_us), Vec::<String>::new());
-    wait_until("the new side has it", || {
+    wait_until("the restarted side has the withdrawal in force", || {
         fleet.process("gpu-2").count("config_in_force offset=2") > 0
     });
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings that are wrong stop the start with a word on what is wrong.
+//! Invalid settings are rejected with an error that names the setting, and the documentation lists
+//! every error kind and metric.
 
 use redwingfold::settings::{CtlSettings, EntrySettings, SideSettings, parse};
 use serde_json::{Value, json};
@@ -41,7 +42,7 @@
     assert!(error.contains("missing field `host`"), "{error}");
 }
 
-/// Whatever stands in the file, reading it ends with settings or an error.
+/// The parser returns settings or an error for any text, without a panic.
 #[test]
 fn any_text_is_survived() {
     bolero::check!().with_type::<String>().for_each(|text| {
@@ -49,7 +50,7 @@
     });
 }
 
-/// Every error kind is on the callers' page with its status, run state and time to come back.
+/// docs/API.md lists every error kind with its status, code, run state and `retry-after`.
 #[test]
 fn the_api_page_has_every_error_kind() {
     let page = include_str!("../docs/API.md");
@@ -61,7 +62,7 @@
     }
 }
 
-/// Every metric in the code is on the metrics page.
+/// docs/METRICS.md lists every metric that the code records.
 #[test]
 fn the_metrics_page_has_every_metric() {
     let page = include_str!("../docs/METRICS.md");
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent, and failure domains that go.
+//! Connections that stop delivering packets, and the loss of a failure domain.
 
 mod common;
 
@@ -12,9 +12,9 @@
     Ask::chat("ani", "slip", &format!("slip {n}"))
 }
 
-/// Callers get their answers although the only connection to the only side has gone silent for
-/// good. The entry misses one heartbeat, opens another connection from a new port, and sends what
-/// was under way again on it.
+/// Requests are answered although the only connection to the only side drops all packets for good.
+/// The entry misses one heartbeat, opens a new connection from another port, and resends on it the
+/// requests in flight.
 #[test]
 fn open_connection_is_dead_and_new_ones_work() {
     let mut fleet = builder()
@@ -22,27 +22,28 @@
         .settings("entry", "heartbeat", json!({"interval_ms": 100}))
         .start(&objects());
     fleet.put_proxy("gpu-1");
-    wait_until("the way leads through the proxy", || {
+    wait_until("the entry is connected through the proxy", || {
         fleet.process("entry-0").count("event=side_connected") == 2
     });
     let traffic = Traffic::start(vec![fleet.caller(0)], 4, ask);
     for round in 1..=3 {
         traffic.wait_for(20);
         fleet.proxy("gpu-1").silence_flows();
-        wait_until("a new connection", || {
+        wait_until("the entry has opened a new connection", || {
             fleet.process("entry-0").count("event=side_connected") >= 2 + round
         });
     }
     traffic.wait_for(20);
     let calls = traffic.stop();
     let failed: Vec<_> = calls.iter().filter(|c| c.answered.status != 200).collect();
-    // A request that met the silence twice, or met it when the budget was spent, may be refused.
+    // A request that was in flight during two silences, or when the retry budget was spent, may
+    // fail.
     assert!(failed.len() * 10 <= calls.len(), "{} of {}", failed.len(), calls.len());
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
 }
 
-/// Callers see at most what was under way when a failure domain goes: its sides fall silent all at
-/// once, and the others take the work. At the same time the log service is away.
+/// Only requests in flight may fail when all sides of a failure domain become unreachable at once
+/// during an outage of the log service; the other sides serve the requests that follow.
 #[test]
 fn failure_domain_goes_during_a_log_outage() {
     let mut fleet = builder()
@@ -54,7 +55,7 @@
         .start(&objects());
     fleet.put_proxy("gpu-1");
     fleet.put_proxy("gpu-4");
-    wait_until("the ways lead through the proxies", || {
+    wait_until("the entry is connected through both proxies", || {
         fleet.process("entry-0").count("event=side_connected") == 6
     });
     let traffic = Traffic::start(vec![fleet.caller(0)], 4, ask);
@@ -63,7 +64,7 @@
     // gpu-1 and gpu-4 are in one failure domain.
     fleet.proxy("gpu-1").set_cut(true);
     fleet.proxy("gpu-4").set_cut(true);
-    wait_until("both are given up", || {
+    wait_until("the entry has given up both sides", || {
         fleet.process("entry-0").count("event=side_gone") >= 2
             || fleet.process("entry-0").count("event=side_unreachable") >= 2
     });
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request's way through separate processes.
+//! Requests through a fleet of separate processes.
 
 mod common;
 
@@ -44,7 +44,7 @@
     assert!(explained.contains("slip-1 at gpu-1/engine-0"), "{explained}");
 }
 
-/// Operators get metrics as StatsD datagrams at the address of the settings.
+/// Metrics are sent as StatsD datagrams to the address in the settings.
 #[test]
 fn metrics_arrive() {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
@@ -62,5 +62,5 @@
             |datagram| String::from_utf8_lossy(&datagram).contains("redwingfold.request.count:1|c"),
         )
     });
-    assert!(found, "no request was counted");
+    assert!(found, "no datagram counted a request");
 }
