--- a/tests/common/traffic.rs
+++ b/tests/common/traffic.rs
@@ -79,7 +79,7 @@
     pub fn wait_for(&self, additional: usize) {
         let count = || self.calls.lock().unwrap_or_else(PoisonError::into_inner).len();
         let target = count() + additional;
-        wait_until("enough calls have ended", || count() >= target);
+        wait_until("calls", || count() >= target);
     }
 
     /// Stops the threads and returns all calls.
--- a/tests/promise_billed_once.rs
+++ b/tests/promise_billed_once.rs
@@ -109,7 +109,7 @@
         .map(|n| Call::send(&fleet.caller(n % 2), Ask::chat("ani", "slip", &format!("slip {n}"))))
         .collect();
     // Both have tried to append during the outage; the side only tries after `side_grace_ms`.
-    wait_until("entries and a side have tried to append", || {
+    wait_until("both entries and a side have tried to append", || {
         let tried = |h: &str| fleet.process(h).count("bills_not_appended") > 0;
         tried("entry-0") && tried("entry-1") && (tried("gpu-1") || tried("gpu-2"))
     });
