--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! Adapter of the log service.
+//! Client for the log service.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,77 +7,79 @@
 use redwingfold_http::{CallError, CallTimeout, Client, Method};
 use serde::Deserialize;
 
-use crate::clock::span;
+use crate::clock::to_duration;
 use crate::settings::LogSettings;
 
 /// Names of the streams.
 pub(crate) mod stream {
-    /// Billing records, in batches.
+    /// Batches of billing records.
     pub(crate) const BILLS: &str = "bills";
-    /// Changes of the configuration.
+    /// Changes to the configuration.
     pub(crate) const CONFIG: &str = "config";
     /// Snapshots of the configuration.
     pub(crate) const SNAPSHOTS: &str = "config-snapshots";
-    /// Totals of ratings, in batches.
+    /// Batches of rating totals.
     pub(crate) const RATINGS: &str = "ratings";
-    /// Prefix of the streams of claims to an engine host, by host.
-    pub(crate) const FENCES: &str = "fences-";
-    /// Prefix of the streams of loads, by version.
-    pub(crate) const LOADS: &str = "loads-";
-    /// Prefix of the partitions of claims.
-    pub(crate) const CLAIMS: &str = "claims-";
+    /// Prefix of the streams that assign fencing tokens for orders, one stream per engine host.
+    pub(crate) const FENCES_PREFIX: &str = "fences-";
+    /// Prefix of the streams that record loads of weights, one stream per version.
+    pub(crate) const LOADS_PREFIX: &str = "loads-";
+    /// Prefix of the streams of claims, one stream per partition.
+    pub(crate) const CLAIMS_PREFIX: &str = "claims-";
 }
 
 const MAX_PAGE_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why the log service did not do as asked.
+/// Error of a call to the log service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum LogError {
-    /// The service says no: it is away or over its rate. Nothing took effect.
-    Refused { why: String, retry_after: Millis },
-    /// No answer, or an unclear one. An append may have taken effect, or may yet.
+    /// The service is unreachable, unavailable or over its rate limit. The call had no effect.
+    Refused { reason: String, retry_after: Millis },
+    /// No response, or an unexpected one. An append may have taken effect, or may still do so.
     Unknown(String),
 }
 
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused { why, .. } => write!(f, "the log service refuses: {why}"),
-            Self::Unknown(why) => write!(f, "no clear answer from the log service: {why}"),
+            Self::Refused { reason, .. } => write!(f, "the log service refused the call: {reason}"),
+            Self::Unknown(reason) => {
+                write!(f, "the outcome of the call to the log service is unknown: {reason}")
+            }
         }
     }
 }
 
-/// A part of a stream.
+/// Consecutive records of a stream.
 #[derive(Clone, Debug)]
 pub(crate) struct LogPage {
-    /// Oldest offset that is retained.
+    /// Oldest offset that the service retains.
     pub(crate) first: Offset,
-    /// Offset of the next append, as of this read.
+    /// Offset of the next append at the time of this read.
     pub(crate) next: Offset,
     pub(crate) records: Vec<(Offset, Vec<u8>)>,
 }
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     offset: Offset,
 }
 
 #[derive(Deserialize)]
-struct PageAnswer {
+struct PageResponse {
     first: Offset,
     next: Offset,
-    records: Vec<RecordAnswer>,
+    records: Vec<RecordResponse>,
 }
 
 #[derive(Deserialize)]
-struct RecordAnswer {
+struct RecordResponse {
     offset: Offset,
     data: String,
 }
 
-impl From<PageAnswer> for LogPage {
-    fn from(page: PageAnswer) -> Self {
+impl From<PageResponse> for LogPage {
+    fn from(page: PageResponse) -> Self {
         let records = page.records.into_iter().map(|r| (r.offset, r.data.into_bytes()));
         Self { first: page.first, next: page.next, records: records.collect() }
     }
@@ -100,19 +102,19 @@
         Self { addr: settings.address, timeout: settings.timeout_ms, http: Client::default() }
     }
 
-    /// Appends a record once. It is never repeated here: whoever asks must first look whether an
-    /// append without a clear answer took effect.
+    /// Appends a record, without retries. After [`LogError::Unknown`], the caller must read the
+    /// stream to find out whether the append took effect before it retries.
     pub(crate) async fn append(&self, stream: &str, record: Vec<u8>) -> Result<Offset, LogError> {
         let target = format!("/streams/{stream}/append");
-        let bound = CallTimeout::Total(span(self.timeout));
-        let answer = self.call(Method::Post, &target, Some(record), bound).await?;
-        answer
-            .json::<AppendAnswer>()
+        let timeout = CallTimeout::Total(to_duration(self.timeout));
+        let response = self.call(Method::Post, &target, Some(record), timeout).await?;
+        response
+            .json::<AppendResponse>()
             .map(|a| a.offset)
             .map_err(|e| LogError::Unknown(e.to_string()))
     }
 
-    /// Reads records from an offset on; waits up to `wait` for the first.
+    /// Reads up to `max` records, starting at an offset. Waits up to `wait` for the first record.
     pub(crate) async fn read(
         &self,
         stream: &str,
@@ -121,11 +123,12 @@
         wait: Millis,
     ) -> Result<LogPage, LogError> {
         let target = format!("/streams/{stream}/records?from={from}&max={max}&wait_ms={wait}");
-        // Bounded as a whole, a page that takes longer over a slow link would be asked for from its start again and
-        // again, and this process would stay where it is.
-        let bound = CallTimeout::Idle(span(self.timeout.after(wait)));
-        let answer = self.call(Method::Get, &target, None, bound).await?;
-        let page = answer.json::<PageAnswer>();
+        // An idle timeout, not a total one: over a slow link, a large page may take longer than any
+        // total timeout. The same page would then be requested over and over, and the reader would
+        // never advance.
+        let timeout = CallTimeout::Idle(to_duration(self.timeout.after(wait)));
+        let response = self.call(Method::Get, &target, None, timeout).await?;
+        let page = response.json::<PageResponse>();
         page.map(LogPage::from).map_err(|e| LogError::Unknown(e.to_string()))
     }
 
@@ -134,18 +137,18 @@
         method: Method,
         target: &str,
         body: Option<Vec<u8>>,
-        bound: CallTimeout,
+        timeout: CallTimeout,
     ) -> Result<redwingfold_http::BufferedResponse, LogError> {
-        let call = self.http.call(method, self.addr, target, body, bound, MAX_PAGE_BYTES);
-        let refused = |why: String, retry_after| Err(LogError::Refused { why, retry_after });
+        let call = self.http.call(method, self.addr, target, body, timeout, MAX_PAGE_BYTES);
+        let refused = |reason: String, retry_after| Err(LogError::Refused { reason, retry_after });
         match call.await {
-            Ok(answer) if answer.is_success() => Ok(answer),
-            Ok(answer) if matches!(answer.status, STATUS_TOO_MANY | STATUS_UNAVAILABLE) => {
-                let after = answer.retry_after.map_or(DEFAULT_RETRY_AFTER, |s| Millis(s * 1000));
-                refused(format!("status {}", answer.status), after)
+            Ok(response) if response.is_success() => Ok(response),
+            Ok(response) if matches!(response.status, STATUS_TOO_MANY | STATUS_UNAVAILABLE) => {
+                let after = response.retry_after.map_or(DEFAULT_RETRY_AFTER, |s| Millis(s * 1000));
+                refused(format!("status {}", response.status), after)
             }
-            Ok(answer) => Err(LogError::Unknown(format!("status {}", answer.status))),
-            Err(CallError::Unreachable(why)) => refused(why, DEFAULT_RETRY_AFTER),
+            Ok(response) => Err(LogError::Unknown(format!("status {}", response.status))),
+            Err(CallError::Unreachable(reason)) => refused(reason, DEFAULT_RETRY_AFTER),
             Err(e) => Err(LogError::Unknown(e.to_string())),
         }
     }
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -12,12 +12,12 @@
 use super::orders::reconcile_engines;
 use super::requests::{answer_call, hold_bills};
 use super::run::run_request;
-use crate::clock::{span, within};
+use crate::clock::{to_duration, with_timeout};
 use crate::config_store::{feed, write_snapshots};
 use crate::daemon::Daemon;
 use crate::peer::{Link, LinkEvents, bind, run_control, serve};
 use crate::settings::SideSettings;
-use crate::tls::tls_ends;
+use crate::tls::load_tls_configs;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, Reply, Role};
 use redwingfold_telemetry::Telemetry;
 
@@ -41,7 +41,7 @@
 /// If the settings name files or addresses that cannot be used.
 pub async fn run_side(settings: SideSettings, stop: Receiver<()>) -> eyre::Result<()> {
     let telemetry = Telemetry::new(settings.metrics.statsd)?;
-    let tls = tls_ends(&settings.tls)?;
+    let tls = load_tls_configs(&settings.tls)?;
     let daemon = Daemon::new(
         (settings.host.clone(), settings.failure_domain.clone(), Role::Side),
         settings.log.clone(),
@@ -61,7 +61,7 @@
         ],
     );
     let mut tasks = Vec::new();
-    tasks.push(spawn(&side, |side| async move { side.daemon.follow_hosts().await }));
+    tasks.push(spawn(&side, |side| async move { side.daemon.poll_hosts().await }));
     tasks.push(spawn(&side, |side| async move { poll_engine_loads(&side).await }));
     tasks.push(spawn(&side, |side| async move { reconcile_engines(&side).await }));
     tasks.push(spawn(&side, |side| async move { reject_withdrawn(&side).await }));
@@ -180,10 +180,10 @@
     side.daemon.telemetry.info("draining", &[("running", &side.running_count())]);
     let drained = async {
         while side.running_count() > 0 {
-            Timer::after(span(STOP_POLL_INTERVAL)).await;
+            Timer::after(to_duration(STOP_POLL_INTERVAL)).await;
         }
     };
-    if within(side.settings.queue.drain_ms, drained).await.is_none() {
+    if with_timeout(side.settings.queue.drain_ms, drained).await.is_none() {
         side.daemon.telemetry.warn("drain_cut", &[("running", &side.running_count())]);
     }
     if !side.bills.flush(FLUSH_TIMEOUT).await {
@@ -193,7 +193,7 @@
         // The entries hold the other copies. The bills are lost only if those entries die too.
         side.daemon.telemetry.warn("bills_left", &[("bills", &side.bills.len())]);
     }
-    Timer::after(span(CLOSE_DELAY)).await;
+    Timer::after(to_duration(CLOSE_DELAY)).await;
 }
 
 /// Sends the unconfirmed bills to one entry after the other, until one confirms on the control
@@ -203,10 +203,10 @@
         link.send(Control::Hold(side.bills.all()));
         let held = async {
             while side.bills.len() > 0 {
-                Timer::after(span(STOP_POLL_INTERVAL)).await;
+                Timer::after(to_duration(STOP_POLL_INTERVAL)).await;
             }
         };
-        if within(TRANSFER_TIMEOUT, held).await.is_some() {
+        if with_timeout(TRANSFER_TIMEOUT, held).await.is_some() {
             side.daemon.telemetry.info("bills_handed_over", &[]);
             return;
         }
