--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use redwingfold_core::{
-    CustomerName, ErrorKind, FairQueue, Millis, QueueLimits, VersionName, Waiting,
+    CustomerName, ErrorKind, FairQueue, Millis, QueueEntry, QueueLimits, VersionName,
 };
 use smol::channel::{Sender, bounded};
 
@@ -158,7 +158,7 @@
             if estimated_start > request.deadline {
                 return Err(ErrorKind::Overloaded);
             }
-            let waiting = Waiting {
+            let waiting = QueueEntry {
                 item: queued,
                 customer: request.customer,
                 work: request.work,
@@ -208,7 +208,7 @@
     pub(crate) fn reject_queued(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
         let waits_for_withdrawn =
             |queued: &QueuedRequest| queued.version.as_ref().is_some_and(&is_withdrawn);
-        let rejected = self.lock().queue.take_if(|waiting| waits_for_withdrawn(&waiting.item));
+        let rejected = self.lock().queue.remove_if(|waiting| waits_for_withdrawn(&waiting.item));
         for waiting in rejected {
             waiting.item.result_tx.try_send(Err(ErrorKind::Withdrawn)).ok();
         }
