--- a/tests/promise_session.rs
+++ b/tests/promise_session.rs
@@ -1,4 +1,4 @@
-//! A session keeps its version.
+//! A session stays on its version.
 
 mod common;
 
@@ -21,13 +21,13 @@
 
 fn traffic(fleet: &Fleet) -> Traffic {
     Traffic::start(vec![fleet.caller(0), fleet.caller(1)], 4, |n| {
-        // Each session meets both entries: its number and that of the entry are not in step.
+        // The entry is chosen by n % 2; with n / 2 each session sends through both entries.
         let session = format!("batch-{}", n / 2 % SESSIONS);
         Ask::chat("ani", "slip", &format!("slip {n}")).session(&session)
     })
 }
 
-fn share(fleet: &Fleet, share: u16) {
+fn set_share(fleet: &Fleet, share: u16) {
     fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", share));
     fleet.wait_in_force();
 }
@@ -36,15 +36,15 @@
     calls.iter().filter_map(|c| c.answered.header("x-model-version")).collect()
 }
 
-/// Treasurers see one version for all of a batch, whichever entry they meet, while a roll-out goes
-/// up in steps, is left half done, goes on and goes back. New sessions follow the share.
+/// Existing sessions stay on their version through both entries while a roll-out's share goes up in
+/// steps and is rolled back. New sessions get the version that the share selects.
 #[test]
 fn through_every_step_of_a_roll_out() {
     let fleet = fleet();
     let traffic = traffic(&fleet);
     traffic.wait_for(100);
     for step in [100, 500, 1000, 300, 0] {
-        share(&fleet, step);
+        set_share(&fleet, step);
         traffic.wait_for(100);
     }
     let calls = traffic.stop();
@@ -52,47 +52,48 @@
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
     assert_eq!(versions(&calls), BTreeSet::from(["slip-1"]), "all began before the roll-out");
 
-    share(&fleet, 1000);
-    let fresh = Ask::chat("ani", "slip", "new").session("batch-new");
-    let answered = fleet.caller(0).send_blocking(&fresh);
+    set_share(&fleet, 1000);
+    let new_session = Ask::chat("ani", "slip", "new").session("batch-new");
+    let answered = fleet.caller(0).send_blocking(&new_session);
     assert_eq!(answered.header("x-model-version"), Some("slip-2"));
-    share(&fleet, 0);
-    let answered = fleet.caller(1).send_blocking(&fresh);
+    set_share(&fleet, 0);
+    let answered = fleet.caller(1).send_blocking(&new_session);
     assert_eq!(answered.header("x-model-version"), Some("slip-2"));
 }
 
-/// The same when an entry is killed, and when hosts that hold sessions are replaced one after the
-/// other: each session has its version at three of them, and a new holder gets its copy from the
-/// others at the session's next request.
+/// Sessions stay on their version when an entry is killed and when the sides that store the
+/// sessions are restarted one after the other. Each session is stored on three sides; a restarted
+/// side has lost its copy and gets a new one from the others at the session's next request.
 #[test]
 fn through_the_loss_of_an_entry_and_of_holders() {
     let mut fleet = fleet();
-    let ask_all = |fleet: &Fleet, entry: usize| -> Vec<Call> {
+    let send_for_all_sessions = |fleet: &Fleet, entry: usize| -> Vec<Call> {
         let caller = fleet.caller(entry);
         let ask = |n| Ask::chat("ani", "slip", "slip").session(&format!("batch-{n}"));
         (0..SESSIONS).map(|n| Call::send(&caller, ask(n))).collect()
     };
-    let mut calls = ask_all(&fleet, 0);
-    share(&fleet, 1000);
+    let mut calls = send_for_all_sessions(&fleet, 0);
+    set_share(&fleet, 1000);
     fleet.process("entry-0").kill();
-    calls.extend(ask_all(&fleet, 1));
+    calls.extend(send_for_all_sessions(&fleet, 1));
     for host in ["gpu-1", "gpu-2", "gpu-3", "gpu-4"] {
         fleet.process(host).kill();
         fleet.restart(host);
         fleet.wait_ready("entry-1");
-        calls.extend(ask_all(&fleet, 1));
+        calls.extend(send_for_all_sessions(&fleet, 1));
     }
     fleet.restart("entry-0");
     fleet.wait_ready("entry-0");
-    calls.extend(ask_all(&fleet, 0));
+    calls.extend(send_for_all_sessions(&fleet, 0));
     let failed: Vec<_> = calls.iter().filter(|c| c.answered.status != 200).collect();
     assert!(failed.is_empty(), "{:?}", failed[0].answered);
     assert_eq!(moved_sessions(&calls), Vec::<String>::new());
     assert_eq!(versions(&calls), BTreeSet::from(["slip-1"]));
 }
 
-/// A treasurer whose version was withdrawn is told so with the first answer of the next one, and
-/// keeps that one, through the other entry too.
+/// If a session's version is withdrawn, the session moves to the model's new version. The first
+/// answer reports the move in `x-session-moved`, and the session then stays on the new version
+/// through both entries.
 #[test]
 fn withdrawal_is_the_one_exception() {
     let fleet = fleet();
@@ -102,15 +103,15 @@
     fleet.publish(&Objects::default().model("slip", "slip-2"));
     assert!(fleet.ctl(&["withdraw", "slip-1", "--reason", "bad"]).status.success());
     fleet.wait_in_force();
-    let moved = fleet.caller(1).send_blocking(&ask);
-    assert_eq!(moved.header("x-model-version"), Some("slip-2"), "{}", moved.text());
-    assert_eq!(moved.header("x-session-moved"), Some("withdrawn slip-1"));
+    let reassigned = fleet.caller(1).send_blocking(&ask);
+    assert_eq!(reassigned.header("x-model-version"), Some("slip-2"), "{}", reassigned.text());
+    assert_eq!(reassigned.header("x-session-moved"), Some("withdrawn slip-1"));
     let after = fleet.caller(0).send_blocking(&ask);
     assert_eq!(after.header("x-model-version"), Some("slip-2"));
 }
 
-/// A treasurer whose version is in service is served, although the version that new sessions would
-/// get has been withdrawn: nothing of hers was.
+/// A session whose own version is in service is still served if the version for new sessions has
+/// been withdrawn. Only new sessions are refused.
 #[test]
 fn withdrawal_of_another_version_changes_nothing() {
     let fleet = fleet();
@@ -129,13 +130,13 @@
     }
 }
 
-/// Two entries that get a new session's first requests at once give it one version, although one
-/// of them does not know yet that the roll-out's share has moved.
+/// Two entries that receive a new session's first requests at the same time assign it the same
+/// version, although one of them still has the old share of the roll-out.
 #[test]
 fn first_requests_race_through_two_entries() {
     let fleet = fleet();
     for n in 0..10 {
-        // The entry that slept decides by the old share, the other by the new one.
+        // The paused entry selects by the old share, the other one by the new share.
         fleet.process("entry-1").freeze();
         let to = if n % 2 == 0 { 1000 } else { 0 };
         fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", to));
