--- a/core/src/balance.rs
+++ b/core/src/balance.rs
@@ -1,30 +1,31 @@
-//! Which backend server gets a request.
+//! Load balancing: selects the backend server for a request.
 
 use crate::ids::Millis;
 
-/// One backend server that could take the request, as the entry knows it.
+/// A backend server that can serve the request, with the entry's latest data on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate<T> {
     /// The backend server.
     pub id: T,
-    /// Requests that it reported as running or waiting.
+    /// Running and waiting requests in its last report.
     pub reported_requests: u32,
-    /// Requests that this entry sent since the report was made.
+    /// Requests that this entry has sent to it since that report.
     pub sent_since_report: u32,
-    /// Requests that it runs at once without slowing down.
+    /// Number of requests that it runs concurrently without slowing down.
     pub slots: u32,
     /// Smoothed time to the first token of a request that does not wait.
     pub first_token: Millis,
     /// Share of the prompt that its prefix cache probably holds, 0.0 to 1.0.
     pub cached_share: f32,
-    /// Whether it is trusted with new work; a suspected one is taken only if no other is left.
+    /// Whether its side is not suspected to have failed; a suspected server is used only if no
+    /// healthy one is left.
     pub is_healthy: bool,
 }
 
 /// Estimates the time to the first token.
 ///
-/// The reported load is late, so the entry's own requests since then are added. A prompt that is
-/// cached spares its part of the prefill.
+/// The reported load is stale, so the requests that the entry has sent since are added. The cached
+/// part of the prompt needs no prefill.
 pub fn expected_first_token<T>(candidate: &Candidate<T>) -> f64 {
     let load = f64::from(candidate.reported_requests + candidate.sent_since_report);
     let rounds = load / f64::from(candidate.slots.max(1));
@@ -35,8 +36,8 @@
 /// Chooses among the candidates: the better of two drawn at random, or the one with the best
 /// cached prefix if its expected time is not above the random winner's.
 ///
-/// `draw(n)` returns a number below `n`. Two draws, and not the best of all, because every entry
-/// holds the same late reports: the best of all would be flooded until the next report.
+/// `draw(n)` returns a random number below `n`. The best of all candidates is not used, because
+/// every entry has the same stale reports: all would overload that one until the next report.
 ///
 /// ```
 /// use redwingfold_core::{Candidate, Millis, pick_of_two};
@@ -66,7 +67,7 @@
         1 => return Some(pool[0]),
         len => {
             let first = draw(len);
-            // A second draw among the others: drawing the same one twice would be one choice.
+            // The second draw is among the others, so that there are always two candidates.
             let second = draw(len - 1);
             (first, if second >= first { second + 1 } else { second })
         }
@@ -85,13 +86,13 @@
     }
 }
 
-/// Chooses each candidate in turn, whatever its load: a baseline for measurements.
+/// Chooses the candidates in turn, whatever their load; serves as a baseline for measurements.
 pub fn pick_round_robin<T>(candidates: &[Candidate<T>], turn: usize) -> Option<&Candidate<T>> {
     candidates.get(turn % candidates.len().max(1))
 }
 
-/// Chooses the candidate with the least reported load: a baseline for measurements. All entries
-/// that hold the same late reports choose the same one.
+/// Chooses the candidate with the least reported load; serves as a baseline for measurements. All
+/// entries with the same stale reports choose the same candidate.
 pub fn pick_least_reported<T>(candidates: &[Candidate<T>]) -> Option<&Candidate<T>> {
     candidates.iter().min_by_key(|c| c.reported_requests)
 }
--- a/core/src/bill.rs
+++ b/core/src/bill.rs
@@ -1,4 +1,4 @@
-//! Billing records and how their consumers count them.
+//! Billing records, and how consumers deduplicate them.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use crate::ids::{CustomerName, KeyHash, Millis, RequestId, VersionName};
 
-/// What one request costs its customer.
+/// The cost of one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Bill {
-    /// One id for a customer's request, however often it is repeated or escalated.
+    /// ID of the customer's request, the same for each retry and escalation.
     pub id: KeyHash,
-    /// Which attempt of the request made the record; the highest counts.
+    /// Number of the attempt that made the record; the record of the highest attempt counts.
     pub attempt: u32,
-    /// Who pays.
+    /// The customer that is billed.
     pub customer: CustomerName,
-    /// The request as the entry numbered it.
+    /// ID that the entry assigned to the request.
     pub request: RequestId,
-    /// Version of the answer that was given, or the service's name.
+    /// Version that gave the answer, or the service's name.
     pub version: VersionName,
     /// Tokens of all attempts.
     pub tokens: u64,
     /// Cost of all attempts, in millionths of the currency.
     pub cost: u64,
-    /// When the answer ended, since 1970.
+    /// Time when the answer ended, in milliseconds since the Unix epoch.
     pub at: Millis,
 }
 
 impl Bill {
-    /// Returns the id of the bill for a request: from the idempotency key if there is one, so that
-    /// a repeat through another entry has the same, else from the request.
+    /// Returns the ID of the bill for a request. It is derived from the idempotency key if there is
+    /// one, so that a retry through another entry has the same ID, else from the request ID.
     pub fn id_for(customer: &CustomerName, key: Option<&str>, request: RequestId) -> KeyHash {
         match key {
             Some(key) => KeyHash::of(customer, &format!("key:{key}")),
@@ -38,10 +38,10 @@
     }
 }
 
-/// The fold of the billing stream that every consumer applies.
+/// State folded from the billing stream; every consumer applies the same rules.
 ///
-/// Entry and side may both append a record, append it twice, and in any order: each id counts
-/// once, with its highest attempt; of equal attempts the first in log order counts.
+/// The entry and the side may both append a record, each more than once and in any order. Each ID
+/// counts once, with its highest attempt; among equal attempts the first in log order counts.
 #[derive(Clone, Debug, Default)]
 pub struct BillFold {
     bills: BTreeMap<KeyHash, Bill>,
@@ -49,7 +49,7 @@
 }
 
 impl BillFold {
-    /// Folds one batch as it stands in the log.
+    /// Applies one raw batch of the log; counts and skips a batch that cannot be parsed.
     ///
     /// ```
     /// use redwingfold_core::BillFold;
@@ -79,7 +79,7 @@
         self.bills.values()
     }
 
-    /// Returns how many batches could not be read.
+    /// Returns how many batches could not be parsed.
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
--- a/core/src/budget.rs
+++ b/core/src/budget.rs
@@ -1,8 +1,8 @@
-//! Budgets: retries as a share of requests, and bytes a second.
+//! Token buckets: retries as a share of requests, and bytes per second.
 
 use crate::ids::Millis;
 
-/// A bucket that each request fills by a share of a token, and each retry empties by one.
+/// A token bucket for retries: each request adds a fraction of a token, each retry takes one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     per_request: f64,
@@ -11,7 +11,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of `per_request` retries for each request, with at most `max` saved up.
+    /// Creates a full budget of `per_request` retries per request that holds at most `max` tokens.
     ///
     /// ```
     /// let mut budget = redwingfold_core::RetryBudget::new(0.5, 1.0);
@@ -25,12 +25,12 @@
         Self { per_request, max, tokens: max }
     }
 
-    /// Counts a first attempt.
+    /// Adds the share of a token for a first attempt.
     pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.per_request).min(self.max);
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes a token for a retry; returns whether there was one.
     pub fn try_retry(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -40,28 +40,28 @@
     }
 }
 
-/// A bucket that fills with time, for bytes a second.
+/// A token bucket for bytes per second.
 #[derive(Clone, Copy, Debug)]
 pub struct ByteBudget {
     per_second: u64,
-    /// What it holds when it is full.
+    /// Capacity of the bucket.
     burst_bytes: u64,
     millibytes: u64,
     last_refill: Millis,
 }
 
 impl ByteBudget {
-    /// Makes a full budget of `per_second` bytes a second, with one second's worth saved up.
+    /// Creates a full budget of `per_second` bytes per second with a burst of one second's worth.
     pub fn new(per_second: u64, now: Millis) -> Self {
         Self::with_burst(per_second, per_second, now)
     }
 
-    /// Makes a full budget of `per_second` bytes a second that saves up `depth` bytes.
+    /// Creates a full budget of `per_second` bytes per second with a burst of `burst_bytes`.
     pub fn with_burst(per_second: u64, burst_bytes: u64, now: Millis) -> Self {
         Self { per_second, burst_bytes, millibytes: burst_bytes * 1000, last_refill: now }
     }
 
-    /// Takes `bytes` out of the budget, if they are there.
+    /// Takes `bytes` from the budget if it holds as many; returns whether it did.
     ///
     /// ```
     /// use redwingfold_core::{ByteBudget, Millis};
@@ -74,7 +74,8 @@
         self.try_take_with_reserve(bytes, 0, now)
     }
 
-    /// Takes `bytes` out of the budget, if `rest` bytes are left then for what is more urgent.
+    /// Takes `bytes` from the budget if at least `reserve` bytes are left for more urgent traffic;
+    /// returns whether it did.
     ///
     /// ```
     /// use redwingfold_core::{ByteBudget, Millis};
--- a/core/src/call_table.rs
+++ b/core/src/call_table.rs
@@ -1,4 +1,4 @@
-//! What a side knows of the claims that name it.
+//! The state of each claim that names this side, for calls that run at most once.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,34 +6,35 @@
 use crate::error::ErrorKind;
 use crate::ids::{ClaimId, Incarnation};
 
-/// The answer to a call that may not be repeated.
+/// The stored answer to a call that runs at most once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallAnswer {
     /// HTTP status.
     pub status: u16,
     /// Media type of the body.
     pub content_type: Option<String>,
-    /// The body, while there is memory for it.
+    /// The body; `None` after it was evicted to free memory.
     pub body: Option<Vec<u8>>,
 }
 
-/// What became of a claim here.
+/// State of a claim at this side.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallState {
     /// It has not run and never will.
     Closed,
     /// It ran, with this answer.
     Done(CallAnswer),
-    /// It is on its way to the backend server or running there.
+    /// It is being sent to the backend server or is running there.
     Running,
     /// It may have run.
     Unknown,
 }
 
-/// The claims of one start of a side process.
+/// The claims of one incarnation of a side process.
 ///
-/// A claim is never forgotten while the process lives: a forgotten one would be taken for one that
-/// never came, be closed, and be run again under another claim. Only answers' bodies give way.
+/// A claim is never removed while the process runs: a removed one would count as never received,
+/// so it could be closed, and the call would run again under another claim. Only the bodies of
+/// answers are evicted, oldest first.
 #[derive(Debug)]
 pub struct CallTable {
     incarnation: Incarnation,
@@ -45,7 +46,7 @@
 }
 
 impl CallTable {
-    /// Makes a table for at most `max_calls` claims and `max_body_bytes` of answers.
+    /// Creates a table for at most `max_calls` claims and `max_body_bytes` of answers.
     pub fn new(incarnation: Incarnation, max_calls: usize, max_body_bytes: usize) -> Self {
         Self {
             incarnation,
@@ -57,16 +58,17 @@
         }
     }
 
-    /// Takes a claim for running. Of all calls with this claim, one gets `Ok`.
+    /// Marks a claim as running. Only the first call for a claim returns `Ok`.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::OutcomeUnknown`] if the claim names another start of this process,
-    /// [`ErrorKind::StillRunning`] if it came before, [`ErrorKind::BacklogFull`] if the table is
-    /// full.
+    /// [`ErrorKind::OutcomeUnknown`] if the claim names another incarnation of this process,
+    /// [`ErrorKind::StillRunning`] if the claim is in the table already,
+    /// [`ErrorKind::BacklogFull`] if the table is full.
     pub fn begin(&mut self, claim: &Claim) -> Result<(), ErrorKind> {
         match self.states.get(&claim.id) {
-            // The holder was paused, and a repeat has been served in the meantime by another claim.
+            // The entry with this claim was paused, and a retry may have closed the claim and been
+            // served under another one in the meantime.
             Some(_) => Err(ErrorKind::StillRunning),
             None if claim.incarnation != self.incarnation => Err(ErrorKind::OutcomeUnknown),
             None if self.states.len() >= self.max_calls => Err(ErrorKind::BacklogFull),
@@ -77,17 +79,17 @@
         }
     }
 
-    /// Notes that a claim which was taken never reached its backend server.
+    /// Records that a claim marked as running never reached its backend server.
     pub fn mark_not_run(&mut self, id: ClaimId) {
         self.states.insert(id, CallState::Closed);
     }
 
-    /// Notes that a claim may have run, but its answer is lost.
+    /// Records that a claim may have run, but its answer is lost.
     pub fn mark_unknown(&mut self, id: ClaimId) {
         self.states.insert(id, CallState::Unknown);
     }
 
-    /// Notes a claim's answer.
+    /// Stores a claim's answer; evicts the oldest bodies if they take too much memory.
     pub fn mark_done(&mut self, id: ClaimId, answer: CallAnswer) {
         self.body_bytes += answer.body.as_ref().map_or(0, Vec::len);
         self.states.insert(id, CallState::Done(answer));
@@ -101,9 +103,9 @@
         }
     }
 
-    /// Promises never to run a claim; says whether that can be promised.
+    /// Closes a claim, so that it never runs here; returns whether it is closed then.
     ///
-    /// `None` if the claim names another start: what that one did is not known.
+    /// Returns `None` if the claim names another incarnation, whose claims are not in this table.
     pub fn close(&mut self, claim: &Claim) -> Option<bool> {
         if claim.incarnation != self.incarnation {
             return None;
@@ -112,7 +114,7 @@
         Some(*state == CallState::Closed)
     }
 
-    /// Returns what became of a claim, if it came here.
+    /// Returns the state of a claim, or `None` if it never arrived here.
     pub fn state(&self, claim: &Claim) -> Option<&CallState> {
         match self.states.get(&claim.id) {
             None if claim.incarnation != self.incarnation => Some(&CallState::Unknown),
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -1,9 +1,9 @@
 //! Claims on requests that run at most once.
 //!
-//! An entry appends a claim to the key's partition of the log before it sends the request on, and
-//! the first claim in log order wins. The claim names the one side process, by host and
-//! incarnation, at which it may run. That side is therefore able to close a claim for good: it
-//! promises never to run it, and a new claim that cites the closed one may take its place.
+//! An entry appends a claim to the key's partition of the log before it forwards the request, and
+//! the first claim in log order wins. The claim names the only side process, by host and
+//! incarnation, that may run the request. That side can therefore close the claim permanently: it
+//! will never run it, and a new claim that refers to the closed one may replace it.
 
 use std::collections::HashMap;
 
@@ -14,33 +14,33 @@
 /// A record of a claims stream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// Chosen by the entry for this append.
+    /// ID that the entry generates for this append.
     pub id: ClaimId,
-    /// What is claimed.
+    /// Hash of the idempotency key that is claimed.
     pub key: KeyHash,
-    /// The request that claims it.
+    /// The request that makes the claim.
     pub request: RequestId,
-    /// Host of the one side process at which it may run.
+    /// Host of the only side process that may run the request.
     pub host: HostId,
-    /// Start of that side process.
+    /// Incarnation of that side process.
     pub incarnation: Incarnation,
-    /// The claim that the side has closed and that this one replaces.
+    /// The closed claim that this one replaces, if any.
     #[serde(default)]
     pub replaces: Option<ClaimId>,
 }
 
-/// Where a claim stands.
+/// Status of a claim in the folded log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimStatus {
-    /// It has not been read from the log.
+    /// No claim on the key has been read from the log.
     Absent,
-    /// Another claim is ahead of it.
+    /// This other claim holds the key.
     HeldByOther(Claim),
-    /// It holds the key.
+    /// The claim holds the key.
     HoldsKey,
 }
 
-/// The fold of one partition of claims.
+/// State folded from one partition of the claims log: the claim that holds each key.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimFold {
     offset: Offset,
@@ -49,7 +49,7 @@
 }
 
 impl ClaimFold {
-    /// Folds one record as it stands in the log; unreadable ones are counted and skipped.
+    /// Applies one raw record of the log; counts and skips a record that cannot be parsed.
     pub fn apply(&mut self, offset: Offset, raw: &[u8]) {
         if offset <= self.offset {
             return;
@@ -66,8 +66,8 @@
             None => {
                 self.holders.insert(claim.key, claim);
             }
-            // Only the claim that holds the key can be replaced, so of several that cite the same
-            // closed claim the first in log order wins.
+            // Only the claim that holds the key can be replaced, so of several that refer to the
+            // same closed claim the first in log order wins.
             Some(holder) if claim.replaces == Some(holder.id) => {
                 self.holders.insert(claim.key, claim);
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns where `claim` stands.
+    /// Returns the status of `claim`.
     pub fn status(&self, claim: &Claim) -> ClaimStatus {
         match self.holders.get(&claim.key) {
             None => ClaimStatus::Absent,
@@ -89,12 +89,12 @@
         self.holders.get(&key)
     }
 
-    /// Returns the offset of the last record that was folded.
+    /// Returns the offset of the last record applied.
     pub fn offset(&self) -> Offset {
         self.offset
     }
 
-    /// Returns how many records could not be read.
+    /// Returns how many records could not be parsed.
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
--- a/core/src/config/change.rs
+++ b/core/src/config/change.rs
@@ -11,67 +11,67 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "type")]
 pub enum ConfigRecord {
-    /// A change of objects, accepted only if nothing it touches has moved.
+    /// A change of objects, accepted only if each object still has the expected revision.
     Change(Change),
-    /// Takes a version out of service, whatever else is going on.
+    /// Takes a version out of service, whatever its revision.
     Withdraw(Withdrawal),
 }
 
 /// A change of objects.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// Chosen by the author; a second record with the same id has no effect.
+    /// ID that the author generates; a second record with the same ID has no effect.
     pub id: RequestId,
-    /// Who asks for it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason given by the author.
     pub reason: String,
-    /// When, by the author's clock, since 1970.
+    /// Time by the author's clock, in milliseconds since the Unix epoch.
     pub at: Millis,
-    /// Revision of each object touched; 0 for one that must not exist yet.
+    /// Expected revision of each object that is put or deleted; 0 if it must not exist yet.
     pub expects: BTreeMap<ObjectKey, Offset>,
-    /// Objects to set.
+    /// Objects to create or replace.
     #[serde(default)]
     pub put: Vec<Object>,
-    /// Objects to remove.
+    /// Objects to delete.
     #[serde(default)]
     pub delete: Vec<ObjectKey>,
 }
 
 /// Takes a version out of service.
 ///
-/// It expects no revision: a withdrawal must win over every race, and withdrawing twice does no
-/// harm. Putting a version back is an ordinary change.
+/// It expects no revision: a withdrawal must win every race, and is idempotent. Putting a version
+/// back in service is an ordinary change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Withdrawal {
-    /// Chosen by the author; a second record with the same id has no effect.
+    /// ID that the author generates; a second record with the same ID has no effect.
     pub id: RequestId,
-    /// Who asks for it: an operator, or a daemon whose test stopped the version.
+    /// Author: an operator, or a daemon whose test stopped the version.
     pub author: String,
-    /// Why.
+    /// Reason given by the author.
     pub reason: String,
-    /// When, by the author's clock, since 1970.
+    /// Time by the author's clock, in milliseconds since the Unix epoch.
     pub at: Millis,
     /// The version.
     pub version: VersionName,
-    /// What happens to streams under way.
+    /// What happens to streams in flight.
     #[serde(default)]
     pub streams: StreamsOnWithdrawal,
 }
 
-/// What happens to a withdrawn version's streams under way.
+/// What happens to a withdrawn version's streams in flight.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StreamsOnWithdrawal {
-    /// They are cut, and the caller is told.
+    /// They are cancelled, and the caller gets an error.
     Cancel,
-    /// They run to their end.
+    /// They continue to their end.
     #[default]
     Finish,
 }
 
 impl ConfigRecord {
-    /// Returns the id that makes a second copy ineffective.
+    /// Returns the ID by which a second copy is recognised and ignored.
     pub fn id(&self) -> RequestId {
         match self {
             Self::Change(change) => change.id,
--- a/core/src/config/fold.rs
+++ b/core/src/config/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the configuration stream: the same on every daemon, in log order.
+//! The fold of the configuration stream, which gives the same state on every daemon.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,14 +9,15 @@
 use super::validate;
 use crate::ids::{Millis, Offset, RequestId};
 
-/// Number of the folding rules; daemons with different numbers may differ in state.
+/// Version of the folding rules; daemons with different versions may have different states.
 pub const FOLD_RULES_VERSION: u32 = 1;
 
-/// How many record ids and verdicts are remembered. At 21,000 changes a day this is over four
-/// hours, far longer than an author takes to read its own record back.
+/// Maximum of audit entries, and so of record IDs that are recognised as duplicates. At 21,000
+/// changes a day they cover over four hours, far longer than an author takes to read its own record
+/// back.
 const MAX_AUDIT_ENTRIES: usize = 4096;
 
-/// An object with the offset of the record that last touched it.
+/// An object with the offset of the record that last changed it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredObject {
     /// Offset of the record that set the object.
@@ -25,73 +26,73 @@
     pub object: Object,
 }
 
-/// The objects in force, up to an offset.
+/// The objects in effect at an offset.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Config {
-    /// Offset of the last record that was folded.
+    /// Offset of the last record applied.
     pub offset: Offset,
     /// The objects, by key.
     pub objects: BTreeMap<ObjectKey, StoredObject>,
 }
 
-/// What the fold said about a record.
+/// Result of applying a record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "verdict")]
 pub enum Verdict {
-    /// It is in force.
+    /// The record has taken effect.
     Accepted,
-    /// A second copy of a record that was folded at this offset.
+    /// The record is a copy of one that was applied before.
     Duplicate {
         /// Offset of the first copy.
         of: Offset,
     },
-    /// It had no effect.
+    /// The record is not valid for the current state, and had no effect.
     Rejected {
-        /// What was wrong, and who was faster where somebody was.
+        /// What is wrong, and the author of the conflicting change if there is one.
         why: String,
     },
-    /// The record cannot be read, or is of a kind that these rules do not know.
+    /// The record cannot be parsed, or is of a kind that these rules don't support.
     Skipped {
-        /// What could not be read.
+        /// The parse error.
         why: String,
     },
 }
 
-/// One line of the audit trail.
+/// One entry of the audit trail.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AuditEntry {
     /// Offset of the record.
     pub offset: Offset,
-    /// Id of the record.
+    /// ID of the record.
     pub id: RequestId,
-    /// Who asked.
+    /// Author of the record.
     pub author: String,
-    /// Why.
+    /// Reason given by the author.
     pub reason: String,
-    /// When, by the author's clock.
+    /// Time by the author's clock.
     pub at: Millis,
-    /// Objects that it touches.
+    /// Objects that the record changes.
     pub touches: Vec<ObjectKey>,
-    /// What the fold said.
+    /// Result of applying the record.
     #[serde(flatten)]
     pub verdict: Verdict,
 }
 
-/// The last records that were folded, oldest first.
+/// Audit entries of the last records applied, oldest first; duplicates are recognised by them.
 pub type SeenIds = VecDeque<AuditEntry>;
 
-/// Everything that a fold needs to go on from an offset.
+/// State from which a fold continues after an offset.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// Folding rules that made it.
+    /// Version of the folding rules that made the snapshot.
     pub rules: u32,
     /// The objects.
     pub config: Config,
-    /// Ids and verdicts that are still remembered.
+    /// The retained audit entries.
     pub audit: SeenIds,
 }
 
-/// The fold's state.
+/// State folded from the configuration stream.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFold {
     config: Config,
@@ -100,11 +101,11 @@
 }
 
 impl ConfigFold {
-    /// Starts from a snapshot.
+    /// Restores the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns the snapshot's number of rules if it is newer than [`FOLD_RULES_VERSION`].
+    /// Returns the snapshot's version of the rules if it is newer than [`FOLD_RULES_VERSION`].
     pub fn from_snapshot(snapshot: Snapshot) -> Result<Self, u32> {
         if snapshot.rules > FOLD_RULES_VERSION {
             return Err(snapshot.rules);
@@ -122,32 +123,32 @@
         }
     }
 
-    /// Returns the objects in force.
+    /// Returns the objects in effect.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Returns the remembered part of the audit trail, oldest first.
+    /// Returns the retained audit entries, oldest first.
     pub fn audit(&self) -> &SeenIds {
         &self.audit
     }
 
-    /// Returns the audit line of a record, if it is still remembered.
+    /// Returns the audit entry of a record, if it is still retained.
     pub fn verdict_of(&self, id: RequestId) -> Option<&AuditEntry> {
         let offset = *self.by_id.get(&id)?;
         self.audit.iter().rev().find(|entry| entry.offset == offset)
     }
 
-    /// Returns a hash of the objects in force; equal offsets and rules must give equal hashes.
+    /// Returns a hash of the objects in effect; equal offsets and rules must give equal hashes.
     pub fn state_hash(&self) -> u64 {
         let text = serde_json::to_vec(&self.config).unwrap_or_default();
         xxhash_rust::xxh3::xxh3_64(&text)
     }
 
-    /// Folds one record as it stands in the log.
+    /// Applies one raw record of the log.
     ///
-    /// An offset at or below the state's is ignored: records arrive by several ways, and an old
-    /// one read late must not bring back what a newer one replaced.
+    /// An offset at or below that of the state is ignored and gives `None`: records arrive by
+    /// several paths, and an old one that arrives late must not undo a newer one.
     ///
     /// ```
     /// use redwingfold_core::{ConfigFold, Offset, Verdict};
--- a/core/src/config/matches.rs
+++ b/core/src/config/matches.rs
@@ -1,4 +1,4 @@
-//! What each selector matches, for people to look at before they publish.
+//! The objects that each selector matches, for review before a change is published.
 
 use super::fold::{Config, StoredObject};
 use super::object::{Object, ObjectKey, Spec};
@@ -10,7 +10,7 @@
 pub struct SelectorMatch {
     /// The object that has the selector.
     pub object: ObjectKey,
-    /// Which of its selectors.
+    /// Field of the object that holds the selector.
     pub field: &'static str,
     /// The selector as written.
     pub selector: String,
@@ -19,7 +19,7 @@
 }
 
 impl Config {
-    /// Returns the configuration with a change applied, without any check.
+    /// Returns the configuration with a change applied, without validation.
     pub fn with_change(&self, put: &[Object], delete: &[ObjectKey]) -> Self {
         let mut next = self.clone();
         for key in delete {
@@ -32,12 +32,12 @@
         next
     }
 
-    /// Returns what a fold would reject these objects for.
+    /// Returns the problems for which the fold would reject these objects.
     pub fn problems(&self) -> Vec<String> {
         validate::problems(&self.objects)
     }
 
-    /// Returns each selector with what it matches.
+    /// Returns each selector with the objects that it matches.
     pub fn selector_matches(&self) -> Vec<SelectorMatch> {
         let mut found = Vec::new();
         for (key, stored) in &self.objects {
@@ -57,7 +57,7 @@
         found
     }
 
-    /// Returns the customers, and the sessions known by name, that a selector matches.
+    /// Returns the customers and the declared sessions that a selector matches.
     fn callers_of(&self, selector: &Selector) -> Vec<ObjectKey> {
         let mut found = Vec::new();
         for (key, spec) in self.of_kind("customer").chain(self.of_kind("session")) {
--- a/core/src/config/mod.rs
+++ b/core/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration: its objects, the changes to them, and the fold of the log into a state.
+//! The configuration: its objects, the records that change them, and the fold of those records
+//! into a state.
 
 mod change;
 mod fold;
--- a/core/src/config/object.rs
+++ b/core/src/config/object.rs
@@ -31,19 +31,19 @@
 pub enum Spec {
     /// Models in the order in which a request tries them.
     Cascade(CascadeSpec),
-    /// Who may call.
+    /// A customer and its API keys.
     Customer(CustomerSpec),
     /// Which customers and sessions may use which versions.
     Grant(GrantSpec),
-    /// A family of versions that callers name.
+    /// A family of versions, requested by its name.
     Model(ModelSpec),
-    /// Versions that hosts are to have loaded.
+    /// Versions that a set of hosts has to load.
     Placement(PlacementSpec),
-    /// A move of a model's new sessions from one version to another.
+    /// A gradual move of a model's new sessions to another version.
     Rollout(RolloutSpec),
-    /// A plain service, by path.
+    /// An HTTP service other than a model, by path.
     Service(ServiceSpec),
-    /// A session that operators know by name.
+    /// A session declared by operators.
     Session(SessionSpec),
     /// One deployable version of a model.
     Version(VersionSpec),
@@ -55,17 +55,17 @@
 pub struct CascadeSpec {
     /// Models, cheapest first.
     pub models: Vec<ModelName>,
-    /// Quality that an answer is to reach, in thousandths of the rating service's scale.
+    /// Quality from which an answer is final, in thousandths of the rating service's scale.
     pub target: PerMille,
 }
 
-/// Who may call.
+/// A customer and its API keys.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSpec {
-    /// SHA-256 of each key in force, as 64 hex digits.
+    /// SHA-256 of each valid API key, as 64 lower-case hex digits.
     pub key_sha256: Vec<String>,
-    /// Weight in the fair queue; a customer with weight 2 gets twice the work of one with 1.
+    /// Weight in the fair queue; a customer with weight 2 gets twice the share of one with 1.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -78,29 +78,30 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantSpec {
-    /// Over the labels of the customer and of its session, with `customer` and `session` added.
+    /// Selector over the labels of the customer and of its session, with `customer` and `session`
+    /// added.
     pub callers: Selector,
-    /// Over the labels of versions, with `version` and `model` added.
+    /// Selector over the labels of versions, with `version` and `model` added.
     pub versions: Selector,
 }
 
-/// A family of versions that callers name.
+/// A family of versions, requested by its name.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Version of new sessions while no roll-out is under way.
+    /// Version of new sessions that no rollout applies to.
     pub current: VersionName,
 }
 
-/// Versions that hosts are to have loaded.
+/// Versions that a set of hosts has to load.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacementSpec {
     /// The versions.
     pub versions: Vec<VersionName>,
-    /// Over the labels `host`, `pool` and `failure_domain` of hosts.
+    /// Selector over the labels `host`, `pool` and `failure_domain` of hosts.
     pub hosts: HostSelector,
-    /// Share of these hosts that may load one version at the same time; at least one may.
+    /// Share of these hosts that may load one version concurrently; at least one host may.
     #[serde(default = "default_load_share")]
     pub load_share: PerMille,
 }
@@ -109,7 +110,7 @@
     PerMille(250)
 }
 
-/// A move of a model's new sessions from its current version to another.
+/// A gradual move of a model's new sessions from its current version to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSpec {
@@ -119,16 +120,17 @@
     pub to: VersionName,
     /// Share of new sessions that get it.
     pub share: PerMille,
-    /// Shares that it goes through by itself as ratings earn them; none leaves it to operators.
+    /// Shares to which the rollout advances automatically as ratings allow; if empty, operators
+    /// set the share.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub steps: Vec<PerMille>,
-    /// Rated answers that a step takes.
+    /// Number of rated answers that a step needs.
     #[serde(default = "default_per_step")]
     pub per_step: u32,
-    /// Share of bad answers that the version may give.
+    /// Allowed share of bad answers.
     #[serde(default = "default_allowed_bad")]
     pub allowed_bad: PerMille,
-    /// Rated answers when the present share was set; kept by the entries.
+    /// Number of rated answers when the current share was set; maintained by the entries.
     #[serde(default)]
     pub rated_before: u64,
 }
@@ -141,7 +143,7 @@
     PerMille(100)
 }
 
-/// A plain service, by path.
+/// An HTTP service other than a model, by path.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
@@ -149,20 +151,20 @@
     pub path: String,
     /// Methods that are accepted.
     pub methods: Vec<String>,
-    /// Methods whose calls may be repeated; all others run at most once.
+    /// Methods whose requests may be retried; all others run at most once.
     #[serde(default)]
     pub repeatable: Vec<String>,
-    /// Over the labels of customers and sessions.
+    /// Selector over the labels of customers and sessions.
     pub callers: Selector,
 }
 
-/// A session that operators know by name.
+/// A session declared by operators.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionSpec {
     /// Its customer.
     pub customer: CustomerName,
-    /// A version that it is to use whatever the roll-outs say.
+    /// Version that the session uses regardless of rollouts.
     #[serde(default)]
     pub version: Option<VersionName>,
 }
@@ -175,15 +177,15 @@
     pub model: ModelName,
     /// Price of 1,000 tokens in millionths of the currency.
     pub cost_per_ktok: u64,
-    /// Quality that is believed before any rating is known.
+    /// Prior quality, used until there are ratings.
     pub quality: PerMille,
-    /// Weight of that belief, as a number of ratings.
+    /// Weight of the prior, as a number of ratings.
     #[serde(default = "default_prior_weight")]
     pub quality_weight: u32,
-    /// Offset of the withdrawal in force; set by the fold.
+    /// Offset of the withdrawal, if the version is withdrawn; set by the fold.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdrawn_at: Option<Offset>,
-    /// What happens to streams under way when the version is withdrawn; set by the withdrawal.
+    /// What happens to streams in flight when the version is withdrawn; set by the withdrawal.
     #[serde(default)]
     pub withdrawn_streams: StreamsOnWithdrawal,
 }
@@ -210,7 +212,7 @@
 }
 
 impl Object {
-    /// Returns the key under which the object is kept.
+    /// Returns the object's key.
     pub fn key(&self) -> ObjectKey {
         ObjectKey { kind: self.spec.kind().to_owned(), name: self.name.clone() }
     }
@@ -227,7 +229,7 @@
 }
 
 impl ObjectKey {
-    /// Makes a key.
+    /// Creates a key.
     pub fn new(kind: &str, name: impl fmt::Display) -> Self {
         Self { kind: kind.to_owned(), name: name.to_string() }
     }
--- a/core/src/config/validate.rs
+++ b/core/src/config/validate.rs
@@ -1,4 +1,4 @@
-//! Checks that a set of objects makes sense as a whole.
+//! Validation of a set of objects: references and values.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 const MAX_NAME_LEN: usize = 128;
 const SHA256_HEX_LEN: usize = 64;
 
-/// Returns what is wrong with the objects, or nothing.
+/// Returns the problems of the objects; empty if they are valid.
 pub(crate) fn problems(objects: &BTreeMap<ObjectKey, StoredObject>) -> Vec<String> {
     let mut found = Vec::new();
     for (key, stored) in objects {
--- a/core/src/detector.rs
+++ b/core/src/detector.rs
@@ -1,32 +1,32 @@
-//! Tells a live peer from one that is silent, by its heartbeats.
+//! Failure detector: derives the health of a peer from its heartbeats.
 
 use crate::ids::Millis;
 
-/// When a peer loses trust and when it gets it back.
+/// Heartbeat intervals, and the numbers of missed heartbeats that change a peer's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatPolicy {
-    /// Time between heartbeats while answers are awaited, and the time that one may take.
+    /// Time between heartbeats while requests are in flight, and the timeout of one heartbeat.
     pub interval: Millis,
-    /// Time between heartbeats while nothing is awaited.
+    /// Time between heartbeats while no request is in flight.
     pub idle_interval: Millis,
-    /// Heartbeats missed in a row before new work goes elsewhere.
+    /// Heartbeats missed in a row before the peer is suspected.
     pub misses: u32,
-    /// Heartbeats missed in a row before the connection is given up and opened anew.
+    /// Heartbeats missed in a row before the connection is closed and reopened.
     pub dead_misses: u32,
 }
 
-/// What a peer is trusted with.
+/// Health of a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PeerHealth {
-    /// The connection is to be opened anew.
+    /// The connection has to be closed and reopened.
     Dead,
-    /// New work goes to it.
+    /// New requests are sent to it.
     Live,
-    /// New work goes elsewhere while there is an elsewhere.
+    /// New requests are sent to other peers, if there are any.
     Suspect,
 }
 
-/// Watches one connection. Every frame that arrives counts as a heartbeat.
+/// Monitors one connection. Every received frame counts as a heartbeat.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     policy: HeartbeatPolicy,
@@ -35,21 +35,21 @@
 }
 
 impl FailureDetector {
-    /// Starts watching at `now`, as if something had just arrived.
+    /// Starts monitoring as if a frame had been received at `now`.
     pub fn new(policy: HeartbeatPolicy, now: Millis) -> Self {
         Self { policy, last_received: now, unanswered_since: None }
     }
 
-    /// Notes that something arrived.
+    /// Records that a frame was received.
     pub fn record_receipt(&mut self, now: Millis) {
         self.last_received = now;
         self.unanswered_since = None;
     }
 
-    /// Says whether a heartbeat is to be sent: nothing arrived for an interval.
+    /// Returns whether a heartbeat is due: no frame was received for an interval.
     ///
-    /// While answers are awaited a silent peer costs time at once; an idle one can be asked less
-    /// often, and is asked as soon as a request goes to it.
+    /// While requests are in flight, a silent peer delays them, so heartbeats are frequent. An idle
+    /// peer gets fewer, and the short interval applies as soon as a request is sent to it.
     pub fn is_heartbeat_due(&self, now: Millis, is_busy: bool) -> bool {
         let last = self.unanswered_since.unwrap_or(self.last_received);
         let interval = match is_busy || self.unanswered_since.is_some() {
@@ -59,21 +59,21 @@
         now.since(last) >= interval
     }
 
-    /// Says whether a heartbeat is out that was not answered.
+    /// Returns whether a heartbeat is unanswered.
     pub fn awaits_response(&self) -> bool {
         self.unanswered_since.is_some()
     }
 
-    /// Notes that a heartbeat was sent.
+    /// Records that a heartbeat was sent.
     pub fn record_heartbeat(&mut self, now: Millis) {
         self.unanswered_since.get_or_insert(now);
     }
 
     /// Returns the peer's health.
     ///
-    /// A miss is a heartbeat that was sent and not answered within an interval. Before anything
-    /// was asked nothing can be missed, so a watcher that was itself paused does not suspect its
-    /// peers when it wakes.
+    /// A heartbeat is missed if no frame follows it within an interval. Without a heartbeat sent
+    /// none can be missed, so a process that was itself paused does not suspect its peers when it
+    /// resumes.
     ///
     /// ```
     /// use redwingfold_core::{FailureDetector, HeartbeatPolicy, Millis, PeerHealth};
--- a/core/src/error.rs
+++ b/core/src/error.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds, and the one table from kind to answer.
+//! The complete list of error kinds, and the table that maps each kind to its response.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::ids::Millis;
 
-/// What is known of a request that was not answered.
+/// Whether a request that failed was run by a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
@@ -19,8 +19,8 @@
 }
 
 impl RunState {
-    /// Returns what is known of a request after two attempts: what any of them says of a run holds
-    /// for both.
+    /// Combines the states of two attempts of a request: the request has run, or may have run, if
+    /// either attempt has.
     ///
     /// ```
     /// use redwingfold_core::RunState;
@@ -46,22 +46,22 @@
     }
 }
 
-/// The answer that an error kind leads to.
+/// The response for an error kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ErrorRow {
     /// HTTP status.
     pub status: u16,
-    /// Machine-readable code in the answer's body.
+    /// Machine-readable code in the response body.
     pub code: &'static str,
-    /// What the caller may conclude about the run.
+    /// Whether the request was run, as far as the caller may rely on it.
     pub run: RunState,
-    /// Earliest time at which a repeat makes sense; `None` if a repeat cannot help.
+    /// Minimum delay before a retry; `None` if a retry cannot succeed.
     pub retry_after: Option<Millis>,
 }
 
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $kind:ident => $status:literal, $code:literal, $run:ident, $after:expr;)*) => {
-        /// Every way in which a request can end without its answer.
+        /// Every way in which a request can fail.
         #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ErrorKind {
@@ -110,11 +110,11 @@
     UnknownModel => 404, "unknown_model", NotRun, None;
     /// The path exists, but not with this method.
     WrongMethod => 405, "wrong_method", NotRun, None;
-    /// The sender took too long to send the request.
+    /// The client took too long to send the request.
     SlowSender => 408, "slow_sender", NotRun, ms(1_000);
     /// The request with this idempotency key is running elsewhere.
     StillRunning => 409, "still_running", MayHaveRun, ms(2_000);
-    /// Another request with this key was sent on, and its outcome is not known.
+    /// Another request with this key was forwarded, and its outcome is unknown.
     OutcomeUnknown => 409, "outcome_unknown", MayHaveRun, None;
     /// The body is larger than the limit.
     BodyTooLarge => 413, "body_too_large", NotRun, None;
@@ -124,7 +124,7 @@
     Overloaded => 429, "overloaded", NotRun, ms(1_000);
     /// The deadline passed while the request waited.
     DeadlinePassed => 504, "deadline_passed", NotRun, ms(1_000);
-    /// The deadline passed after the request had been sent on.
+    /// The deadline passed after the request had been forwarded.
     DeadlineInRun => 504, "deadline_in_run", MayHaveRun, ms(1_000);
     /// Every version that the customer may use is withdrawn.
     Withdrawn => 503, "version_withdrawn", NotRun, ms(30_000);
@@ -136,27 +136,27 @@
     NoConfig => 503, "no_config", NotRun, ms(2_000);
     /// The log service cannot be reached, and the request needs a record in it first.
     LogAway => 503, "log_away", NotRun, ms(5_000);
-    /// Records that wait for the log service fill their memory.
+    /// The buffer for records that wait for the log service is full.
     BacklogFull => 503, "backlog_full", NotRun, ms(30_000);
-    /// Backend servers ended while they ran the request, and it is kept from them.
+    /// Backend servers terminated while they ran the request, and it is quarantined.
     Quarantined => 503, "quarantined", NotRun, ms(30_000);
     /// Too many open connections or requests.
     TooManyOpen => 503, "too_many_open", NotRun, ms(1_000);
-    /// A peer sent a frame that cannot be read.
+    /// A peer sent a malformed frame.
     TornFrame => 502, "torn_frame", MayHaveRun, ms(1_000);
-    /// The way to the backend server broke after the request had been sent on.
+    /// The connection to the backend server was lost after the request had been forwarded.
     BackendLost => 502, "backend_lost", MayHaveRun, ms(1_000);
     /// The backend server answered with an error.
     BackendFailed => 502, "backend_failed", Ran, ms(1_000);
-    /// A record of the log cannot be read or is of an unknown kind; the fold passes over it.
+    /// A record of the log cannot be parsed or is of an unknown kind; the fold skips it.
     BadRecord => 422, "bad_record", NotRun, None;
     /// An object refers to one that does not exist, or has a value out of range.
     BadObject => 422, "bad_object", NotRun, None;
     /// A selector matches nothing.
     EmptySelector => 422, "empty_selector", NotRun, None;
-    /// A change expected another revision: somebody was faster.
+    /// A change expected another revision: a concurrent change came first.
     RevisionMoved => 409, "revision_moved", NotRun, None;
-    /// A process without a certificate of the fleet, or with another protocol version.
+    /// The peer has no certificate of the fleet, or another protocol version.
     BadPeer => 502, "bad_peer", NotRun, ms(5_000);
 }
 
--- a/core/src/ids.rs
+++ b/core/src/ids.rs
@@ -1,11 +1,11 @@
-//! Newtypes for ids, sizes and rates.
+//! Newtypes for IDs, times, offsets, shares and rates.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// An id or number that cannot be read.
+/// An ID or number that cannot be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseIdError {
     what: &'static str,
@@ -108,7 +108,7 @@
     "a region's name (1 to 128 letters, digits and -_.:@)"
 );
 name_type!(
-    /// A session id as the caller sends it.
+    /// A session ID as the caller sends it.
     SessionId,
     "a session id (1 to 128 letters, digits and -_.:@)"
 );
@@ -144,12 +144,12 @@
 }
 
 number_type!(
-    /// Identifies one start of a process; a restart has another.
+    /// Identifies one run of a process; it changes at each restart.
     Incarnation(u64),
     "an incarnation (a whole number)"
 );
 number_type!(
-    /// A point in time or a span, in milliseconds.
+    /// A point in time or a duration, in milliseconds.
     Millis(u64),
     "a number of milliseconds"
 );
@@ -207,13 +207,13 @@
 }
 
 impl Millis {
-    /// Returns the time `span` later; saturates.
+    /// Returns the time `span` later, saturating.
     #[must_use]
     pub fn after(self, span: Self) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 
-    /// Returns the span since `earlier`, or zero.
+    /// Returns the duration since `earlier`, or zero if that is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
@@ -261,7 +261,7 @@
 }
 
 hex_type!(
-    /// Id of one append to the claims stream.
+    /// ID of one append to a stream of the log, such as a claim, a load or a batch.
     ClaimId,
     "a claim id (32 hex digits)"
 );
@@ -271,7 +271,7 @@
     "a key hash (32 hex digits)"
 );
 hex_type!(
-    /// Id that an entry gives to a request.
+    /// ID that an entry assigns to a request.
     RequestId,
     "a request id (32 hex digits)"
 );
--- a/core/src/label.rs
+++ b/core/src/label.rs
@@ -1,4 +1,4 @@
-//! Labels, and selectors over them.
+//! Labels of objects, and selectors that match them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,8 +12,8 @@
 /// A conjunction of requirements over labels.
 ///
 /// Written as a comma-separated list of `key=value`, `key!=value`, `key in (a|b)`, `key` (present)
-/// and `!key` (absent). The empty selector matches nothing: a forgotten one must not grant all.
-/// `*` matches everything.
+/// and `!key` (absent). The empty selector matches nothing, so that a selector left empty by
+/// mistake grants nothing. `*` matches everything.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Selector {
@@ -30,7 +30,7 @@
     Present(String),
 }
 
-/// A selector that cannot be read.
+/// A selector that cannot be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseSelectorError(String);
 
@@ -47,7 +47,7 @@
 impl std::error::Error for ParseSelectorError {}
 
 impl Selector {
-    /// Says whether the labels meet every term.
+    /// Returns whether the labels match every term.
     ///
     /// ```
     /// use redwingfold_core::{Labels, Selector};
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of redwingfold as pure functions of state, event and time.
 //!
-//! Nothing here opens a socket or a file, reads a clock or draws a random number: the caller
-//! passes the present as [`Millis`] and randomness as a number. That is what makes every decision
-//! repeatable in a test and explainable afterwards.
+//! Nothing here opens a socket or a file, reads a clock or generates a random number: the caller
+//! passes the current time as [`Millis`] and random values as numbers. Every decision is therefore
+//! reproducible in a test and can be explained afterwards.
 
 mod balance;
 mod bill;
--- a/core/src/loads.rs
+++ b/core/src/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of weights, a bounded number at once, agreed through the log.
+//! Loads of model weights: the log bounds how many hosts load a version concurrently.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,35 @@
 
 use crate::ids::{ClaimId, HostId, Millis, Offset, VersionName};
 
-/// A record of a version's stream of loads.
+/// A record of a version's loads stream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "type")]
 pub enum LoadRecord {
-    /// A host asks to load.
+    /// A host requests a load.
     Begin {
-        /// Chosen by the host for this load.
+        /// ID that the host generates for this load.
         id: ClaimId,
         /// The host.
         host: HostId,
         /// The version.
         version: VersionName,
-        /// Loads of this version that may go on at once, as the host computes it.
+        /// Maximum of concurrent loads of this version, as computed by the host.
         limit: u32,
-        /// When, by the host's clock, since 1970.
+        /// Time of the request by the host's clock, in milliseconds since the Unix epoch.
         at: Millis,
     },
-    /// A load has ended, or will not be made.
+    /// A load has ended, or was given up.
     End {
         /// The load.
         id: ClaimId,
     },
 }
 
-/// The fold of a version's stream of loads.
+/// State folded from a version's loads stream.
 ///
-/// A load is granted if, at its place in the log, fewer loads than its limit go on. One whose host
-/// died without an end counts until its time has passed, or the host asks anew.
+/// A load is granted if fewer loads than its limit are active at its offset. A load whose host
+/// crashed before it appended an end stays active until `max_duration` has passed or the host
+/// requests a load again.
 #[derive(Clone, Debug)]
 pub struct LoadFold {
     offset: Offset,
@@ -42,12 +43,12 @@
 }
 
 impl LoadFold {
-    /// Makes an empty fold; a load is given up after `longest`.
+    /// Creates an empty fold; a load expires after `max_duration`.
     pub fn new(max_duration: Millis) -> Self {
         Self { offset: Offset(0), max_duration, active: BTreeMap::new() }
     }
 
-    /// Folds one record as it stands in the log; unreadable ones are passed over.
+    /// Applies one raw record of the log; skips a record that cannot be parsed.
     ///
     /// ```
     /// use redwingfold_core::{ClaimId, LoadFold, LoadRecord, Millis, Offset};
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Says whether a load may go on.
+    /// Returns whether a load is granted.
     pub fn is_granted(&self, id: ClaimId) -> bool {
         self.active.contains_key(&id)
     }
 
-    /// Returns how many loads of other hosts go on.
+    /// Returns the number of active loads of other hosts.
     pub fn active_on_other_hosts(&self, own: &HostId, now: Millis) -> usize {
         let is_active_elsewhere = |(host, since): &&(HostId, Millis)| {
             host != own && now.since(*since) < self.max_duration
@@ -93,21 +94,21 @@
         self.active.values().filter(is_active_elsewhere).count()
     }
 
-    /// Returns a host's load that goes on as far as the log knows.
+    /// Returns the active load of a host according to the log.
     pub fn active_load_of(&self, host: &HostId) -> Option<ClaimId> {
         self.active.iter().find(|(_, (h, _))| h == host).map(|(id, _)| *id)
     }
 
-    /// Returns the offset of the last record that was folded.
+    /// Returns the offset of the last record applied.
     pub fn offset(&self) -> Offset {
         self.offset
     }
 }
 
-/// A side's claim to give orders to the engines of its host. Its offset is the fencing number.
+/// A side's claim to control the engines of its host. Its offset is the fencing token.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FenceRecord {
-    /// Chosen by the side for this claim.
+    /// ID that the side generates for this claim.
     pub id: ClaimId,
     /// The host.
     pub host: HostId,
--- a/core/src/outbox.rs
+++ b/core/src/outbox.rs
@@ -1,18 +1,18 @@
-//! Records that wait to be confirmed by the log service.
+//! Buffer of records until the log service confirms their append.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::Hash;
 
 use crate::ids::{ClaimId, Millis};
 
-/// There is no room for another record.
+/// The record does not fit into the outbox.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OutboxFull;
 
-/// Records by id, bounded by bytes, which leave in batches.
+/// Records by key, bounded in bytes and sent in batches.
 ///
-/// A batch stays until it is confirmed; the answer to its append can be lost, so each batch has an
-/// id by which it is looked for in the log before it is appended again.
+/// A batch is kept until it is confirmed. The response to its append can be lost, so each batch has
+/// an ID by which the log is searched before the batch is appended again.
 #[derive(Debug)]
 pub struct Outbox<K, R> {
     max_bytes: usize,
@@ -32,7 +32,7 @@
 }
 
 impl<K: Clone + Eq + Hash, R: Clone> Outbox<K, R> {
-    /// Makes an outbox for at most `max_bytes` of records.
+    /// Creates an outbox for at most `max_bytes` of records.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             max_bytes,
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Adds a record that may leave from `not_before` on; replaces one with the same key.
+    /// Adds a record to be sent no earlier than `not_before`; replaces one with the same key.
     ///
     /// # Errors
     ///
-    /// [`OutboxFull`] if the record does not fit; nothing is displaced for it.
+    /// [`OutboxFull`] if the record does not fit; no other record is evicted for it.
     pub fn push(
         &mut self,
         key: K,
@@ -67,12 +67,12 @@
         Ok(())
     }
 
-    /// Says whether `size` more bytes fit.
+    /// Returns whether `size` more bytes fit.
     pub fn has_room(&self, size: usize) -> bool {
         self.bytes + size <= self.max_bytes
     }
 
-    /// Takes the next batch of at most `max` records that are due, under the given batch id.
+    /// Returns the next batch of at most `max` due records, and marks it as in flight under `id`.
     pub fn take_batch(&mut self, id: ClaimId, max: usize, now: Millis) -> Vec<R> {
         let mut keys = Vec::new();
         let mut batch = Vec::new();
@@ -108,7 +108,7 @@
     pub fn confirm(&mut self, id: ClaimId) -> Vec<K> {
         let keys = self.in_flight.remove(&id).unwrap_or_default();
         for key in &keys {
-            // A record that was replaced while its batch was under way is not in the log yet.
+            // A record that was replaced while its batch was in flight is not in the log yet.
             if self.records.get(key).is_some_and(|entry| entry.sent) {
                 self.remove(key);
             }
@@ -116,21 +116,21 @@
         keys
     }
 
-    /// Forgets a record that somebody else has confirmed.
+    /// Removes a record, for example after another holder confirmed it.
     pub fn remove(&mut self, key: &K) {
         if let Some(entry) = self.records.remove(key) {
             self.bytes -= entry.size;
         }
     }
 
-    /// Makes every record due now, for a stop.
+    /// Makes every record due now, for a shutdown.
     pub fn make_all_due(&mut self) {
         for entry in self.records.values_mut() {
             entry.not_before = Millis(0);
         }
     }
 
-    /// Returns all unconfirmed records, for handing them to another holder.
+    /// Returns all unconfirmed records, for a transfer to another holder.
     pub fn records(&self) -> impl Iterator<Item = (&K, &R)> {
         self.records.iter().map(|(key, entry)| (key, &entry.record))
     }
@@ -140,17 +140,17 @@
         self.records.len()
     }
 
-    /// Says whether every record is confirmed.
+    /// Returns whether every record is confirmed.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns the bytes that are held.
+    /// Returns the size of the unconfirmed records in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns how many records did not fit.
+    /// Returns how many records were rejected because they did not fit.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/core/src/pin.rs
+++ b/core/src/pin.rs
@@ -1,4 +1,4 @@
-//! Sessions and the versions that they keep.
+//! Session pins: the version that a session keeps using.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,37 +6,38 @@
 
 use crate::ids::{CustomerName, Millis, SessionId, VersionName};
 
-/// What a pin is for: a customer's session, under one name that it asks for.
+/// Key of a pin: a customer's session and the name that it requests.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PinKey {
     /// The customer.
     pub customer: CustomerName,
     /// Its session.
     pub session: SessionId,
-    /// The model or cascade that is asked for.
+    /// Name of the requested model or cascade.
     pub name: String,
 }
 
 /// The version that a session keeps.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Pin {
-    /// How many withdrawals have moved the session; a higher one replaces a lower one.
+    /// Number of withdrawals that have moved the session; a pin with more moves replaces one with
+    /// fewer.
     pub moves: u32,
-    /// When the session got this version, by the clock of the entry that asked.
+    /// When the session got this version, by the clock of the entry that set the pin.
     pub since: Millis,
     /// The version.
     pub version: VersionName,
 }
 
 impl Pin {
-    /// Says whether this pin replaces `other`: after more withdrawals, or at the same number if it
-    /// is the older. Every holder applies the same order, so copies that crossed end up equal.
+    /// Returns whether this pin replaces `other`: it has more moves, or as many and is older. The
+    /// order is total and the same at every holder, so copies exchanged in any order converge.
     pub fn replaces(&self, other: &Self) -> bool {
         (other.moves, &self.since, &self.version) < (self.moves, &other.since, &other.version)
     }
 }
 
-/// A holder's pins, bounded in number; the pin that was used longest ago gives way first.
+/// The pins of one holder, bounded in number; evicts the least recently used pin.
 #[derive(Debug)]
 pub struct PinTable {
     max: usize,
@@ -45,13 +46,13 @@
 }
 
 impl PinTable {
-    /// Makes a table for at most `max` pins.
+    /// Creates a table for at most `max` pins.
     pub fn new(max: usize) -> Self {
         Self { max: max.max(1), pins: HashMap::new(), by_use: BTreeSet::new() }
     }
 
-    /// Returns the pin in force after `proposed`: the one that is held, or the proposal if none is
-    /// held or a withdrawal moved the session. The first proposal wins, whatever its clock said.
+    /// Returns the stored pin, or stores `proposed` if there is none or a withdrawal has moved the
+    /// session since. The first proposal to arrive wins, whatever its timestamp.
     ///
     /// ```
     /// use redwingfold_core::{Millis, Pin, PinKey, PinTable};
@@ -75,7 +76,7 @@
         pin
     }
 
-    /// Takes a pin that another holder has, and returns the one in force.
+    /// Merges a pin of another holder, and returns the pin that is stored then.
     pub fn merge(&mut self, key: &PinKey, theirs: Pin, now: Millis) -> Pin {
         let pin = match self.pins.get(key) {
             Some((held, _)) if !theirs.replaces(held) => held.clone(),
@@ -85,7 +86,7 @@
         pin
     }
 
-    /// Returns the pin that is held, and counts it as used.
+    /// Returns the stored pin, and marks it as used at `now`.
     pub fn get(&mut self, key: &PinKey, now: Millis) -> Option<Pin> {
         let (pin, _) = self.pins.get(key)?.clone();
         self.put(key.clone(), pin.clone(), now);
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Returns all pins, for handing them to another holder.
+    /// Returns all pins, for a transfer to another holder.
     pub fn iter(&self) -> impl Iterator<Item = (&PinKey, &Pin)> {
         self.pins.iter().map(|(key, (pin, _))| (key, pin))
     }
@@ -114,7 +115,7 @@
         self.pins.len()
     }
 
-    /// Says whether no pin is held.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.pins.is_empty()
     }
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before a backend server: fair between customers, by priority within one.
+//! The queue of a backend server: fair between customers, by priority within a customer.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,22 @@
 /// Bounds of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
-    /// Requests that wait at most, of all customers.
+    /// Maximum of waiting requests of all customers.
     pub max_waiting: usize,
-    /// Requests of one customer that wait at most.
+    /// Maximum of waiting requests of one customer.
     pub max_per_customer: usize,
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub struct QueueEntry<T> {
     /// The request.
     pub item: T,
     /// Its customer.
     pub customer: CustomerName,
-    /// Work that it is expected to make, in tokens.
+    /// Its expected work, in tokens.
     pub work: u64,
-    /// Time by which it must have begun.
+    /// Time by which it must start to run.
     pub deadline: Millis,
 }
 
@@ -36,9 +36,9 @@
     waiting: BTreeMap<(u8, u64), QueueEntry<T>>,
 }
 
-/// Start-time fair queueing over customers: each gets work in proportion to its weight, whatever
-/// the others offer. Priorities order the requests of one customer only: were they to count between
-/// customers, the one that calls everything urgent would take the server for itself.
+/// Start-time fair queueing over customers: each gets a share of the work in proportion to its
+/// weight, whatever load the others offer. Priorities order only the requests of one customer. If
+/// they applied between customers, one that marks every request as urgent would starve the others.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     limits: QueueLimits,
@@ -48,11 +48,11 @@
     customer_queues: BTreeMap<CustomerName, CustomerQueue<T>>,
 }
 
-/// Scale of virtual time, so that whole numbers divide finely enough by a weight.
+/// Scale of virtual time, which keeps the rounding error of an integer division by a weight small.
 const VIRTUAL_TIME_SCALE: u64 = 1_000;
 
 impl<T> FairQueue<T> {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         Self { limits, virtual_time: 0, next_seq: 0, len: 0, customer_queues: BTreeMap::new() }
     }
@@ -61,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// The request and [`ErrorKind::Overloaded`] if the queue or the customer's part of it is full.
+    /// Returns the request and [`ErrorKind::Overloaded`] if the queue or the customer's share of it
+    /// is full.
     pub fn push(
         &mut self,
         request: QueueEntry<T>,
@@ -77,7 +78,7 @@
             CustomerQueue { next_start: 0, weight: 1, waiting: BTreeMap::new() }
         });
         if queue.waiting.is_empty() {
-            // One that was away starts now: it has no credit from the time of its absence.
+            // A customer without waiting requests accrues no credit for the time that it was idle.
             queue.next_start = queue.next_start.max(self.virtual_time);
         }
         queue.weight = u64::from(weight.max(1));
@@ -87,13 +88,14 @@
         Ok(())
     }
 
-    /// Takes the next request whose deadline has not passed; the late ones before it go to `late`.
+    /// Removes and returns the next request whose deadline has not passed; moves the requests
+    /// before it, which are past theirs, to `expired`.
     pub fn pop(&mut self, now: Millis, expired: &mut Vec<QueueEntry<T>>) -> Option<QueueEntry<T>> {
         loop {
             let backlogged =
                 self.customer_queues.values_mut().filter(|queue| !queue.waiting.is_empty());
             let Some(queue) = backlogged.min_by_key(|queue| queue.next_start) else {
-                // Nobody waits, so that nobody is owed anything.
+                // An empty queue has no backlog to divide, so virtual time restarts.
                 self.customer_queues.clear();
                 self.virtual_time = 0;
                 return None;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Takes out every request that `should_remove` names.
+    /// Removes and returns every request for which `should_remove` is true.
     pub fn remove_if(
         &mut self,
         mut should_remove: impl FnMut(&QueueEntry<T>) -> bool,
@@ -123,17 +125,17 @@
         removed.into_iter().map(|(_, request)| request).collect()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Says whether nothing waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns the work that waits, in tokens.
+    /// Returns the work of the waiting requests, in tokens.
     pub fn work(&self) -> u64 {
         self.customer_queues.values().flat_map(|queue| queue.waiting.values()).map(|r| r.work).sum()
     }
--- a/core/src/ratings.rs
+++ b/core/src/ratings.rs
@@ -1,4 +1,4 @@
-//! Ratings of versions, added up over entries, and what a roll-out may do by them.
+//! Ratings of versions, aggregated over all entries, and the rule that advances a rollout on them.
 
 use std::collections::BTreeMap;
 
@@ -7,42 +7,43 @@
 use crate::ids::{HostId, Incarnation, Millis, Offset, PerMille, VersionName};
 use crate::rollout::Tally;
 
-/// A record of the ratings stream: what one start of an entry has counted of a version so far.
+/// A record of the ratings stream: the ratings of one version that one incarnation of an entry has
+/// counted so far.
 ///
-/// It is a total and not an increment, so that a record that was appended twice, or whose answer
-/// was lost, does no harm.
+/// It holds a running total and not an increment, so appending it twice, for example after a lost
+/// response of the log service, has no effect.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TallyRecord {
-    /// The entry.
+    /// Host of the entry.
     pub host: HostId,
-    /// Its start.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
     /// The version.
     pub version: VersionName,
-    /// When the version was last put back in service; ratings of before do not count.
+    /// Offset at which the version was last put in service; earlier ratings do not count.
     pub since: Offset,
-    /// When, by the entry's clock, since 1970.
+    /// Time of the record by the entry's clock, in milliseconds since the Unix epoch.
     pub at: Millis,
-    /// What it has counted in all.
+    /// All ratings that the entry has counted.
     pub total: Tally,
-    /// What it has counted lately.
+    /// The entry's ratings in its current window.
     pub recent: Tally,
 }
 
-/// Ratings that one half of a window holds.
+/// Number of ratings in one half of a window.
 const HALF_WINDOW_RATINGS: u64 = 200;
 
-/// Age at which what an entry counted lately is worth nothing: it is gone, or rates nothing.
+/// Age from which an entry's recent ratings are ignored: the entry has stopped, or gets no ratings.
 const MAX_RECENT_AGE: Millis = Millis(600_000);
 
-/// Age at which what an entry counted is forgotten.
+/// Age from which an entry's total is removed.
 const MAX_TOTAL_AGE: Millis = Millis(24 * 3_600_000);
 
 /// Counts the ratings of one version at one entry.
 ///
-/// The test that stops a version looks at the last few hundred only: on all of them, a version that
-/// gave a million good answers could turn bad and give tens of thousands of bad ones before the sum
-/// showed it.
+/// The test that stops a version uses only a window of the last few hundred ratings. On the total,
+/// a version with a million good answers that turns bad could give tens of thousands of bad ones
+/// before the test stopped it.
 ///
 /// ```
 /// let mut counter = redwingfold_core::RatingCounter::default();
@@ -67,21 +68,22 @@
         }
     }
 
-    /// Returns all that was counted.
+    /// Returns the tally of all ratings.
     pub fn total(&self) -> Tally {
         self.total
     }
 
-    /// Returns what was counted lately: between 200 and 400 ratings, or all if there were fewer.
+    /// Returns the tally of the current window: the last 200 to 400 ratings, or all if there are
+    /// fewer.
     pub fn recent(&self) -> Tally {
         self.current.plus(self.previous)
     }
 }
 
-/// Totals of the entries' starts.
+/// The latest record of each incarnation of an entry.
 type TotalsByIncarnation = BTreeMap<(HostId, Incarnation), TallyRecord>;
 
-/// The fold of the ratings stream.
+/// State folded from the ratings stream: the totals of all entries by version.
 #[derive(Clone, Debug, Default)]
 pub struct RatingFold {
     offset: Offset,
@@ -89,7 +91,8 @@
 }
 
 impl RatingFold {
-    /// Folds one batch as it stands in the log; an unreadable one is passed over.
+    /// Applies one raw batch of the log; skips a batch that cannot be parsed, and any offset that
+    /// was applied before.
     pub fn apply(&mut self, offset: Offset, raw: &[u8]) {
         if offset <= self.offset {
             return;
@@ -100,7 +103,8 @@
         }
     }
 
-    /// Takes one entry's totals; a lower total than the one that is held is an older record.
+    /// Stores an entry's totals. A record with no more ratings than the stored one is older or a
+    /// copy, and is ignored.
     ///
     /// ```
     /// use redwingfold_core::{Incarnation, Millis, Offset, RatingFold, Tally, TallyRecord};
@@ -142,29 +146,29 @@
         held.into_iter().flat_map(|(_, totals)| totals.values())
     }
 
-    /// Returns what all entries have counted of a version since it was put in service.
+    /// Returns the tally of all entries for a version since it was put in service.
     pub fn total(&self, version: &VersionName, since: Offset) -> Tally {
         self.records(version, since).fold(Tally::default(), |sum, r| sum.plus(r.total))
     }
 
-    /// Returns what all entries have counted of it lately.
+    /// Returns the tally of all entries' current windows for a version.
     pub fn recent(&self, version: &VersionName, since: Offset, now: Millis) -> Tally {
         let fresh = self.records(version, since).filter(|r| now.since(r.at) < MAX_RECENT_AGE);
         fresh.fold(Tally::default(), |sum, r| sum.plus(r.recent))
     }
 
-    /// Returns the offset of the last batch that was folded.
+    /// Returns the offset of the last batch applied.
     pub fn offset(&self) -> Offset {
         self.offset
     }
 }
 
-/// Returns the next share of a roll-out, if its evidence has earned it.
+/// Returns the next share of a rollout, if the ratings justify it.
 ///
-/// A step is earned by `per_step` more ratings since the last, and a lower confidence bound of the
-/// share of good answers over all ratings that keeps what is allowed. A version can thus never give
-/// more bad answers at a share than that share of the traffic until `per_step` were rated, unless
-/// ratings stop coming: then it stays where it is.
+/// A step needs `per_step` more ratings since the last step. The lower confidence bound of the
+/// share of good answers, over all ratings, must also be at least `1000 - allowed_bad`. Until
+/// `per_step` answers are rated, a bad version thus affects no more than the current share of the
+/// traffic. If no more ratings arrive, the share stays as it is.
 ///
 /// ```
 /// use redwingfold_core::{PerMille, Tally, next_rollout_share};
--- a/core/src/rollout.rs
+++ b/core/src/rollout.rs
@@ -1,10 +1,10 @@
-//! The test that stops a version which answers worse than it may.
+//! The sequential test that stops a version with too large a share of bad answers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::PerMille;
 
-/// Ratings of one version, as counts, so that daemons can add theirs up in any order.
+/// Counts of the ratings of one version; tallies of several daemons can be added in any order.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tally {
     /// Answers that were rated good.
@@ -14,7 +14,7 @@
 }
 
 impl Tally {
-    /// Adds another tally.
+    /// Returns the sum of two tallies.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self { good: self.good + other.good, bad: self.bad + other.bad }
@@ -42,22 +42,22 @@
     }
 }
 
-/// What the test says.
+/// Result of the test.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TestVerdict {
-    /// Nothing is shown yet.
+    /// The ratings don't show yet that the share of bad answers is too large.
     Continue,
-    /// The share of bad answers is above its bound.
+    /// The share of bad answers is above the allowed one.
     Stop,
 }
 
-/// A sequential test of "at most a share `allowed` of answers is bad".
+/// A sequential test of the null hypothesis that at most a share `allowed` of the answers is bad.
 ///
-/// The wealth of a bet that bad answers come more often than allowed is a supermartingale while
-/// the claim holds, so by Ville's inequality it ever reaches `1 / alpha` with a probability of at
-/// most `alpha`, however often one looks. The bet mixes several alternatives, because it is not
-/// known how bad a bad version is. The wealth depends on the counts alone: tallies from many
-/// daemons can be added in any order.
+/// The test statistic is the wealth of a bet that bad answers are more frequent than allowed. Under
+/// the null hypothesis it is a supermartingale, so by Ville's inequality it ever reaches
+/// `1 / alpha` with a probability of at most `alpha`, however often the test is evaluated. The bet
+/// mixes several alternatives, because the share of bad answers of a bad version is unknown. The
+/// wealth depends on the counts only, so tallies of several daemons can be added in any order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SequentialTest {
     allowed: f64,
@@ -65,7 +65,8 @@
 }
 
 impl SequentialTest {
-    /// Makes a test; `alpha` is the probability of stopping a version that is as good as allowed.
+    /// Creates a test; `alpha` bounds the probability of stopping a version that is as good as
+    /// allowed.
     ///
     /// ```
     /// use redwingfold_core::{PerMille, SequentialTest, Tally, TestVerdict};
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -1,16 +1,16 @@
-//! Which version may and should answer a request.
+//! Access checks and the choice of the version that answers a request.
 
 use crate::config::{Config, ObjectKey, Spec, VersionSpec};
 use crate::error::ErrorKind;
 use crate::ids::{CustomerName, ModelName, PerMille, SessionId, VersionName};
 use crate::label::Labels;
 
-/// Why no version may answer.
+/// The reason why no version may answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AccessDenied {
-    /// The kind of answer.
+    /// The error kind for the caller.
     pub kind: ErrorKind,
-    /// What was looked at.
+    /// The requested name and the error kind, as text.
     pub detail: String,
 }
 
@@ -19,7 +19,8 @@
 pub struct Plan {
     /// One version for each step.
     pub steps: Vec<VersionName>,
-    /// Quality to reach before the next step is left out; `None` if the first answer is final.
+    /// Quality from which an answer is final, so that the next step is skipped; `None` if the first
+    /// answer is final.
     pub target: Option<PerMille>,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Returns the customer that owns a key, given the key's SHA-256 as lower-case hex.
+    /// Returns the customer that owns an API key, given the key's SHA-256 as lower-case hex.
     pub fn customer_of_key(&self, sha256: &str) -> Option<CustomerName> {
         self.of_kind("customer").find_map(|(key, spec)| match spec {
             Spec::Customer(c) if c.key_sha256.iter().any(|k| k == sha256) => key.name.parse().ok(),
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Checks that a caller may use a version now.
+    /// Checks whether a caller may use a version.
     ///
-    /// Entry and side both ask this, each of the newest configuration that it has.
+    /// The entry and the side both check this, each with the latest configuration that it has.
     ///
     /// # Errors
     ///
@@ -129,10 +130,11 @@
     matches!(spec, Spec::Session(s) if s.customer == *customer)
 }
 
-/// Returns the point of a session in 0..1000; a roll-out at share `s` takes sessions below `s`.
+/// Returns the bucket of a session in 0..1000; a rollout with share `s` applies to buckets below
+/// `s`.
 ///
-/// It depends on the session alone, so that entries which do not know each other agree, and a
-/// session whose pin was lost is most likely given the same version again.
+/// The bucket is a hash of the model and `bucket_key`, so all entries compute the same one, and a
+/// session whose pin was lost most likely gets the same version again.
 pub fn rollout_bucket(model: &ModelName, bucket_key: &str) -> PerMille {
     let text = format!("{model}\0{bucket_key}");
     PerMille((xxhash_rust::xxh3::xxh3_64(text.as_bytes()) % 1000) as u16)
@@ -140,11 +142,11 @@
 
 /// Chooses the version of one model for a new session, or for a request without one.
 ///
-/// `who` is the session id, or the request id where there is no session.
+/// `bucket_key` is the session ID, or the request ID if there is no session.
 ///
 /// # Errors
 ///
-/// The kind that keeps the last candidate out.
+/// Returns the error kind of the last candidate.
 pub fn choose_version(
     config: &Config,
     customer: &CustomerName,
@@ -178,7 +180,8 @@
 /// Plans the versions that may answer a request for `name`: a version, a model or a cascade.
 ///
 /// `quality` gives the lower confidence bound of a version's quality for this kind of request.
-/// Steps of a cascade that are not expected to reach the target are left out, but for the last.
+/// A cascade starts at the cheapest step that is expected to reach its target, or at the first step
+/// if none is.
 ///
 /// # Errors
 ///
@@ -211,7 +214,8 @@
         let good = |v: &VersionName| {
             config.version(v).is_some_and(|spec| quality(v, spec) >= cascade.target)
         };
-        // The cheapest step that is believed good comes first; what is dearer stays as escalation.
+        // Starts at the cheapest step expected to reach the target; the more expensive ones follow
+        // as escalation.
         let first = steps.iter().position(good).unwrap_or(0);
         steps.drain(..first);
         return Ok(Plan { steps, target: Some(cascade.target) });
--- a/core/src/subset.rs
+++ b/core/src/subset.rs
@@ -1,11 +1,11 @@
-//! Who talks to whom: stable, bounded subsets by rendezvous hashing, spread over failure domains.
+//! Selection of peers: stable, bounded subsets by rendezvous hashing, spread over failure domains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{FailureDomain, HostId};
 use crate::pin::PinKey;
 
-/// A host as far as the choice of peers goes.
+/// A host with its failure domain, as a candidate peer.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Member {
     /// The host.
@@ -18,10 +18,11 @@
     xxhash_rust::xxh3::xxh3_64(format!("{seed}\0{host}").as_bytes())
 }
 
-/// Ranks members for a seed, so that the first few are in different failure domains.
+/// Ranks members for a seed, so that the first ones are in different failure domains.
 ///
-/// Each domain is ranked by hash, then the best of each, the second best of each and so on are
-/// taken in turn. A member that comes or goes moves only itself and those behind it in its domain.
+/// The members of each domain are ranked by hash. The result has the first of each domain, then the
+/// second of each, and so on. A member that joins or leaves affects only the position of members
+/// ranked after it in its domain.
 ///
 /// ```
 /// use redwingfold_core::{Member, rank};
@@ -61,9 +62,9 @@
 /// Returns the sides that an entry connects to.
 ///
 /// Each side chooses `fan_in` entries in different failure domains, and an entry connects to the
-/// sides that chose it: were entries to choose, some sides would be chosen by none and stand idle
-/// (one in seven at 24 entries with 24 choices among 306 sides). Beside these an entry takes its
-/// own first `per_pool` sides of each pool, so that it can serve every version.
+/// sides that chose it. If entries chose sides, some sides would be chosen by none and stay idle:
+/// one in seven with 24 entries that choose 24 of 306 sides each. In addition, an entry connects to
+/// the `per_pool` sides of each pool that it ranks first, so that it can serve every version.
 ///
 /// ```
 /// use redwingfold_core::{Member, PooledSide, sides_of_entry};
@@ -99,7 +100,7 @@
     connected
 }
 
-/// Says whether `own` is among the `per_domain` members of its failure domain that read the log
+/// Returns whether `own` is among the `per_domain` members of its failure domain that read the log
 /// for the others.
 pub fn is_log_reader(own: &Member, members: &[Member], per_domain: usize) -> bool {
     let mut scores: Vec<_> = members
@@ -112,7 +113,7 @@
     scores.iter().take_while(|s| **s > own_score).count() < per_domain
 }
 
-/// Returns the hosts that hold a session's pin, the first to be asked first.
+/// Returns the `copies` hosts that hold a session's pin, in the order in which to query them.
 pub fn pin_holders<'a>(key: &PinKey, members: &'a [Member], copies: usize) -> Vec<&'a Member> {
     let seed = format!("pin\0{}\0{}\0{}", key.customer, key.session, key.name);
     let mut ranked = rank(&seed, members);
--- a/core/tests/claims.rs
+++ b/core/tests/claims.rs
@@ -1,7 +1,7 @@
-//! Calls that may not be repeated, under random schedules of entries, sides and the log.
+//! Calls that run at most once, under random schedules of entries, sides and the log.
 //!
-//! Entries claim, are paused for any time between any two steps, lose answers of the log, and die;
-//! sides start anew and forget. All of it happens in virtual time, thousands of schedules a run.
+//! Entries append claims, are paused between any two steps, lose responses of the log, and crash.
+//! Sides restart and lose their tables. Each run executes thousands of schedules in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -17,14 +17,14 @@
 const MAX_ROUNDS: usize = 3;
 const KEY: KeyHash = KeyHash(7);
 
-/// Draws numbers from the bytes of a schedule.
+/// Derives random numbers from the bytes of a schedule.
 struct Draw<'a>(&'a [u8], usize);
 
 impl Draw<'_> {
     fn below(&mut self, n: usize) -> usize {
         self.1 += 1;
         let byte = self.0.get(self.1 % self.0.len().max(1)).copied().unwrap_or(0);
-        // The position is mixed in, so that short inputs still make long schedules.
+        // The position is mixed in, so that short inputs still give long schedules.
         (usize::from(byte) ^ (self.1.wrapping_mul(0x9e37) >> 7)) % n
     }
 
@@ -61,7 +61,7 @@
     sides: Vec<Side>,
     runs: usize,
     next: u128,
-    /// Whether the side looks into its table before it runs; off in the planted violation.
+    /// Whether the side checks its table before it runs a call; false for the injected fault.
     is_checked: bool,
 }
 
@@ -99,7 +99,7 @@
         fold
     }
 
-    /// Takes one step of an entry's request.
+    /// Executes one step of an entry's request.
     fn step(&mut self, step: Step, draw: &mut Draw<'_>) -> (Step, Option<End>) {
         match step {
             Step::Append { rounds: MAX_ROUNDS, .. } => (Step::Over, Some(End::NotRun)),
@@ -115,7 +115,8 @@
                 };
                 self.next += 1;
                 if draw.once_in(8) {
-                    // The log is away: nothing took effect, and the caller is told so.
+                    // The log service is unavailable: the append had no effect, and the caller gets
+                    // an error that says so.
                     return (Step::Over, Some(End::NotRun));
                 }
                 self.log.push(claim.clone());
@@ -162,7 +163,7 @@
     }
 }
 
-/// A call that may not be repeated, as one object: it runs once, or is refused.
+/// Sequential specification of a call that runs at most once.
 struct OneCall;
 
 impl Specification for OneCall {
@@ -202,7 +203,7 @@
         }
         let Some(&call) = entries.keys().nth(draw.below(entries.len().max(1))) else { continue };
         if draw.once_in(25) {
-            // The entry dies; its caller never hears.
+            // The entry crashes; its caller gets no response.
             entries.remove(&call);
             calls.push((call, false));
             ends.insert(call, End::Unknown);
@@ -230,8 +231,8 @@
     (world.runs, calls.iter().map(action).collect())
 }
 
-/// A family sees one confirmation at most, whatever entries, sides and the log do, and in whatever
-/// order: runs are counted at the sides.
+/// A call runs at most once in any interleaving of the steps of entries, sides and the log. A
+/// second run would, for example, send a second confirmation. Runs are counted at the sides.
 #[test]
 fn a_call_runs_at_most_once() {
     bolero::check!().for_each(|bytes: &[u8]| {
@@ -240,8 +241,8 @@
     });
 }
 
-/// What callers are told fits one order of events: one "ran", replays only after it. Schedules in
-/// which the fate of a run stayed unknown are left out, since that run may be what was replayed.
+/// The responses to callers are linearizable: one call runs, and replays of its answer come after
+/// it. Schedules with an unknown outcome are skipped, since that run may be the one replayed.
 #[test]
 fn what_callers_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
@@ -254,7 +255,7 @@
     });
 }
 
-/// The check above finds a violation: sides that run whatever they are sent run a call twice.
+/// The schedules can find a violation: sides that don't check their tables run a call twice.
 #[test]
 fn a_side_that_does_not_look_is_caught() {
     let mut worst = 0;
@@ -267,7 +268,7 @@
     assert!(worst > 1, "no schedule ran a call twice");
 }
 
-/// A history with two runs is not linearizable, so the checker can say no.
+/// The checker rejects a history with two runs.
 #[test]
 fn the_checker_refuses_two_runs() {
     let two = vec![
--- a/core/tests/fold.rs
+++ b/core/tests/fold.rs
@@ -56,8 +56,8 @@
     change(1, &[("model/slip", 0), ("version/a", 0)], vec![model("a"), version("a", 1)])
 }
 
-/// Two operators change one object from the same state: the log's order decides, and the second is
-/// told by whom and what it was changed.
+/// Two operators change one object from the same revision: the first in log order wins, and the
+/// rejection of the second names the author of the first.
 #[test]
 fn one_of_two_racing_changes_wins() {
     let mut fold = ConfigFold::default();
@@ -71,8 +71,8 @@
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().cost_per_ktok, 5);
 }
 
-/// A withdrawal wins over a change that was made from the state before it, whichever the operator
-/// sent first: putting a bad version back by accident would harm callers again.
+/// A change made from a revision before a withdrawal is rejected. It would otherwise put a bad
+/// version back in service by accident.
 #[test]
 fn stale_change_cannot_undo_a_withdrawal() {
     let mut fold = ConfigFold::default();
@@ -86,7 +86,8 @@
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().withdrawn_at, None);
 }
 
-/// Objects that do not fit together are rejected as a whole, with every reason.
+/// A change that leaves a reference to a missing object is rejected as a whole, and the rejection
+/// names the object.
 #[test]
 fn dangling_references_are_rejected() {
     let mut fold = ConfigFold::default();
@@ -98,7 +99,8 @@
     assert!(fold.config().objects.is_empty());
 }
 
-/// A record made of a few bytes: changes from a right or stale state, withdrawals, copies, garbage.
+/// Derives a record from a byte: a change from a current or stale revision, a withdrawal, a
+/// duplicate or malformed bytes.
 fn record(byte: u8, at: u64) -> Vec<u8> {
     let id = u128::from(byte % 32) + 10;
     match byte % 7 {
@@ -112,8 +114,8 @@
     }
 }
 
-/// Every daemon has the same state at the same offset, whether it read each record, began from a
-/// snapshot, or was sent old records again; and its offset never goes back.
+/// Daemons have the same state at the same offset, whether they read every record, started from a
+/// snapshot, or received old records again. The offset never decreases.
 #[test]
 fn all_ways_lead_to_one_state() {
     bolero::check!().for_each(|bytes: &[u8]| {
@@ -141,7 +143,7 @@
     });
 }
 
-/// Whatever stands in the log, the fold takes it or passes over it, and goes on.
+/// The fold applies or skips any bytes in the log, and continues.
 #[test]
 fn any_bytes_are_survived() {
     bolero::check!().for_each(|bytes: &[u8]| {
@@ -151,14 +153,14 @@
     });
 }
 
-/// A change of one object as its author saw it: what it expected, and the revision it got.
+/// A compare-and-swap of one object: the expected revision, and the new one if it succeeded.
 #[derive(Clone, Debug)]
 struct Cas {
     expected: u64,
     won: Option<u64>,
 }
 
-/// The revision of one object.
+/// Sequential specification of the revision of one object.
 struct Revision;
 
 impl Specification for Revision {
@@ -177,15 +179,15 @@
     }
 }
 
-/// Operators look at the object, append their changes some time later, some of them twice, and hear
-/// the verdict later still, in any interleaving: what they are told fits one order of changes.
+/// Operators read an object, append their changes later, some of them twice, and read the verdict
+/// later still, in any interleaving. The verdicts are linearizable.
 #[test]
 fn what_racing_operators_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
         let mut fold = ConfigFold::default();
         fold.apply(Offset(1), &first());
         let (mut log, mut actions) = (1, Vec::new());
-        // Each operator: what it expects, and where its record stands once it is appended.
+        // For each operator: the revision it expects, and the offset of its record once appended.
         let mut operators: Vec<Option<(u64, Option<u64>)>> = vec![None; 3];
         for (n, byte) in bytes.iter().enumerate().take(40) {
             let who = usize::from(byte % 3);
@@ -219,7 +221,7 @@
         }
         for (who, operator) in operators.iter().enumerate() {
             if operator.is_some() {
-                // It never heard; its call is taken out, if nothing can have seen its effect.
+                // The operator has read no verdict; its call is removed if it was not appended.
                 let call =
                     actions.iter().rposition(|(w, a)| *w == who && matches!(a, Action::Call(_)));
                 let expected = operator.unwrap().0;
@@ -240,7 +242,7 @@
     });
 }
 
-/// Two changes that won from the same revision are found, so the checker can say no.
+/// The checker rejects two changes that succeeded from the same revision.
 #[test]
 fn the_checker_refuses_two_winners() {
     let one = |who, won| {
--- a/core/tests/membership.rs
+++ b/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Subsets of peers, holders of sessions, readers of the log, and the failure detector.
+//! Subsets of peers, holders of session pins, readers of the log, and the failure detector.
 
 use std::collections::BTreeSet;
 
@@ -39,8 +39,8 @@
     sides_of_entry(&own, entries, sides, FAN_IN, PER_POOL)
 }
 
-/// No side stands idle, and every entry can serve every pool, at the size of the users' target; no
-/// entry has more than 65 connections.
+/// With 24 entries and 306 sides, every side has connections, every entry reaches every pool, and
+/// no entry has more than 65 connections.
 #[test]
 fn every_side_has_entries_and_every_entry_all_pools() {
     let (entries, sides) = (entries(24), sides(306));
@@ -59,7 +59,7 @@
     }
 }
 
-/// An entry keeps almost all of its connections when a side or another entry goes.
+/// An entry keeps almost all of its connections when a side or another entry is removed.
 #[test]
 fn connections_move_little() {
     let (all_entries, all_sides) = (entries(24), sides(306));
@@ -101,7 +101,7 @@
     assert_eq!(readers, 2 * DOMAINS);
 }
 
-/// Holders that got pins in different orders agree in the end.
+/// Holders that merge the same pins in different orders converge.
 #[test]
 fn pins_that_crossed_end_up_equal() {
     bolero::check!().for_each(|bytes: &[u8]| {
@@ -156,8 +156,8 @@
     assert!(detector.is_heartbeat_due(Millis(300), false));
 }
 
-/// A process that was frozen itself, and wakes long after, does not take its peers for dead: it has
-/// asked nothing in the meantime.
+/// A process that was itself paused for a long time does not suspect its peers when it resumes, as
+/// it has sent no heartbeat in the meantime.
 #[test]
 fn a_sleeper_suspects_nobody() {
     let policy = policy(1);
--- a/core/tests/outbox.rs
+++ b/core/tests/outbox.rs
@@ -1,4 +1,4 @@
-//! Records that wait for the log service.
+//! The outbox of records for the log service.
 
 use redwingfold_core::{ClaimId, Millis, Outbox, OutboxFull};
 
@@ -6,7 +6,7 @@
     ClaimId(n)
 }
 
-/// A full outbox refuses the next record and keeps what it holds; confirmed room is used again.
+/// A full outbox rejects a record and evicts none; confirmed records free their space.
 #[test]
 fn it_is_bounded() {
     let mut outbox = Outbox::new(100);
@@ -18,7 +18,7 @@
     assert_eq!((outbox.len(), outbox.bytes(), outbox.dropped()), (1, 60, 1));
 }
 
-/// A bill that was replaced while its batch was under way is appended in its new form too.
+/// A bill that was replaced while its batch was in flight is appended again in its new form.
 #[test]
 fn a_replaced_record_is_not_confirmed_by_the_old_batch() {
     let mut outbox = Outbox::new(1000);
@@ -38,8 +38,8 @@
     assert_eq!(outbox.take_batch(batch(2), 10, Millis(60)), [1]);
 }
 
-/// Whatever is pushed, taken, confirmed and forgotten, bytes and records agree, and nothing leaves
-/// unconfirmed.
+/// The byte and record counts stay consistent and bounded under any sequence of pushes, batches and
+/// confirmations.
 #[test]
 fn accounts_agree() {
     bolero::check!().for_each(|bytes: &[u8]| {
--- a/core/tests/queue.rs
+++ b/core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Fair queueing before a backend server.
+//! Fair queueing of the requests for a backend server.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
     QueueEntry { item, customer: customer.parse().unwrap(), work: 100, deadline }
 }
 
-/// A co-op that offers ten times as much as the others gets its share and no more: of the first 40
-/// requests that run, the small ones get as many as it does.
+/// A customer that offers ten times the load of the others gets no more than its share: of the first
+/// 40 requests that run, each customer has about 10.
 #[test]
 fn a_large_customer_does_not_starve_small_ones() {
     let mut queue = queue(5000);
@@ -50,7 +50,7 @@
     assert!((148..=152).contains(&threes), "{threes}");
 }
 
-/// A customer that was away gets no credit for it: it cannot take the server for itself.
+/// A customer that was idle gets no credit for that time, so it cannot monopolise the server.
 #[test]
 fn absence_earns_nothing() {
     let mut queue = queue(5000);
@@ -80,7 +80,8 @@
     assert_eq!(queue.pop(Millis(0), &mut Vec::new()).unwrap().item, 99);
 }
 
-/// Who waits past the deadline is told so and never runs; who does not fit is refused at once.
+/// A request past its deadline is returned as expired and never runs; one that does not fit is
+/// rejected at once.
 #[test]
 fn late_and_surplus_requests_are_refused() {
     let mut queue = queue(2);
@@ -95,7 +96,7 @@
     assert_eq!(late.iter().map(|w| w.item).collect::<Vec<_>>(), [1]);
 }
 
-/// Whatever comes and goes, nothing is lost, doubled or counted wrongly.
+/// Under any sequence of operations, each request leaves the queue once, and the length is right.
 #[test]
 fn every_request_leaves_once() {
     bolero::check!().for_each(|bytes: &[u8]| {
--- a/core/tests/rollout.rs
+++ b/core/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! The sequential test that stops bad versions, on seeded answers.
+//! The sequential test that stops bad versions, on ratings generated from seeds.
 
 use redwingfold_core::{PerMille, RatingCounter, SequentialTest, Tally, TestVerdict};
 
@@ -9,7 +9,7 @@
     xxhash_rust::xxh3::xxh3_64(&bytes) % 1000 < bad_per_mille
 }
 
-/// Returns after how many rated answers the version is stopped.
+/// Returns the number of rated answers after which the version is stopped.
 fn stopped_after(seed: u64, bad_per_mille: u64, test: &SequentialTest) -> Option<u64> {
     let mut tally = Tally::default();
     (1..=RATED).find(|n| {
@@ -21,8 +21,8 @@
     })
 }
 
-/// A version that is as good as allowed is stopped in fewer than one of 100 roll-outs, although the
-/// test looks after each of 2,000 rated answers.
+/// A version that is as good as allowed is stopped in fewer than one of 100 rollouts, although the
+/// test is evaluated after each of 2,000 rated answers.
 #[test]
 fn good_versions_are_not_stopped() {
     let test = SequentialTest::new(PerMille(100), 0.01);
@@ -30,7 +30,7 @@
     assert!(stopped < 10, "{stopped} of 1000");
 }
 
-/// The worse a version, the sooner it is stopped.
+/// A version with more bad answers is stopped after fewer ratings.
 #[test]
 fn bad_versions_are_stopped_soon() {
     let test = SequentialTest::new(PerMille(100), 0.001);
@@ -57,8 +57,8 @@
     assert!(bad < unknown && unknown < good, "{bad} {unknown} {good}");
 }
 
-/// A version that gave a million good answers and turns bad is stopped after some hundred bad ones;
-/// on the sum of all ratings it would take a hundred thousand.
+/// A version that turns bad after a million good answers is stopped after at most 100 bad ones. On
+/// the total of all ratings, 50,000 bad answers would not stop it.
 #[test]
 fn a_long_good_past_does_not_hide_a_bad_present() {
     let test = SequentialTest::new(PerMille(100), 0.001);
@@ -70,11 +70,15 @@
     });
     assert!(stopped.is_some_and(|n| n <= 100), "{stopped:?}");
     let all = Tally { bad: 50_000, ..counter.total() };
-    assert_eq!(test.verdict(all), TestVerdict::Continue, "which is why the window is there");
+    assert_eq!(
+        test.verdict(all),
+        TestVerdict::Continue,
+        "the total alone does not stop the version"
+    );
 }
 
-/// A window forgets, so that the bound on false stops holds for each window: still under one of 100
-/// good versions is stopped in 2,000 ratings.
+/// The bound on false stops holds only within a window, as older ratings are dropped. Still, fewer
+/// than one of 100 good versions is stopped in 2,000 ratings.
 #[test]
 fn good_versions_are_not_stopped_by_a_window() {
     let test = SequentialTest::new(PerMille(100), 0.001);
