--- a/core/tests/queue.rs
+++ b/core/tests/queue.rs
@@ -14,8 +14,8 @@
     QueueEntry { item, customer: customer.parse().unwrap(), work: 100, deadline }
 }
 
-/// A customer that offers ten times the load of the others gets no more than its share: of the first
-/// 40 requests that run, each customer has about 10.
+/// A customer that offers ten times the load of the others gets no more than its share: of the
+/// first 40 requests that run, each customer has about 10.
 #[test]
 fn a_large_customer_does_not_starve_small_ones() {
     let mut queue = queue(5000);
