--- a/src/config_store/store.rs
+++ b/src/config_store/store.rs
@@ -1,4 +1,5 @@
-//! The fold behind a lock, the objects in force for readers, and the records that peers may want.
+//! Folds configuration records into the objects in force, and keeps recent records for peers that
+//! are behind.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,10 +15,10 @@
 use crate::wire::ConfigMark;
 use redwingfold_telemetry::Telemetry;
 
-/// Records that are kept for peers that are a little behind; others get a snapshot.
-const KEPT_RECORDS: usize = 512;
+/// Records kept for peers that are a few records behind; peers further behind get a snapshot.
+const MAX_RECENT_RECORDS: usize = 512;
 
-/// What a peer that is behind is sent.
+/// What to send to a peer that may be behind.
 #[derive(Clone, Debug)]
 pub(crate) enum Catchup {
     Nothing,
@@ -31,7 +32,7 @@
     inner: Mutex<Inner>,
     current: ArcSwap<Config>,
     mark: ArcSwap<ConfigMark>,
-    moved: Event,
+    change_event: Event,
     telemetry: Telemetry,
 }
 
@@ -47,7 +48,7 @@
             inner: Mutex::default(),
             current: ArcSwap::default(),
             mark: ArcSwap::default(),
-            moved: Event::new(),
+            change_event: Event::new(),
             telemetry,
         }
     }
@@ -61,35 +62,36 @@
         self.current.load_full()
     }
 
-    /// Returns how far they go.
+    /// Returns the offset, state hash and rules version of the objects in force.
     pub(crate) fn mark(&self) -> ConfigMark {
         **self.mark.load()
     }
 
-    /// Folds records; those that were folded before have no effect.
+    /// Folds records into the configuration. Records that were already folded have no effect.
     pub(crate) fn apply(&self, records: &[(Offset, Vec<u8>)]) {
         let mut inner = self.lock();
-        let before = inner.fold.config().offset;
+        let previous_offset = inner.fold.config().offset;
         for (offset, raw) in records {
-            // A gap would fold a state that no other daemon has. The sender had nothing older, so
-            // what is missing is fetched as a snapshot.
+            // Folding past a gap would give a state that no other daemon has. The sender has no
+            // older records, so the missing ones are fetched as a snapshot.
             if offset.0 > inner.fold.config().offset.0 + 1 {
                 break;
             }
             if let Some(verdict) = inner.fold.apply(*offset, raw) {
-                self.note(*offset, &verdict);
+                self.log_verdict(*offset, &verdict);
                 inner.recent.push_back((*offset, raw.clone()));
-                if inner.recent.len() > KEPT_RECORDS {
+                if inner.recent.len() > MAX_RECENT_RECORDS {
                     inner.recent.pop_front();
                 }
             }
         }
-        if inner.fold.config().offset > before {
+        if inner.fold.config().offset > previous_offset {
             self.publish(&mut inner);
         }
     }
 
-    /// Installs a snapshot, if it is newer than what is in force.
+    /// Installs a snapshot if it is newer than the objects in force. Returns whether it was
+    /// installed.
     pub(crate) fn install(&self, snapshot: Snapshot) -> bool {
         let mut inner = self.lock();
         if snapshot.config.offset <= inner.fold.config().offset {
@@ -121,7 +123,7 @@
         };
         self.current.store(Arc::new(config));
         self.mark.store(Arc::new(mark));
-        self.moved.notify(usize::MAX);
+        self.change_event.notify(usize::MAX);
         self.telemetry.gauge("config.offset", mark.offset.0);
         self.telemetry.info(
             "config_in_force",
@@ -129,7 +131,7 @@
         );
     }
 
-    fn note(&self, offset: Offset, verdict: &Verdict) {
+    fn log_verdict(&self, offset: Offset, verdict: &Verdict) {
         match verdict {
             Verdict::Accepted | Verdict::Duplicate { .. } => {}
             Verdict::Rejected { why } => {
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Returns what a peer at `offset` lacks.
-    pub(crate) fn after(&self, offset: Offset) -> Catchup {
+    /// Returns what a peer at `offset` needs to catch up.
+    pub(crate) fn catchup_after(&self, offset: Offset) -> Catchup {
         let inner = self.lock();
         if inner.fold.config().offset <= offset {
             return Catchup::Nothing;
@@ -159,34 +161,37 @@
         }
     }
 
-    /// Returns a snapshot of the fold.
+    /// Returns a snapshot of the folded state.
     pub(crate) fn snapshot(&self) -> Snapshot {
         self.lock().fold.snapshot()
     }
 
-    /// Returns the remembered part of the audit trail.
+    /// Returns the retained part of the audit trail.
     pub(crate) fn audit(&self) -> Vec<AuditEntry> {
         self.lock().fold.audit().iter().cloned().collect()
     }
 
-    /// Returns what the fold said about a record, if it is still remembered.
+    /// Returns the verdict on a record, if its audit entry is still retained.
     pub(crate) fn verdict_of(&self, id: RequestId) -> Option<AuditEntry> {
         self.lock().fold.verdict_of(id).cloned()
     }
 
-    /// Returns a future that ends at the next change; take it before looking at the present.
+    /// Returns a future that completes at the next change.
+    ///
+    /// Call this before reading the current state, so that no change in between is missed.
     pub(crate) fn changed(&self) -> EventListener {
-        self.moved.listen()
+        self.change_event.listen()
     }
 
-    /// Returns how many wait for a change.
+    /// Returns the number of tasks waiting for a change.
     #[cfg(test)]
-    pub(crate) fn listeners(&self) -> usize {
-        self.moved.total_listeners()
+    pub(crate) fn listener_count(&self) -> usize {
+        self.change_event.total_listeners()
     }
 
-    /// Waits until the configuration goes at least to `offset`; says whether it does.
-    pub(crate) async fn reaches(&self, offset: Offset, limit: Millis) -> bool {
+    /// Waits until the configuration is at `offset` or later. Returns whether it was within the
+    /// timeout.
+    pub(crate) async fn wait_for_offset(&self, offset: Offset, timeout: Millis) -> bool {
         let reached = async {
             loop {
                 let changed = self.changed();
@@ -196,11 +201,11 @@
                 changed.await;
             }
         };
-        with_timeout(limit, reached).await.is_some()
+        with_timeout(timeout, reached).await.is_some()
     }
 
-    /// Compares a peer's mark with ours: equal offsets and rules must have equal hashes.
-    pub(crate) fn check_peer(&self, peer: &str, theirs: ConfigMark) {
+    /// Reports a divergence if a peer's mark has the same offset and rules but another hash.
+    pub(crate) fn check_divergence(&self, peer: &str, theirs: ConfigMark) {
         let ours = self.mark();
         if ours.offset == theirs.offset && ours.rules == theirs.rules && ours.hash != theirs.hash {
             self.telemetry.count("config.diverged", 1);
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -19,9 +19,9 @@
 use super::response::{RequestError, error_body};
 use super::sessions::session_version;
 use super::sides::SideLink;
-use crate::billing::Held;
+use crate::billing::HeldBill;
 use crate::clock::to_duration;
-use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
+use crate::wire::{Load, RunCall, RunEnd, RunHead, RunId, Usage};
 
 /// Bytes of a streamed response that are buffered for rating; collection stops at the first chunk
 /// that reaches it.
@@ -195,7 +195,7 @@
                     replans += 1;
                     let offset = e.side_offset;
                     self.step("stale", format!("the side is at offset {offset}"));
-                    self.entry.daemon.store.reaches(offset, CATCH_UP_TIMEOUT).await;
+                    self.entry.daemon.store.wait_for_offset(offset, CATCH_UP_TIMEOUT).await;
                 }
                 Err(e) => {
                     return Err(RequestError {
@@ -348,7 +348,7 @@
     ) -> RunCall {
         let key = self.caller.idempotency_key.as_deref();
         RunCall {
-            head: CallHead { request: self.request, attempt: progress.attempts },
+            run_id: RunId { request: self.request, attempt: progress.attempts },
             config: crate::wire::ConfigMark { offset, ..self.entry.daemon.store.mark() },
             customer: self.caller.customer.clone(),
             session: self.caller.session.clone(),
@@ -359,13 +359,13 @@
             target: self.target.clone(),
             content_type: None,
             body: self.req.body.clone(),
-            stream: self.req.stream,
-            deadline: self.deadline.since(self.entry.daemon.now()),
+            is_streamed: self.req.stream,
+            time_left: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: self.req.work_tokens,
+            work_tokens: self.req.work_tokens,
             claim: None,
             bill: Some(Bill::id_for(&self.caller.customer, key, self.request)),
-            spent: progress.usage,
+            prior_usage: progress.usage,
         }
     }
 
@@ -493,7 +493,7 @@
 
 /// Stores a bill until it is in the log; its side has the second copy.
 pub(crate) fn hold_bill(entry: &Entry, bill: Bill, link: &SideLink) {
-    let held = Held { bill, side: Some(link.host.clone()) };
+    let held = HeldBill { bill, side: Some(link.host.clone()) };
     if entry.bills.hold(held, Millis(0)).is_err() {
         entry.daemon.telemetry.count("bills.one_copy", 1);
     }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Connections between processes: certificates, and frames that are torn.
+//! Tests of connections between processes: certificates and malformed frames.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -14,30 +14,30 @@
 
 const TIMEOUT: Millis = Millis(5_000);
 
-/// A folder that goes with its test.
-struct Folder(PathBuf);
+/// A temporary directory that is removed when the test ends.
+struct TempDir(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
 }
 
-fn folder(name: &str) -> Folder {
+fn temp_dir_for(name: &str) -> TempDir {
     let path = std::env::temp_dir().join(format!("redwingfold-peer-{name}-{}", std::process::id()));
-    Folder(path)
+    TempDir(path)
 }
 
-fn ends(dir: &Path, name: &str) -> TlsConfigs {
-    let file = |ending: &str| dir.join(format!("{name}.{ending}"));
+fn tls_for(dir: &Path, name: &str) -> TlsConfigs {
+    let file = |extension: &str| dir.join(format!("{name}.{extension}"));
     let settings =
         TlsSettings { fleet: dir.join("fleet.pem"), cert: file("pem"), key: file("key") };
     load_tls_configs(&settings).expect("keys that were just made")
 }
 
-/// Starts a process's listening end that answers every call with [`Reply::Held`].
-fn listen(ends: &TlsConfigs) -> (SocketAddr, smol::Task<()>) {
-    let endpoint = bind(ends.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
+/// Starts a server that replies to every call with [`Reply::Held`].
+fn listen(tls: &TlsConfigs) -> (SocketAddr, smol::Task<()>) {
+    let endpoint = bind(tls.server.clone(), (Ipv4Addr::LOCALHOST, 0).into()).expect("a free port");
     let addr = endpoint.local_addr().expect("bound");
     let telemetry = Telemetry::disabled().expect("a quiet logger");
     let handler = |_, _, mut tx: FrameWriter<Reply>, _: FrameReader<Call>| async move {
@@ -47,18 +47,19 @@
     (addr, smol::spawn(serve(endpoint, telemetry, handler)))
 }
 
-/// A peer of the fleet that sends bytes which are no message, cuts one short, or announces one of
-/// four gigabytes, gets no answer on that stream; the connection and the process go on.
+/// A peer of the fleet that sends an undecodable or truncated message, or announces a frame of four
+/// gigabytes, gets no reply on that stream. The connection and the process must stay usable.
 #[test]
 fn torn_frames_end_their_stream_only() {
-    let dir = folder("torn");
+    let dir = temp_dir_for("torn");
     issue_certificates(&dir.0, &["a".to_owned(), "b".to_owned()]).expect("keys");
     smol::block_on(async {
-        let (addr, _listening) = listen(&ends(&dir.0, "a"));
-        let (_endpoint, conn) = dial(&ends(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
-        let torn: [&[u8]; 4] =
+        let (addr, _listening) = listen(&tls_for(&dir.0, "a"));
+        let (_endpoint, conn) =
+            dial(&tls_for(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
+        let malformed: [&[u8]; 4] =
             [b"\0\0\0\x05garba", b"\0\0\0\x40short", b"\xff\xff\xff\xff", b"\0\0"];
-        for bytes in torn {
+        for bytes in malformed {
             let (mut send, recv) = conn.open_bi().await.expect("stream");
             send.write_all(bytes).await.expect("sent");
             send.finish().ok();
@@ -69,16 +70,16 @@
     });
 }
 
-/// A process with a certificate of another fleet, though made by the same program and for the same
-/// name, has none of its calls answered.
+/// Calls of a process with another fleet's certificate must get no reply, even if the certificate
+/// was made by the same program for the same name.
 #[test]
 fn another_fleets_certificate_is_refused() {
-    let (ours, theirs) = (folder("ours"), folder("theirs"));
+    let (ours, theirs) = (temp_dir_for("ours"), temp_dir_for("theirs"));
     issue_certificates(&ours.0, &["a".to_owned()]).expect("keys");
     issue_certificates(&theirs.0, &["a".to_owned()]).expect("keys");
     smol::block_on(async {
-        let (addr, _listening) = listen(&ends(&ours.0, "a"));
-        let answer = match dial(&ends(&theirs.0, "a").client, addr, TIMEOUT).await {
+        let (addr, _listening) = listen(&tls_for(&ours.0, "a"));
+        let answer = match dial(&tls_for(&theirs.0, "a").client, addr, TIMEOUT).await {
             Ok((_endpoint, conn)) => call(&conn, &Call::Status, TIMEOUT).await,
             Err(e) => Err(e),
         };
@@ -86,18 +87,20 @@
     });
 }
 
-/// Keys are never written over: a second call adds names under the same authority.
+/// Existing keys are never overwritten: a second call adds names under the same certificate
+/// authority.
 #[test]
 fn keys_are_added_and_not_replaced() {
-    let dir = folder("added");
+    let dir = temp_dir_for("added");
     issue_certificates(&dir.0, &["a".to_owned()]).expect("keys");
     let fleet = std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem");
     issue_certificates(&dir.0, &["b".to_owned()]).expect("more keys");
     assert_eq!(std::fs::read(dir.0.join("fleet.pem")).expect("fleet.pem"), fleet);
     assert!(issue_certificates(&dir.0, &["a".to_owned()]).is_err(), "a.pem was there");
     smol::block_on(async {
-        let (addr, _listening) = listen(&ends(&dir.0, "a"));
-        let (_endpoint, conn) = dial(&ends(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
+        let (addr, _listening) = listen(&tls_for(&dir.0, "a"));
+        let (_endpoint, conn) =
+            dial(&tls_for(&dir.0, "b").client, addr, TIMEOUT).await.expect("peer");
         assert_eq!(call(&conn, &Call::Status, TIMEOUT).await, Ok(Reply::Held));
     });
 }
--- a/src/side/start.rs
+++ b/src/side/start.rs
@@ -13,7 +13,7 @@
 use super::requests::{answer_call, hold_bills};
 use super::run::run_request;
 use crate::clock::{to_duration, with_timeout};
-use crate::config_store::{feed, write_snapshots};
+use crate::config_store::{follow_stream, write_snapshots};
 use crate::daemon::Daemon;
 use crate::peer::{Link, LinkEvents, bind, run_control, serve};
 use crate::settings::SideSettings;
@@ -66,9 +66,16 @@
     tasks.push(spawn(&side, |side| async move { reconcile_engines(&side).await }));
     tasks.push(spawn(&side, |side| async move { reject_withdrawn(&side).await }));
     tasks.push(spawn(&side, |side| async move {
-        let is_relaxed = || !side.links().is_empty() && !side.daemon.is_reader();
+        let has_peer_updates = || !side.links().is_empty() && !side.daemon.is_reader();
         let daemon = &side.daemon;
-        feed(&daemon.store, &daemon.log, &daemon.log_settings, &daemon.telemetry, is_relaxed).await;
+        follow_stream(
+            &daemon.store,
+            &daemon.log,
+            &daemon.log_settings,
+            &daemon.telemetry,
+            has_peer_updates,
+        )
+        .await;
     }));
     tasks.push(spawn(&side, |side| async move {
         let daemon = &side.daemon;
@@ -81,7 +88,10 @@
         )
         .await;
     }));
-    tasks.push(spawn(&side, |side| async move { side.bills.ship(&side.daemon, |_| {}).await }));
+    tasks.push(spawn(
+        &side,
+        |side| async move { side.bills.run_appender(&side.daemon, |_| {}).await },
+    ));
     let accepting = {
         let side = side.clone();
         let handler = move |conn, call, tx, rx| handle_call(side.clone(), conn, call, tx, rx);
@@ -139,10 +149,10 @@
     side.add_link(&link);
     let sent_loads = Mutex::new(SentLoads::default());
     let events = LinkEvents {
-        on_beat: &|_, _| {},
-        on_confirmed: &|ids| side.bills.forget(&ids),
-        on_hold: &|bills| hold_bills(side, bills),
-        on_held: &|ids| side.bills.forget(&ids),
+        on_heartbeat: &|_, _| {},
+        on_bills_confirmed: &|ids| side.bills.remove(&ids),
+        on_hold_bills: &|bills| hold_bills(side, bills),
+        on_bills_held: &|ids| side.bills.remove(&ids),
         is_leaving: &|| side.is_leaving(),
         loads: &|| {
             let mut sent_loads = sent_loads.lock().unwrap_or_else(PoisonError::into_inner);
@@ -200,7 +210,7 @@
 /// stream that it holds them.
 async fn transfer_bills(side: &Arc<Side>) {
     for link in side.links() {
-        link.send(Control::Hold(side.bills.all()));
+        link.send(Control::Hold(side.bills.unconfirmed()));
         let held = async {
             while side.bills.len() > 0 {
                 Timer::after(to_duration(STOP_POLL_INTERVAL)).await;
