--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -32,7 +32,7 @@
     // Kept open for the whole run; if it were dropped early, the sending half would finish, which
     // the side ignores.
     _tx: FrameWriter<Call>,
-    head: RunId,
+    run_id: RunId,
     backend: String,
     link: Arc<SideLink>,
     entry: Arc<Entry>,
@@ -53,7 +53,7 @@
     link: &Arc<SideLink>,
     call: RunCall,
 ) -> Result<(RunHead, ResponseStream), AttemptError> {
-    let head = call.run_id;
+    let run_id = call.run_id;
     let backend = call.backend.clone();
     link.count_sent(&call.backend);
     let call_guard = link.peer_link.begin_call();
@@ -65,7 +65,7 @@
     let mut response_stream = ResponseStream {
         rx: FrameReader::new(recv),
         _tx: tx,
-        head,
+        run_id,
         backend,
         link: link.clone(),
         entry: entry.clone(),
@@ -98,7 +98,7 @@
         self.link.peer_link.record_receipt(self.entry.daemon.now());
         match frame {
             None => Err(RequestError::new(ErrorKind::BackendLost, "answer has no end").into()),
-            Some(frame) if frame.run_id() != self.head => {
+            Some(frame) if frame.run_id() != self.run_id => {
                 Err(RequestError::new(ErrorKind::TornFrame, "frame of another run").into())
             }
             Some(RunFrame::Failed(_, failed)) => Err(AttemptError {
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -27,7 +27,7 @@
 use redwingfold_telemetry::Telemetry;
 
 const FLUSH_TIMEOUT: Millis = Millis(3_000);
-const HAND_OVER_TIMEOUT: Millis = Millis(3_000);
+const TRANSFER_TIMEOUT: Millis = Millis(3_000);
 const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 
 /// Runs an entry until `stop` receives a message or is closed, then shuts it down gracefully.
@@ -61,9 +61,9 @@
     tasks.push(spawn(&entry, |e| async move { e.daemon.poll_hosts().await }));
     tasks.push(spawn(&entry, keep_connected));
     tasks.push(spawn(&entry, |e| async move {
-        let is_relaxed = || !e.sides.all().is_empty() && !e.daemon.is_reader();
+        let has_peer_updates = || !e.sides.all().is_empty() && !e.daemon.is_reader();
         let d = &e.daemon;
-        follow_stream(&d.store, &d.log, &d.log_settings, &d.telemetry, is_relaxed).await;
+        follow_stream(&d.store, &d.log, &d.log_settings, &d.telemetry, has_peer_updates).await;
     }));
     tasks.push(spawn(&entry, |e| async move {
         let d = &e.daemon;
@@ -185,7 +185,7 @@
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
     for link in entry.sides.all() {
         let Some(connection) = side_connection(entry, &link.host).await else { continue };
-        let reply = call(&connection.conn, &Call::Hold(bills.clone()), HAND_OVER_TIMEOUT).await;
+        let reply = call(&connection.conn, &Call::Hold(bills.clone()), TRANSFER_TIMEOUT).await;
         if reply == Ok(Reply::Held) {
             entry.bills.remove(&ids);
             entry.daemon.telemetry.info("bills_handed_over", &[("side", &link.host)]);
