--- a/soak/src/bin/redwingfold-soak.rs
+++ b/soak/src/bin/redwingfold-soak.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use redwingfold_soak::{Settings, play};
+use redwingfold_soak::{Settings, run_seed};
 
 /// Plays random faults against gateways that run as processes.
 #[derive(Debug, Parser)]
@@ -56,20 +56,20 @@
 
 fn main() -> eyre::Result<()> {
     let args = Args::parse();
-    let beside = std::env::current_exe()?.with_file_name("redwingfold-platform");
-    let program = args.program.clone().unwrap_or(beside);
-    let first = args.seed.unwrap_or_else(|| fastrand::u64(..1_000_000));
-    let until = args.minutes.map(|m| Instant::now() + Duration::from_secs(m * 60));
+    let default_program = std::env::current_exe()?.with_file_name("redwingfold-platform");
+    let program = args.program.clone().unwrap_or(default_program);
+    let first_seed = args.seed.unwrap_or_else(|| fastrand::u64(..1_000_000));
+    let deadline = args.minutes.map(|m| Instant::now() + Duration::from_secs(m * 60));
     let mut failed = 0;
     for n in 0.. {
-        let is_over = until.map_or(n >= args.seeds, |until| Instant::now() >= until);
+        let is_over = deadline.map_or(n >= args.seeds, |deadline| Instant::now() >= deadline);
         if is_over {
             break;
         }
         let settings = Settings {
             program: program.clone(),
-            seed: first + n,
-            length: Duration::from_secs(args.seconds),
+            seed: first_seed + n,
+            duration: Duration::from_secs(args.seconds),
             gateways: args.gateways,
             engines: args.engines,
             callers: args.callers,
@@ -79,7 +79,7 @@
             domains: args.domains,
             reports: args.reports,
         };
-        let outcome = play(&settings);
+        let outcome = run_seed(&settings);
         println!(
             "seed={} requests={} served={} quarantined={} faults={} broken={}",
             settings.seed,
@@ -92,7 +92,7 @@
         if !outcome.broken.is_empty() {
             failed += 1;
             println!("  faults: {}", outcome.faults.join(", "));
-            outcome.broken.iter().take(10).for_each(|what| println!("  {what}"));
+            outcome.broken.iter().take(10).for_each(|violation| println!("  {violation}"));
             std::fs::create_dir_all(&args.logs)?;
             let path = args.logs.join(format!("soak-{}.log", settings.seed));
             std::fs::write(&path, outcome.lines.join("\n"))?;
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -6,7 +6,7 @@
 
 /// A request as its caller knows it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RequestRecord {
     /// Id of the attempt.
     pub id: String,
     /// Path.
@@ -14,21 +14,21 @@
     /// Customer that holds the key.
     pub customer: &'static str,
     /// What came back.
-    pub got: Got,
+    pub response: Got,
     /// Whether the caller took so long that its own patience ended first.
     pub is_late: bool,
 }
 
 /// Returns each promise that was broken, with the request.
-pub fn violations(seen: &[Seen], arrivals: &[Arrival]) -> Vec<String> {
+pub fn violations(records: &[RequestRecord], arrivals: &[Arrival]) -> Vec<String> {
     let mut by_id: HashMap<&str, Vec<&Arrival>> = HashMap::new();
     for arrival in arrivals {
         by_id.entry(arrival.id()).or_default().push(arrival);
     }
     let mut broken = Vec::new();
-    for request in seen {
-        let arrived = by_id.remove(request.id.as_str()).unwrap_or_default();
-        broken.extend(check(request, &arrived));
+    for request in records {
+        let request_arrivals = by_id.remove(request.id.as_str()).unwrap_or_default();
+        broken.extend(check(request, &request_arrivals));
     }
     for (id, _) in by_id {
         broken.push(format!("{id}: an engine got a request that nobody sent"));
@@ -36,49 +36,58 @@
     broken
 }
 
-fn check(request: &Seen, arrived: &[&Arrival]) -> Vec<String> {
+fn check(request: &RequestRecord, request_arrivals: &[&Arrival]) -> Vec<String> {
     let mut broken = Vec::new();
-    let mut claim = |holds: bool, what: &str| {
+    let mut require = |holds: bool, violation: &str| {
         if !holds {
-            broken.push(format!("{} {}: {what}: {:?}", request.id, request.path, request.got));
+            broken.push(format!(
+                "{} {}: {violation}: {:?}",
+                request.id, request.path, request.response
+            ));
         }
     };
-    let runs: Vec<_> = arrived.iter().filter(|a| a.ran).collect();
-    let status = request.got.status();
+    let runs: Vec<_> = request_arrivals.iter().filter(|a| a.ran).collect();
+    let status = request.response.status();
     let is_stream = request.path.starts_with("/draft/") || request.path.starts_with("/sized/");
-    claim(!request.path.starts_with("/send/") || runs.len() <= 1, "ran more than once");
-    claim(runs.len() <= 3, "ran at more engines than its route allows");
-    claim(!matches!(status, 429 | 503) || runs.is_empty(), "refused as not run, but it ran");
-    claim(!matches!(status, 403 | 404), "refused though its route is there");
-    let whole = status == 200 && request.got.is_whole;
-    let own = format!("answer to {}", request.id);
-    claim(!whole || is_stream || request.got.text() == own, "got another answer than its own");
-    claim(
-        !(whole && is_stream) || is_complete(&request.got.text()),
+    require(!request.path.starts_with("/send/") || runs.len() <= 1, "ran more than once");
+    require(runs.len() <= 3, "ran at more engines than its route allows");
+    require(!matches!(status, 429 | 503) || runs.is_empty(), "refused as not run, but it ran");
+    require(!matches!(status, 403 | 404), "refused though its route is there");
+    let is_success = status == 200 && request.response.is_whole;
+    let expected_body = format!("answer to {}", request.id);
+    require(
+        !is_success || is_stream || request.response.text() == expected_body,
+        "got another answer than its own",
+    );
+    require(
+        !(is_success && is_stream) || is_complete(&request.response.text()),
         "a stream has gaps or doubles",
     );
-    claim(!(is_stream && status == 200) || is_ordered(&request.got.text()), "events out of order");
-    claim(!request.is_late, "held beyond its time");
-    for arrival in arrived {
+    require(
+        !(is_stream && status == 200) || is_ordered(&request.response.text()),
+        "events out of order",
+    );
+    require(!request.is_late, "held beyond its time");
+    for arrival in request_arrivals {
         let head = &arrival.head;
-        claim(head.get("tenant") == Some(request.customer), "ran for another customer");
-        claim(head.get("credential").is_none(), "the key was passed on");
-        claim(head.line.contains(&request.path), "ran with another path");
+        require(head.get("tenant") == Some(request.customer), "ran for another customer");
+        require(head.get("credential").is_none(), "the key was passed on");
+        require(head.line.contains(&request.path), "ran with another path");
         // Another engine that has the address now refuses it.
-        let is_meant = head.get("expect-instance") == Some(&arrival.server);
-        claim(is_meant || !arrival.ran, "not meant for its engine");
+        let is_intended = head.get("expect-instance") == Some(&arrival.server);
+        require(is_intended || !arrival.ran, "not meant for its engine");
     }
     broken
 }
 
-fn ids(text: &str) -> Vec<u64> {
+fn event_ids(text: &str) -> Vec<u64> {
     text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
 }
 
 fn is_complete(text: &str) -> bool {
-    ids(text) == [0, 1, 2, 3, 4, 5] && text.matches("data: piece").count() == 6
+    event_ids(text) == [0, 1, 2, 3, 4, 5] && text.matches("data: piece").count() == 6
 }
 
 fn is_ordered(text: &str) -> bool {
-    ids(text).iter().enumerate().all(|(i, id)| i as u64 == *id)
+    event_ids(text).iter().enumerate().all(|(i, id)| i as u64 == *id)
 }
--- a/soak/src/domains.rs
+++ b/soak/src/domains.rs
@@ -6,43 +6,43 @@
 use redwingfold_standins::platform::{Engine, StoreFault};
 
 use crate::faults::Fault;
-use crate::world::World;
+use crate::testbed::Testbed;
 
 /// The domain that is emptied.
-pub(crate) const DOMAIN: &str = "hall-2";
+pub(crate) const TEST_DOMAIN: &str = "hall-2";
 
 /// A domain without servers: an order for it shows how far a gateway has read.
-const MARKER: &str = "hall-last";
+const MARKER_DOMAIN: &str = "hall-last";
 
 /// How long an engine is cold.
-pub(crate) const COLD: Duration = Duration::from_secs(2);
+pub(crate) const COLD_DURATION: Duration = Duration::from_secs(2);
 
 /// Requests a second that a cold engine bears on average, and the most within any second: half as many more, and five.
-pub(crate) const PER_SECOND: f64 = 8.0;
-const BEARS: usize = 17;
+pub(crate) const COLD_MEAN_REQUESTS_PER_S: f64 = 8.0;
+const COLD_MAX_REQUESTS_PER_S: usize = 17;
 
 /// Longest time until a gateway knows an order once nothing disturbs it.
-const LIMIT: Duration = Duration::from_secs(20);
+const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One step in so many empties the domain or returns it, and one in so many starts an engine.
 const ONE_STEP_IN: u32 = 3;
 
 /// Steps without trouble of the store between two orders: some two seconds.
-const CALM_STEPS: u32 = 4;
+const MIN_UNDISTURBED_STEPS: u32 = 4;
 
 /// Requests to each gateway after the domain was emptied.
-const LAST_REQUESTS: usize = 20;
+const FINAL_REQUESTS: usize = 20;
 
 /// Orders to empty a domain, and engines that start meanwhile.
 #[derive(Debug)]
 pub(crate) struct Domains {
     rng: fastrand::Rng,
-    is_emptied: bool,
+    is_evacuated: bool,
     /// What keeps gateways from reading the store.
-    store: StoreFault,
-    way: LinkFault,
+    store_fault: StoreFault,
+    store_link_fault: LinkFault,
     /// Steps in a row in which nothing did.
-    calm: u32,
+    undisturbed_steps: u32,
 }
 
 impl Domains {
@@ -50,81 +50,99 @@
         // Not the numbers by which the other faults are drawn.
         Self {
             rng: fastrand::Rng::with_seed(seed.rotate_left(32)),
-            is_emptied: false,
-            store: StoreFault::None,
-            way: LinkFault::None,
-            calm: 0,
+            is_evacuated: false,
+            store_fault: StoreFault::None,
+            store_link_fault: LinkFault::None,
+            undisturbed_steps: 0,
         }
     }
 
     /// Notes a fault that is brought about.
-    pub(crate) fn notes(&mut self, fault: Fault) {
+    pub(crate) fn record_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Store(fault) => self.store = fault,
-            Fault::StoreWay(fault) => self.way = fault,
-            Fault::LostConnections(_) => self.calm = 0,
+            Fault::Store(fault) => self.store_fault = fault,
+            Fault::StoreWay(fault) => self.store_link_fault = fault,
+            Fault::LostConnections(_) => self.undisturbed_steps = 0,
             _ => {}
         }
-        let is_read = matches!(self.store, StoreFault::None | StoreFault::LosesAppends)
-            && self.way == LinkFault::None;
-        self.calm = if is_read { self.calm + 1 } else { 0 };
+        let is_store_readable =
+            matches!(self.store_fault, StoreFault::None | StoreFault::LosesAppends)
+                && self.store_link_fault == LinkFault::None;
+        self.undisturbed_steps = if is_store_readable { self.undisturbed_steps + 1 } else { 0 };
     }
 
     /// Empties the domain or returns it, whose engines are cold then, and starts engines.
     ///
     /// The operator waits until all gateways can have read the order before: one that never knew that the domain was
     /// emptied sends there as ever, which is more here than a cold engine bears.
-    pub(crate) fn step(&mut self, world: &mut World) -> Option<String> {
+    pub(crate) fn step(&mut self, testbed: &mut Testbed) -> Option<String> {
         if self.rng.u32(..ONE_STEP_IN) == 0 {
             let service = if self.rng.bool() { "plain" } else { "models" };
-            world.add_cold_engine(service, (COLD, BEARS));
+            testbed.add_cold_engine(service, (COLD_DURATION, COLD_MAX_REQUESTS_PER_S));
         }
-        if self.rng.u32(..ONE_STEP_IN) > 0 || self.calm < CALM_STEPS {
+        if self.rng.u32(..ONE_STEP_IN) > 0 || self.undisturbed_steps < MIN_UNDISTURBED_STEPS {
             return None;
         }
-        self.calm = 0;
-        self.is_emptied = !self.is_emptied;
-        if !self.is_emptied {
-            engines_there(world).for_each(|engine| engine.cool(COLD, BEARS));
+        self.undisturbed_steps = 0;
+        self.is_evacuated = !self.is_evacuated;
+        if !self.is_evacuated {
+            domain_engines(testbed)
+                .for_each(|engine| engine.cool(COLD_DURATION, COLD_MAX_REQUESTS_PER_S));
         }
-        world.fleet.empty(DOMAIN, self.is_emptied);
-        if !self.is_emptied {
+        testbed.fleet.empty(TEST_DOMAIN, self.is_evacuated);
+        if !self.is_evacuated {
             // Each engine says so with its next heartbeat.
-            let here = |engine: &&Engine| !world.left.contains(&engine.spec.id);
-            engines_there(world).filter(here).for_each(|e| world.fleet.register(e, "ready"));
+            let is_present =
+                |engine: &&Engine| !testbed.withdrawn_engines.contains(&engine.spec.id);
+            domain_engines(testbed)
+                .filter(is_present)
+                .for_each(|e| testbed.fleet.register(e, "ready"));
         }
-        Some(format!("Empty({})", self.is_emptied))
+        Some(format!("Empty({})", self.is_evacuated))
     }
 
     /// Checks that cold engines got no more than they bear, and that no gateway sends to the domain once it knows that it
     /// is emptied.
-    pub(crate) fn check(world: &World) -> Vec<String> {
-        let fleet = &world.fleet;
+    pub(crate) fn check(testbed: &Testbed) -> Vec<String> {
+        let fleet = &testbed.fleet;
         let engines = fleet.engines.iter().chain(&fleet.crashed);
-        let most = engines.map(|e| (e, e.most_while_cold())).filter(|(_, most)| *most > BEARS);
+        let most = engines
+            .map(|e| (e, e.most_while_cold()))
+            .filter(|(_, most)| *most > COLD_MAX_REQUESTS_PER_S);
         let mut broken: Vec<_> =
             most.map(|(e, most)| format!("cold engine {} got {most}", e.spec.id)).collect();
         fleet.store.set_fault(StoreFault::None);
-        fleet.empty(DOMAIN, true);
-        fleet.empty(MARKER, true);
-        let line = format!("event=domain_emptied domain={MARKER}");
+        fleet.empty(TEST_DOMAIN, true);
+        fleet.empty(MARKER_DOMAIN, true);
+        let line = format!("event=domain_emptied domain={MARKER_DOMAIN}");
         for gateway in &fleet.gateways {
-            broken.extend(gateway.process.wait_for_line(&line, LIMIT).err().map(|e| e.to_string()));
+            broken.extend(
+                gateway
+                    .process
+                    .wait_for_line(&line, EVACUATION_TIMEOUT)
+                    .err()
+                    .map(|e| e.to_string()),
+            );
         }
-        let before: usize = engines_there(world).map(|engine| engine.arrivals().len()).sum();
-        for n in 0..LAST_REQUESTS * fleet.gateways.len() {
+        let arrivals_before: usize =
+            domain_engines(testbed).map(|engine| engine.arrivals().len()).sum();
+        for n in 0..FINAL_REQUESTS * fleet.gateways.len() {
             fleet.send(n % fleet.gateways.len(), "GET", "/look/a", "after-emptied", "", "");
         }
-        let after: usize = engines_there(world).map(|engine| engine.arrivals().len()).sum();
-        if after > before {
-            broken.push(format!("{} requests reached an emptied domain", after - before));
+        let arrivals_after: usize =
+            domain_engines(testbed).map(|engine| engine.arrivals().len()).sum();
+        if arrivals_after > arrivals_before {
+            broken.push(format!(
+                "{} requests reached an emptied domain",
+                arrivals_after - arrivals_before
+            ));
         }
-        fleet.empty(DOMAIN, false);
-        fleet.empty(MARKER, false);
+        fleet.empty(TEST_DOMAIN, false);
+        fleet.empty(MARKER_DOMAIN, false);
         broken
     }
 }
 
-fn engines_there(world: &World) -> impl Iterator<Item = &Engine> {
-    world.fleet.engines.iter().filter(|engine| engine.spec.domain == DOMAIN)
+fn domain_engines(testbed: &Testbed) -> impl Iterator<Item = &Engine> {
+    testbed.fleet.engines.iter().filter(|engine| engine.spec.domain == TEST_DOMAIN)
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -7,7 +7,7 @@
 use redwingfold_standins::platform::StoreFault;
 use redwingfold_standins::{LinkFault, TcpProxy};
 
-use crate::world::World;
+use crate::testbed::Testbed;
 
 /// A fault, with how long it lasts where it ends by itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -49,19 +49,19 @@
 
 /// One fault of a schedule.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Planned {
+pub(crate) struct ScheduledFault {
     /// Time since the fault before.
-    pub(crate) after: Duration,
+    pub(crate) delay: Duration,
     pub(crate) fault: Fault,
 }
 
 /// Draws the schedule of a seed.
-pub(crate) fn schedule(seed: u64, gateways: usize, length: Duration) -> Vec<Planned> {
+pub(crate) fn schedule(seed: u64, gateways: usize, duration: Duration) -> Vec<ScheduledFault> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut planned, mut at) = (Vec::new(), Duration::ZERO);
-    while at < length {
-        let after = Duration::from_millis(rng.u64(50..900));
-        at += after;
+    let (mut scheduled, mut elapsed) = (Vec::new(), Duration::ZERO);
+    while elapsed < duration {
+        let delay = Duration::from_millis(rng.u64(50..900));
+        elapsed += delay;
         let fault = match rng.u32(..19) {
             0 => Fault::Configure,
             1 => Fault::Drain,
@@ -77,9 +77,9 @@
             15 => Fault::LostConnections(rng.usize(..1_000)),
             _ => Fault::Store(store_fault(&mut rng)),
         };
-        planned.push(Planned { after, fault });
+        scheduled.push(ScheduledFault { delay, fault });
     }
-    planned
+    scheduled
 }
 
 fn store_fault(rng: &mut fastrand::Rng) -> StoreFault {
@@ -106,90 +106,92 @@
 }
 
 /// Longest time in which a gateway that was asked to stop must have ended: its grace and a margin.
-const STOP_LIMIT: Duration = Duration::from_secs(12);
+const STOP_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Returns the way to an engine that is drawn by a number.
-fn engine_way(world: &World, n: usize) -> Option<&TcpProxy> {
-    let engines = &world.fleet.engines;
+fn engine_proxy(testbed: &Testbed, n: usize) -> Option<&TcpProxy> {
+    let engines = &testbed.fleet.engines;
     let engine = engines.get(n % engines.len().max(1))?;
-    world.fleet.engine_ways.get(&engine.spec.id)
+    testbed.fleet.engine_ways.get(&engine.spec.id)
 }
 
 /// Lets all bytes through again.
-pub(crate) fn clear_ways(world: &World) {
-    world.fleet.engine_ways.values().for_each(|way| way.set_fault(LinkFault::None));
-    world.fleet.store_way.iter().for_each(|way| way.set_fault(world.calm_way));
+pub(crate) fn clear_link_faults(testbed: &Testbed) {
+    testbed.fleet.engine_ways.values().for_each(|proxy| proxy.set_fault(LinkFault::None));
+    testbed.fleet.store_way.iter().for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
 }
 
 /// Length of a freeze.
-const FREEZE: Duration = Duration::from_millis(1_200);
+const FREEZE_DURATION: Duration = Duration::from_millis(1_200);
 
 /// Brings a fault about; `Err` if the gateway broke a promise in it.
-pub(crate) fn bring_about(world: &mut World, fault: Fault) -> Result<(), String> {
+pub(crate) fn inject(testbed: &mut Testbed, fault: Fault) -> Result<(), String> {
     match fault {
         Fault::Configure => {
-            let keys = &mut world.config.keys[1].1;
+            let keys = &mut testbed.config.keys[1].1;
             if keys.is_empty() {
                 keys.push("key-haus")
             } else {
                 keys.clear()
             }
-            world.publish();
+            testbed.publish();
         }
         Fault::Drain => {
-            let service = world.fleet.engines.first().map(|e| e.spec.service.clone());
-            let rest =
-                world.fleet.engines.iter().filter(|e| Some(&e.spec.service) == service.as_ref());
-            if rest.count() > 2 {
-                let engine = world.fleet.engines.remove(0);
-                world.fleet.register(&engine, "draining");
-                world.fleet.unregister(&engine);
-                world.left.insert(engine.spec.id.clone());
-                world.fleet.engines.push(engine);
+            let service = testbed.fleet.engines.first().map(|e| e.spec.service.clone());
+            let same_service =
+                testbed.fleet.engines.iter().filter(|e| Some(&e.spec.service) == service.as_ref());
+            if same_service.count() > 2 {
+                let engine = testbed.fleet.engines.remove(0);
+                testbed.fleet.register(&engine, "draining");
+                testbed.fleet.unregister(&engine);
+                testbed.withdrawn_engines.insert(engine.spec.id.clone());
+                testbed.fleet.engines.push(engine);
             }
         }
         Fault::Freeze(n) => {
-            world.fleet.gateways[n].process.freeze();
-            std::thread::sleep(FREEZE);
-            world.fleet.gateways[n].process.thaw();
+            testbed.fleet.gateways[n].process.freeze();
+            std::thread::sleep(FREEZE_DURATION);
+            testbed.fleet.gateways[n].process.thaw();
         }
         Fault::Kill(n) => {
-            world.fleet.gateways[n].process.kill();
-            world.fleet.restart(n);
+            testbed.fleet.gateways[n].process.kill();
+            testbed.fleet.restart(n);
         }
         Fault::KillAll => {
-            world.fleet.gateways.iter().for_each(|g| g.process.kill());
-            (0..world.fleet.gateways.len()).for_each(|n| world.fleet.restart(n));
+            testbed.fleet.gateways.iter().for_each(|g| g.process.kill());
+            (0..testbed.fleet.gateways.len()).for_each(|n| testbed.fleet.restart(n));
+        }
+        Fault::Mishaps(per_mille) => {
+            testbed.engine_faults.per_mille.store(per_mille, Ordering::SeqCst)
         }
-        Fault::Mishaps(share) => world.mishaps.any.store(share, Ordering::SeqCst),
         Fault::NewEngine => {
             let service =
-                if world.fleet.engines.len().is_multiple_of(2) { "plain" } else { "models" };
-            world.add_engine(service, "v1");
+                if testbed.fleet.engines.len().is_multiple_of(2) { "plain" } else { "models" };
+            testbed.add_engine(service, "v1");
         }
         Fault::Stop(n) => {
-            world.fleet.gateways[n].process.term();
-            let ended = world.fleet.gateways[n].process.wait(STOP_LIMIT);
-            world.fleet.restart(n);
+            testbed.fleet.gateways[n].process.term();
+            let ended = testbed.fleet.gateways[n].process.wait(STOP_TIMEOUT);
+            testbed.fleet.restart(n);
             if !ended.is_some_and(|status| status.success()) {
-                return Err(format!("gateway {n} did not end by itself within {STOP_LIMIT:?}"));
+                return Err(format!("gateway {n} did not end by itself within {STOP_TIMEOUT:?}"));
             }
         }
-        Fault::Store(fault) => world.fleet.store.set_fault(fault),
+        Fault::Store(fault) => testbed.fleet.store.set_fault(fault),
         Fault::StoreWay(fault) => {
-            let fault = if fault == LinkFault::None { world.calm_way } else { fault };
-            world.fleet.store_way.iter().for_each(|way| way.set_fault(fault));
+            let fault = if fault == LinkFault::None { testbed.normal_store_link } else { fault };
+            testbed.fleet.store_way.iter().for_each(|proxy| proxy.set_fault(fault));
         }
         Fault::EngineWay(n, fault) => {
-            engine_way(world, n).into_iter().for_each(|way| way.set_fault(fault));
+            engine_proxy(testbed, n).into_iter().for_each(|proxy| proxy.set_fault(fault));
         }
         Fault::LostConnections(n) => {
-            let ways = engine_way(world, n).into_iter().chain(&world.fleet.store_way);
-            ways.for_each(TcpProxy::silence_connections);
+            let proxies = engine_proxy(testbed, n).into_iter().chain(&testbed.fleet.store_way);
+            proxies.for_each(TcpProxy::silence_connections);
         }
         Fault::StoreForgets => {
-            world.fleet.store.forget("keyed.op");
-            world.fleet.store.forget("keyed.servers");
+            testbed.fleet.store.forget("keyed.op");
+            testbed.fleet.store.forget("keyed.servers");
         }
     }
     Ok(())
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -9,10 +9,10 @@
 mod deadly;
 mod domains;
 mod faults;
-mod play;
 mod reports;
 mod restores;
-mod world;
+mod run;
+mod testbed;
 
-pub use checks::{Seen, violations};
-pub use play::{Outcome, Settings, play};
+pub use checks::{RequestRecord, violations};
+pub use run::{Outcome, Settings, run_seed};
--- a/soak/src/reports.rs
+++ b/soak/src/reports.rs
@@ -7,9 +7,9 @@
 use redwingfold_standins::LinkFault;
 use redwingfold_standins::platform::{Arrival, Engine};
 
-use crate::checks::Seen;
+use crate::checks::RequestRecord;
 use crate::faults::Fault;
-use crate::world::World;
+use crate::testbed::Testbed;
 
 /// `Retry-After` delay that engines send when they refuse a request.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -75,12 +75,13 @@
     }
 
     /// Randomly makes an engine start or stop reporting a limit, or announce that it is leaving.
-    pub(crate) fn step(&mut self, world: &mut World) -> Option<String> {
+    pub(crate) fn step(&mut self, testbed: &mut Testbed) -> Option<String> {
         if self.rng.u32(..ONE_STEP_IN) > 0 {
             return None;
         }
-        let is_active = |e: &&Engine| !e.is_down() && !world.left.contains(&e.spec.id);
-        let engines: Vec<_> = world.fleet.engines.iter().filter(is_active).cloned().collect();
+        let is_active =
+            |e: &&Engine| !e.is_down() && !testbed.withdrawn_engines.contains(&e.spec.id);
+        let engines: Vec<_> = testbed.fleet.engines.iter().filter(is_active).cloned().collect();
         let engine = engines.get(self.rng.usize(..engines.len().max(1)))?;
         let (id, now) = (engine.spec.id.clone(), Instant::now());
         let current = self.limits.iter_mut().find(|l| l.engine == id && l.until.is_none());
@@ -102,7 +103,7 @@
                     return None;
                 }
                 engine.announce_leaving();
-                world.left.insert(id.clone());
+                testbed.withdrawn_engines.insert(id.clone());
                 self.leaving_since.insert(id.clone(), now);
                 Some(format!("Leaving({id})"))
             }
@@ -110,17 +111,17 @@
     }
 
     /// Notes a fault that started at `began` and has just been brought about.
-    pub(crate) fn notes(&mut self, world: &World, fault: Fault, began: Instant) {
+    pub(crate) fn record_fault(&mut self, testbed: &Testbed, fault: Fault, started_at: Instant) {
         let gateways = match fault {
             Fault::Freeze(n) | Fault::Kill(n) | Fault::Stop(n) => n..n + 1,
-            Fault::KillAll => 0..world.fleet.gateways.len(),
+            Fault::KillAll => 0..testbed.fleet.gateways.len(),
             _ => 0..0,
         };
-        self.disruptions.extend(gateways.map(|gateway| (gateway, began, Instant::now())));
+        self.disruptions.extend(gateways.map(|gateway| (gateway, started_at, Instant::now())));
         match fault {
             Fault::EngineWay(_, LinkFault::None) => {}
             Fault::EngineWay(n, _) | Fault::LostConnections(n) => {
-                let engines = &world.fleet.engines;
+                let engines = &testbed.fleet.engines;
                 let engine = engines.get(n % engines.len().max(1));
                 self.disturbed.extend(engine.map(|engine| engine.spec.id.clone()));
             }
@@ -130,27 +131,27 @@
 
     /// Returns whether a fault of a gateway, extended by `ANSWER_GRACE`, overlaps the time between `from` and `to`.
     fn is_disrupted(&self, gateway: usize, from: Instant, to: Instant) -> bool {
-        self.disruptions
-            .iter()
-            .any(|(n, began, ended)| *n == gateway && *began <= to && *ended + ANSWER_GRACE >= from)
+        self.disruptions.iter().any(|(n, started_at, ended_at)| {
+            *n == gateway && *started_at <= to && *ended_at + ANSWER_GRACE >= from
+        })
     }
 
     /// Checks that each gateway complied with what it had learned from the answers of engines.
     pub(crate) fn check(
         &self,
         arrivals: &[Arrival],
-        seen: &[Seen],
+        records: &[RequestRecord],
         gateways: usize,
     ) -> Vec<String> {
-        let stamps: HashMap<&str, &str> = seen
+        let stamps: HashMap<&str, &str> = records
             .iter()
-            .filter_map(|s| Some((s.id.as_str(), s.got.head.get("response-stamp")?)))
+            .filter_map(|r| Some((r.id.as_str(), r.response.head.get("response-stamp")?)))
             .collect();
         let mut by_engine: HashMap<&str, Vec<SentRequest<'_>>> = HashMap::new();
         for arrival in arrivals {
-            let is_meant = arrival.head.get("expect-instance") == Some(&arrival.server);
+            let is_intended = arrival.head.get("expect-instance") == Some(&arrival.server);
             let number = arrival.id().strip_prefix('r').and_then(|n| n.parse::<usize>().ok());
-            let (Some(number), true) = (number, is_meant) else { continue };
+            let (Some(number), true) = (number, is_intended) else { continue };
             let stamp = format!("by-{}", arrival.server);
             let is_answered = stamps.get(arrival.id()) == Some(&stamp.as_str());
             let sent = SentRequest { arrival, gateway: number % gateways, is_answered };
--- a/soak/src/play.rs
+++ b/soak/src/run.rs
@@ -8,13 +8,13 @@
 
 use redwingfold_standins::platform::{Arrival, Conn, Got, StoreFault, message};
 
-use crate::checks::{Seen, violations};
+use crate::checks::{RequestRecord, violations};
 use crate::deadly;
 use crate::domains::Domains;
-use crate::faults::{bring_about, clear_ways, schedule};
+use crate::faults::{clear_link_faults, inject, schedule};
 use crate::reports::Reports;
 use crate::restores::Restores;
-use crate::world::World;
+use crate::testbed::Testbed;
 
 /// What to play.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     /// The seed.
     pub seed: u64,
     /// How long faults come.
-    pub length: Duration,
+    pub duration: Duration,
     /// Gateways.
     pub gateways: usize,
     /// Engines of each service.
@@ -61,45 +61,47 @@
 }
 
 /// Time that a caller waits.
-const PATIENCE: Duration = Duration::from_secs(10);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time in which an innocent request must have been tried again.
-const CLEARED_AFTER: Duration = Duration::from_secs(8);
+const QUARANTINE_CLEAR_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Longest time between two comings of the deadly request, in milliseconds.
-const DEADLY_EVERY: u64 = 800;
+const DEADLY_MAX_INTERVAL_MS: u64 = 800;
 
 /// Time beyond a caller's patience at which an answer counts as held: processes are frozen for
 /// 1.2 s, and the machine may be busy.
-const HELD: Duration = Duration::from_secs(5);
+const LATE_MARGIN: Duration = Duration::from_secs(5);
 
 /// Time after the last fault in which the fleet must serve again.
-const RECOVERY: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Plays a seed.
 ///
 /// # Panics
 ///
 /// If a process cannot be started.
-pub fn play(settings: &Settings) -> Outcome {
-    let mut world = World::start(settings);
-    let planned = schedule(settings.seed, settings.gateways, settings.length);
+pub fn run_seed(settings: &Settings) -> Outcome {
+    let mut testbed = Testbed::start(settings);
+    let scheduled = schedule(settings.seed, settings.gateways, settings.duration);
     let mut outcome = Outcome::default();
-    let (stop, count) = (AtomicBool::new(false), AtomicU64::new(0));
-    let seen = Mutex::new(Vec::new());
+    let (stop, next_request) = (AtomicBool::new(false), AtomicU64::new(0));
+    let records = Mutex::new(Vec::new());
     let mut reports = Reports::new(settings.seed);
     // Gateways get new addresses at a restart; callers look them up for each request.
-    let addresses = Mutex::new(addresses(&world));
+    let addresses = Mutex::new(addresses(&testbed));
     std::thread::scope(|scope| {
         for caller in 0..settings.callers {
-            let (stop, count, seen, addresses) = (&stop, &count, &seen, &addresses);
+            let (stop, next_request, records, addresses) =
+                (&stop, &next_request, &records, &addresses);
             let mut rng = fastrand::Rng::with_seed(settings.seed ^ caller as u64);
             scope.spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let n = count.fetch_add(1, Ordering::SeqCst);
+                    let n = next_request.fetch_add(1, Ordering::SeqCst);
                     let all = addresses.lock().expect("no caller panics").clone();
-                    let request = ask(&mut rng, n, all[rng_index(n, all.len())]);
-                    seen.lock().expect("no caller panics").push(request);
+                    let request =
+                        send_random_request(&mut rng, n, all[round_robin_index(n, all.len())]);
+                    records.lock().expect("no caller panics").push(request);
                 }
             });
         }
@@ -110,81 +112,83 @@
                 while !stop.load(Ordering::SeqCst) {
                     let all = addresses.lock().expect("no caller panics").clone();
                     deadly::send(&mut rng, &all);
-                    std::thread::sleep(Duration::from_millis(rng.u64(..DEADLY_EVERY)));
+                    std::thread::sleep(Duration::from_millis(rng.u64(..DEADLY_MAX_INTERVAL_MS)));
                 }
             });
         }
         let mut restores = Restores::new(settings.seed);
         let mut domains = Domains::new(settings.seed);
-        for planned in planned {
-            std::thread::sleep(planned.after);
-            world.fleet.revive();
+        for scheduled in scheduled {
+            std::thread::sleep(scheduled.delay);
+            testbed.fleet.revive();
             if settings.restores {
-                outcome.faults.extend(restores.step(&world));
+                outcome.faults.extend(restores.step(&testbed));
             }
             if settings.domains {
-                outcome.faults.extend(domains.step(&mut world));
+                outcome.faults.extend(domains.step(&mut testbed));
             }
             if settings.reports {
-                outcome.faults.extend(reports.step(&mut world));
+                outcome.faults.extend(reports.step(&mut testbed));
             }
-            domains.notes(planned.fault);
-            let began = Instant::now();
-            outcome.faults.push(planned.fault.to_string());
-            if let Err(why) = bring_about(&mut world, planned.fault) {
-                outcome.broken.push(why);
+            domains.record_fault(scheduled.fault);
+            let started_at = Instant::now();
+            outcome.faults.push(scheduled.fault.to_string());
+            if let Err(violation) = inject(&mut testbed, scheduled.fault) {
+                outcome.broken.push(violation);
             }
-            reports.notes(&world, planned.fault, began);
-            *addresses.lock().expect("no caller panics") = self::addresses(&world);
+            reports.record_fault(&testbed, scheduled.fault, started_at);
+            *addresses.lock().expect("no caller panics") = self::addresses(&testbed);
         }
         stop.store(true, Ordering::SeqCst);
     });
-    world.fleet.store.set_fault(StoreFault::None);
-    world.mishaps.any.store(0, Ordering::SeqCst);
-    clear_ways(&world);
-    world.fleet.revive();
+    testbed.fleet.store.set_fault(StoreFault::None);
+    testbed.engine_faults.per_mille.store(0, Ordering::SeqCst);
+    clear_link_faults(&testbed);
+    testbed.fleet.revive();
     if settings.restores {
-        world.write_again();
+        testbed.rewrite_lost_data();
     }
     if settings.domains {
-        outcome.broken.extend(Domains::check(&world));
+        outcome.broken.extend(Domains::check(&testbed));
     }
-    outcome.broken.extend(recovers(&world));
-    outcome.broken.extend(is_up_to_date(&world));
+    outcome.broken.extend(check_recovery(&testbed));
+    outcome.broken.extend(check_config_version(&testbed));
     if settings.deadly {
-        outcome.broken.extend(deadly::is_known(&mut world, settings.seed));
+        outcome.broken.extend(deadly::check_refused(&mut testbed, settings.seed));
     }
-    let mut seen = seen.into_inner().expect("no caller panics");
+    let mut records = records.into_inner().expect("no caller panics");
     let is_checked = |a: &Arrival| !a.id().starts_with("after") && !deadly::is_deadly(a);
-    let arrivals: Vec<_> = world.fleet.arrivals().into_iter().filter(is_checked).collect();
-    seen.sort_by(|a, b| a.id.cmp(&b.id));
-    outcome.requests = seen.len();
-    outcome.served = seen.iter().filter(|s| s.got.status() == 200 && s.got.is_whole).count();
-    let refused = |got: &Got| got.text().starts_with("quarantined");
-    let innocent: HashSet<_> = seen.iter().filter(|s| refused(&s.got)).map(|s| &s.path).collect();
-    outcome.quarantined = seen.iter().filter(|s| refused(&s.got)).count();
-    let never_cleared = innocent.iter().filter(|path| !is_served(&world, path));
+    let arrivals: Vec<_> = testbed.fleet.arrivals().into_iter().filter(is_checked).collect();
+    records.sort_by(|a, b| a.id.cmp(&b.id));
+    outcome.requests = records.len();
+    outcome.served =
+        records.iter().filter(|r| r.response.status() == 200 && r.response.is_whole).count();
+    let is_quarantined = |response: &Got| response.text().starts_with("quarantined");
+    let quarantined_paths: HashSet<_> =
+        records.iter().filter(|r| is_quarantined(&r.response)).map(|s| &r.path).collect();
+    outcome.quarantined = records.iter().filter(|r| is_quarantined(&r.response)).count();
+    let never_cleared = quarantined_paths.iter().filter(|path| !is_served(&testbed, path));
     outcome.broken.extend(never_cleared.map(|path| format!("{path}: innocent, and still refused")));
-    outcome.broken.extend(violations(&seen, &arrivals));
+    outcome.broken.extend(violations(&records, &arrivals));
     if settings.reports {
-        outcome.broken.extend(reports.check(&arrivals, &seen, settings.gateways));
+        outcome.broken.extend(reports.check(&arrivals, &records, settings.gateways));
     }
     if !outcome.broken.is_empty() {
-        outcome.lines = world.fleet.lines();
+        outcome.lines = testbed.fleet.lines();
     }
     outcome
 }
 
 /// Says whether a request that was refused before is answered now.
-fn is_served(world: &World, path: &str) -> bool {
-    let (method, more) = match path.split('/').nth(1) {
+fn is_served(testbed: &Testbed, path: &str) -> bool {
+    let (method, extra_headers) = match path.split('/').nth(1) {
         Some("look") => ("GET", ""),
         Some("sized") => ("POST", "Model: *\r\nToken-Usage: 900,50\r\n"),
         _ => ("POST", "Model: s\r\nToken-Usage: 900,50\r\n"),
     };
-    let begun = Instant::now();
-    while begun.elapsed() < CLEARED_AFTER {
-        if world.fleet.send(0, method, path, "after", more, "body").status() == 200 {
+    let started_at = Instant::now();
+    while started_at.elapsed() < QUARANTINE_CLEAR_TIMEOUT {
+        if testbed.fleet.send(0, method, path, "after", extra_headers, "body").status() == 200 {
             return true;
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -192,23 +196,27 @@
     false
 }
 
-fn rng_index(n: u64, len: usize) -> usize {
+fn round_robin_index(n: u64, len: usize) -> usize {
     (n % len as u64) as usize
 }
 
-fn addresses(world: &World) -> Vec<std::net::SocketAddr> {
-    world.fleet.gateways.iter().map(|g| g.callers).collect()
+fn addresses(testbed: &Testbed) -> Vec<std::net::SocketAddr> {
+    testbed.fleet.gateways.iter().map(|g| g.callers).collect()
 }
 
 /// Sends one request, and another on the same connection while it stays open.
-fn ask(rng: &mut fastrand::Rng, n: u64, addr: std::net::SocketAddr) -> Seen {
+fn send_random_request(
+    rng: &mut fastrand::Rng,
+    n: u64,
+    addr: std::net::SocketAddr,
+) -> RequestRecord {
     let id = format!("r{n:06}");
     let kind = rng.usize(..4);
     let (method, name) =
         [("GET", "look"), ("POST", "send"), ("POST", "draft"), ("POST", "sized")][kind];
     let path = format!("/{name}/{}", rng.u32(..50));
     let model = if kind == 3 { "*" } else { "s" };
-    let more = match kind {
+    let extra_headers = match kind {
         0 | 1 => String::new(),
         _ => format!(
             "Model: {model}\r\nToken-Usage: 900,50\r\nPrompt-Prefix: {:x}:600,{:x}:300\r\n",
@@ -216,46 +224,50 @@
             rng.u32(10..)
         ),
     };
-    let begun = Instant::now();
-    let got = send(addr, &message(method, &path, &id, &more, "body"));
-    let is_late = begun.elapsed() > PATIENCE + HELD;
-    Seen { id, path, customer: "ani", got, is_late }
+    let started_at = Instant::now();
+    let response = send(addr, &message(method, &path, &id, &extra_headers, "body"));
+    let is_late = started_at.elapsed() > CALLER_TIMEOUT + LATE_MARGIN;
+    RequestRecord { id, path, customer: "ani", response, is_late }
 }
 
 fn send(addr: std::net::SocketAddr, text: &str) -> Got {
-    let nothing = Got { head: Default::default(), body: Vec::new(), is_whole: false };
+    let no_response = Got { head: Default::default(), body: Vec::new(), is_whole: false };
     let Ok(mut conn) = Conn::open(addr) else {
         // A gateway that starts anew has no listener for a moment.
         std::thread::sleep(Duration::from_millis(20));
-        return nothing;
+        return no_response;
     };
     match conn.write(text.as_bytes()) {
         Ok(()) => conn.answer(),
-        Err(_) => nothing,
+        Err(_) => no_response,
     }
 }
 
 /// After the last fault, each gateway serves again before long.
 /// Checks that each gateway comes to have the newest configuration in force.
-fn is_up_to_date(world: &World) -> Option<String> {
-    let version = world.config.version;
+fn check_config_version(testbed: &Testbed) -> Option<String> {
+    let version = testbed.config.version;
     let line = format!("event=config_in_force version={version} ");
-    let mut gateways = world.fleet.gateways.iter();
-    let late = gateways.find_map(|g| g.process.wait_for_line(&line, RECOVERY).err());
-    late.map(|log| format!("version {version} is not in force after {RECOVERY:?}: {log}"))
+    let mut gateways = testbed.fleet.gateways.iter();
+    let failure = gateways.find_map(|g| g.process.wait_for_line(&line, RECOVERY_TIMEOUT).err());
+    failure
+        .map(|log| format!("version {version} is not in force after {RECOVERY_TIMEOUT:?}: {log}"))
 }
 
-fn recovers(world: &World) -> Option<String> {
-    let begun = Instant::now();
-    for n in 0..world.fleet.gateways.len() {
-        let mut tries = 0;
+fn check_recovery(testbed: &Testbed) -> Option<String> {
+    let started_at = Instant::now();
+    for n in 0..testbed.fleet.gateways.len() {
+        let mut attempts = 0;
         loop {
-            tries += 1;
-            let got = world.fleet.send(n, "GET", "/look/a", &format!("after{n}-{tries}"), "", "");
-            match got.status() {
+            attempts += 1;
+            let response =
+                testbed.fleet.send(n, "GET", "/look/a", &format!("after{n}-{attempts}"), "", "");
+            match response.status() {
                 200 => break,
-                _ if begun.elapsed() > RECOVERY => {
-                    return Some(format!("gateway {n} does not serve after {RECOVERY:?}: {got:?}"));
+                _ if started_at.elapsed() > RECOVERY_TIMEOUT => {
+                    return Some(format!(
+                        "gateway {n} does not serve after {RECOVERY_TIMEOUT:?}: {response:?}"
+                    ));
                 }
                 _ => std::thread::sleep(Duration::from_millis(50)),
             }
--- a/soak/src/world.rs
+++ b/soak/src/testbed.rs
@@ -11,24 +11,24 @@
 };
 use serde_json::json;
 
-use crate::deadly::{ENDS_AFTER, is_deadly};
-use crate::domains::{COLD, DOMAIN, PER_SECOND};
-use crate::play::Settings;
+use crate::deadly::{CRASH_DELAY, is_deadly};
+use crate::domains::{COLD_DURATION, COLD_MEAN_REQUESTS_PER_S, TEST_DOMAIN};
 use crate::reports::RETRY_AFTER;
+use crate::run::Settings;
 
 /// Bytes a second of a slow way to the store: a configuration of 400 kB takes a second.
-const SLOW_WAY: u64 = 400_000;
+const SLOW_STORE_BYTES_PER_S: u64 = 400_000;
 
 /// Shares of an engine's answers that go wrong, in thousandths, for all engines of a kind.
 #[derive(Debug, Default)]
-pub(crate) struct Mishaps {
+pub(crate) struct EngineFaults {
     /// Any of the ways below, drawn by the request's id.
-    pub(crate) any: AtomicU32,
+    pub(crate) per_mille: AtomicU32,
     /// Whether engines send `Retry-After` when they refuse a request.
     pub(crate) sends_retry_after: AtomicBool,
 }
 
-impl Mishaps {
+impl EngineFaults {
     fn refusal(&self) -> Plan {
         if self.sends_retry_after.load(Ordering::SeqCst) {
             Plan::RetryAfter(RETRY_AFTER)
@@ -40,7 +40,7 @@
 
 /// Draws a number below 1000 from a request's id and a salt, so that an engine's deeds do not
 /// depend on when the request comes.
-fn draw(id: &str, salt: u64) -> u32 {
+fn draw_per_mille(id: &str, salt: u64) -> u32 {
     let mut hash = 0xcbf2_9ce4_8422_2325 ^ salt;
     for byte in id.bytes() {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
@@ -49,18 +49,18 @@
 }
 
 /// What a plain engine does: its answer's body names the request.
-fn plain(arrival: &Arrival, mishaps: &Mishaps, salt: u64) -> Plan {
+fn plan_plain(arrival: &Arrival, engine_faults: &EngineFaults, salt: u64) -> Plan {
     let body = format!("answer to {}", arrival.id()).into_bytes();
-    if draw(arrival.id(), salt) >= mishaps.any.load(Ordering::SeqCst) {
+    if draw_per_mille(arrival.id(), salt) >= engine_faults.per_mille.load(Ordering::SeqCst) {
         return Plan::Later(
-            Duration::from_millis(u64::from(draw(arrival.id(), 7) % 40)),
+            Duration::from_millis(u64::from(draw_per_mille(arrival.id(), 7) % 40)),
             200,
             body,
         );
     }
-    match draw(arrival.id(), salt + 1) % 6 {
+    match draw_per_mille(arrival.id(), salt + 1) % 6 {
         0 => Plan::Reset,
-        1 => mishaps.refusal(),
+        1 => engine_faults.refusal(),
         2 => Plan::Answer(500, b"failure".to_vec()),
         3 => Plan::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong".to_vec()),
         4 => Plan::Later(Duration::from_millis(700), 200, body),
@@ -73,52 +73,61 @@
 }
 
 /// What a model engine does.
-fn model(arrival: &Arrival, mishaps: &Mishaps, salt: u64) -> Plan {
+fn plan_model(arrival: &Arrival, engine_faults: &EngineFaults, salt: u64) -> Plan {
     let id = arrival.id();
-    let calm = StreamPlan {
+    let normal = StreamPlan {
         events: 6,
         pause: Duration::from_millis(10),
-        confidence: Some((draw(id, 3) % 100) as u8),
+        confidence: Some((draw_per_mille(id, 3) % 100) as u8),
         ..StreamPlan::default()
     };
-    if draw(id, salt) >= mishaps.any.load(Ordering::SeqCst) {
-        return Plan::Stream(calm);
+    if draw_per_mille(id, salt) >= engine_faults.per_mille.load(Ordering::SeqCst) {
+        return Plan::Stream(normal);
     }
-    match draw(id, salt + 1) % 5 {
+    match draw_per_mille(id, salt + 1) % 5 {
         0 => Plan::Reset,
-        1 => mishaps.refusal(),
-        2 => Plan::Stream(StreamPlan { cut_after: Some(u64::from(draw(id, 5) % 6)), ..calm }),
-        3 => Plan::Stream(StreamPlan { silent_after: Some(2), ..calm }),
+        1 => engine_faults.refusal(),
+        2 => Plan::Stream(StreamPlan {
+            cut_after: Some(u64::from(draw_per_mille(id, 5) % 6)),
+            ..normal
+        }),
+        3 => Plan::Stream(StreamPlan { silent_after: Some(2), ..normal }),
         _ => Plan::Answer(500, b"failure".to_vec()),
     }
 }
 
 /// The fleet, and the means to disturb it.
 #[derive(Debug)]
-pub(crate) struct World {
+pub(crate) struct Testbed {
     pub(crate) fleet: PlatformFleet,
-    pub(crate) mishaps: Arc<Mishaps>,
+    pub(crate) engine_faults: Arc<EngineFaults>,
     pub(crate) config: Config,
     /// How the way to the store is while nothing disturbs it.
-    pub(crate) calm_way: LinkFault,
+    pub(crate) normal_store_link: LinkFault,
     /// Engines that have drained or announced that they are leaving.
-    pub(crate) left: HashSet<String>,
-    next_engine: u64,
+    pub(crate) withdrawn_engines: HashSet<String>,
+    last_engine_number: u64,
     /// Whether half of the engines are in another failure domain.
     has_domains: bool,
 }
 
-impl World {
+impl Testbed {
     /// Starts gateways and engines.
     pub(crate) fn start(settings: &Settings) -> Self {
         let fleet = PlatformFleet::new(&settings.program.display().to_string()).with_ways();
         let idle_routes = settings.idle_routes;
-        let calm_way = if idle_routes > 0 { LinkFault::Rate(SLOW_WAY) } else { LinkFault::None };
+        let normal_store_link =
+            if idle_routes > 0 { LinkFault::Rate(SLOW_STORE_BYTES_PER_S) } else { LinkFault::None };
         let mut config = Config { idle_routes, ..Config::default() };
         let mut fleet = fleet;
         if settings.domains {
-            let cold =
-                |name| json!({"name": name, "cold_s": COLD.as_secs(), "cold_per_s": PER_SECOND});
+            let cold = |name| {
+                json!({
+                    "name": name,
+                    "cold_s": COLD_DURATION.as_secs(),
+                    "cold_per_s": COLD_MEAN_REQUESTS_PER_S
+                })
+            };
             config.services = ["plain", "models"].into_iter().map(cold).collect();
             fleet.bounds = json!({"cold_over": 1.5, "cold_slack": 5});
         }
@@ -127,28 +136,28 @@
             more.map(|more| more.insert("timeout_ms".to_owned(), timeout.into()));
         }
         fleet.publish(&config);
-        let mut world = Self {
+        let mut testbed = Self {
             fleet,
-            mishaps: Arc::new(Mishaps {
+            engine_faults: Arc::new(EngineFaults {
                 sends_retry_after: settings.reports.into(),
-                ..Mishaps::default()
+                ..EngineFaults::default()
             }),
             config,
-            calm_way,
-            left: HashSet::new(),
-            next_engine: 0,
+            normal_store_link,
+            withdrawn_engines: HashSet::new(),
+            last_engine_number: 0,
             has_domains: settings.domains,
         };
         for _ in 0..settings.engines {
-            world.add_engine("plain", "v1");
-            world.add_engine("models", "v1");
+            testbed.add_engine("plain", "v1");
+            testbed.add_engine("models", "v1");
         }
         (0..settings.gateways).for_each(|_| {
-            world.fleet.start();
+            testbed.fleet.start();
         });
-        (0..settings.gateways).for_each(|n| world.fleet.wait_ready(n));
-        world.fleet.store_way.iter().for_each(|way| way.set_fault(world.calm_way));
-        world
+        (0..settings.gateways).for_each(|n| testbed.fleet.wait_ready(n));
+        testbed.fleet.store_way.iter().for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
+        testbed
     }
 
     /// Starts one more engine and registers it.
@@ -167,23 +176,25 @@
         version: &str,
         cold: Option<(Duration, usize)>,
     ) -> Engine {
-        self.next_engine += 1;
-        let is_there = self.has_domains && (self.next_engine / 2).is_multiple_of(2);
-        let domain = if is_there { DOMAIN } else { "hall-1" };
-        let (mishaps, salt) = (self.mishaps.clone(), self.next_engine * 16);
+        self.last_engine_number += 1;
+        let is_in_test_domain = self.has_domains && (self.last_engine_number / 2).is_multiple_of(2);
+        let domain = if is_in_test_domain { TEST_DOMAIN } else { "hall-1" };
+        let (engine_faults, salt) = (self.engine_faults.clone(), self.last_engine_number * 16);
         let plan = move |arrival: &Arrival| match service {
-            _ if is_deadly(arrival) => Plan::Crash(ENDS_AFTER),
-            "plain" => plain(arrival, &mishaps, salt),
-            _ => model(arrival, &mishaps, salt),
+            _ if is_deadly(arrival) => Plan::Crash(CRASH_DELAY),
+            "plain" => plan_plain(arrival, &engine_faults, salt),
+            _ => plan_model(arrival, &engine_faults, salt),
         };
-        let id = format!("i-{}", self.next_engine);
+        let id = format!("i-{}", self.last_engine_number);
         self.fleet.engine_as(EngineSpec::new(&id, service, version, domain), cold, plan)
     }
 
     /// The operator and the engines write again what a store has lost.
-    pub(crate) fn write_again(&self) {
+    pub(crate) fn rewrite_lost_data(&self) {
         self.fleet.publish(&self.config);
-        let writes = |engine: &&Engine| !engine.is_down() && !self.left.contains(&engine.spec.id);
+        let writes = |engine: &&Engine| {
+            !engine.is_down() && !self.withdrawn_engines.contains(&engine.spec.id)
+        };
         self.fleet
             .engines
             .iter()
