--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -165,7 +165,7 @@
         records.iter().filter(|r| r.response.status() == 200 && r.response.is_whole).count();
     let is_quarantined = |response: &Got| response.text().starts_with("quarantined");
     let quarantined_paths: HashSet<_> =
-        records.iter().filter(|r| is_quarantined(&r.response)).map(|s| &r.path).collect();
+        records.iter().filter(|r| is_quarantined(&r.response)).map(|r| &r.path).collect();
     outcome.quarantined = records.iter().filter(|r| is_quarantined(&r.response)).count();
     let never_cleared = quarantined_paths.iter().filter(|path| !is_served(&testbed, path));
     outcome.broken.extend(never_cleared.map(|path| format!("{path}: innocent, and still refused")));
