--- a/core/tests/restored_servers.rs
+++ b/core/tests/restored_servers.rs
@@ -13,15 +13,15 @@
 const READ_EVERY_SOONER: u64 = 500;
 
 /// Heartbeat interval of a server, and time without a heartbeat after which the store drops its record.
-const HEARTBEAT: u64 = 1_200;
-const LAPSE: u64 = 3_000;
+const HEARTBEAT_INTERVAL: u64 = 1_200;
+const RECORD_TTL: u64 = 3_000;
 
 /// Simulated time with faults, and time for the gateways to settle afterwards.
-const SPAN: u64 = 40_000;
-const SETTLE: u64 = 15_000;
+const FAULT_PHASE: u64 = 40_000;
+const SETTLING_TIME: u64 = 15_000;
 
 /// Time after a gateway was cut off for which it may lack running servers.
-const CUT_EXCUSED: u64 = 4_000;
+const PARTITION_GRACE: u64 = 4_000;
 
 const STEP: u64 = 50;
 
@@ -43,7 +43,7 @@
         self.listed.insert(id, at);
     }
 
-    fn drop(&mut self, id: Id) {
+    fn remove(&mut self, id: Id) {
         if self.listed.remove(&id).is_some() {
             self.records.push((id, false));
         }
@@ -51,52 +51,52 @@
 }
 
 struct Server {
-    beats_at: u64,
+    next_heartbeat_at: u64,
     leaves_at: u64,
     has_left: bool,
 }
 
 struct Gateway {
     registry: Registry,
-    next: Option<(u32, usize)>,
-    reads_at: u64,
-    cut_until: u64,
+    position: Option<(u32, usize)>,
+    next_read_at: u64,
+    partitioned_until: u64,
     /// Servers that were in its registry, and those of them that were removed from it after they had left.
-    known: HashSet<Id>,
-    seen_gone: HashSet<Id>,
+    ever_registered: HashSet<Id>,
+    removed_after_leaving: HashSet<Id>,
 }
 
 impl Gateway {
-    fn new(reads_at: u64) -> Self {
+    fn new(next_read_at: u64) -> Self {
         Self {
             registry: Registry::new(RegistryPolicy::default()),
-            next: None,
-            reads_at,
-            cut_until: 0,
-            known: HashSet::new(),
-            seen_gone: HashSet::new(),
+            position: None,
+            next_read_at,
+            partitioned_until: 0,
+            ever_registered: HashSet::new(),
+            removed_after_leaving: HashSet::new(),
         }
     }
 
-    fn believes(&self, id: &BackendId) -> bool {
+    fn has_server(&self, id: &BackendId) -> bool {
         self.registry.get(id).is_some()
     }
 
     /// Reads the topic from the last position, or completely.
-    fn read(&mut self, topic: &Topic, is_whole: bool, now: Millis) {
-        let next = (topic.era, topic.records.len());
-        match self.next {
-            Some((era, from)) if era == topic.era && !is_whole => {
-                for (id, lives) in &topic.records[from..] {
-                    match lives {
+    fn read(&mut self, topic: &Topic, is_full: bool, now: Millis) {
+        let position = (topic.era, topic.records.len());
+        match self.position {
+            Some((era, from)) if era == topic.era && !is_full => {
+                for (id, is_registration) in &topic.records[from..] {
+                    match is_registration {
                         true => drop(self.registry.put(server(*id), now)),
                         false => self.registry.remove(&name(*id), now),
                     }
                 }
             }
-            known => {
+            previous => {
                 let servers = topic.listed.keys().copied().map(server).collect();
-                match known {
+                match previous {
                     Some((era, _)) if era < topic.era => {
                         self.registry.replace_by_restored(servers, now)
                     }
@@ -104,11 +104,11 @@
                 };
             }
         }
-        self.next = Some(next);
+        self.position = Some(position);
     }
 
     /// Returns the list that it sends to others, with the servers that it will remove soon.
-    fn list(&self, now: Millis) -> PeerServerList {
+    fn peer_list(&self, now: Millis) -> PeerServerList {
         let expiring = self.registry.expiring(now).map(|(id, left)| (id.clone(), left));
         PeerServerList {
             servers: self.registry.servers(now).cloned().collect(),
@@ -118,9 +118,9 @@
     }
 
     /// Applies the list of another gateway.
-    fn hear(&mut self, other: &Self, now: Millis) {
-        self.registry.replace_by_peer_list(other.list(now), now, now);
-        self.next = other.next;
+    fn apply_peer_list(&mut self, other: &Self, now: Millis) {
+        self.registry.replace_by_peer_list(other.peer_list(now), now, now);
+        self.position = other.position;
     }
 }
 
@@ -145,7 +145,7 @@
 
 /// Number of errors in the registries of the gateways.
 #[derive(Debug, Default, Eq, PartialEq)]
-struct Wrong {
+struct Violations {
     /// Added a server again that had left and was removed.
     taken_back: usize,
     /// Lacked a running server that was in the registry before.
@@ -156,100 +156,115 @@
 
 /// Parameters of a simulation.
 #[derive(Clone, Copy)]
-struct Play {
+struct Scenario {
     gateways: usize,
     /// Maximum interval between reads of a gateway.
     read_every: u64,
     has_restores: bool,
     /// Whether the list of a restored copy is treated as any other: the injected fault.
-    forgets: bool,
+    ignores_restores: bool,
 }
 
 /// Simulates servers that start and stop while gateways read late, are cut off, restart and exchange their lists.
-fn play(play: Play, seed: u64) -> Wrong {
+fn simulate(scenario: Scenario, seed: u64) -> Violations {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut gateways: Vec<_> =
-        (0..play.gateways).map(|_| Gateway::new(rng.u64(..play.read_every))).collect();
+        (0..scenario.gateways).map(|_| Gateway::new(rng.u64(..scenario.read_every))).collect();
     let mut servers: Vec<Server> = Vec::new();
     let ids: Vec<_> = (0..MAX_SERVERS).map(name).collect();
-    let (mut topic, mut copy) = (Topic::default(), Topic::default());
-    let mut wrong = Wrong::default();
-    for at in (0..SPAN + SETTLE).step_by(STEP as usize) {
-        let (now, is_calm) = (Millis(at), at >= SPAN);
-        if !is_calm && servers.len() < MAX_SERVERS && (servers.len() < 10 || rng.u32(..75) == 0) {
+    let (mut topic, mut backup) = (Topic::default(), Topic::default());
+    let mut violations = Violations::default();
+    for at in (0..FAULT_PHASE + SETTLING_TIME).step_by(STEP as usize) {
+        let (now, is_settling) = (Millis(at), at >= FAULT_PHASE);
+        if !is_settling && servers.len() < MAX_SERVERS && (servers.len() < 10 || rng.u32(..75) == 0)
+        {
             let leaves_at = at + rng.u64(5_000..60_000);
             // At the end no server leaves, so that all gateways can reach the same state.
-            let leaves_at = if leaves_at < SPAN { leaves_at } else { u64::MAX };
-            servers.push(Server { beats_at: at, leaves_at, has_left: false });
+            let leaves_at = if leaves_at < FAULT_PHASE { leaves_at } else { u64::MAX };
+            servers.push(Server { next_heartbeat_at: at, leaves_at, has_left: false });
         }
         for (id, server) in servers.iter_mut().enumerate() {
-            if server.beats_at <= at && at < server.leaves_at {
-                server.beats_at = at + HEARTBEAT;
+            if server.next_heartbeat_at <= at && at < server.leaves_at {
+                server.next_heartbeat_at = at + HEARTBEAT_INTERVAL;
                 topic.put(id, at);
             }
             if at >= server.leaves_at && !server.has_left {
                 server.has_left = true;
-                topic.drop(id);
+                topic.remove(id);
             }
         }
-        let lapsed: Vec<_> = topic
+        let expired: Vec<_> = topic
             .listed
             .iter()
-            .filter(|(_, beat)| **beat + LAPSE < at)
+            .filter(|(_, heartbeat_at)| **heartbeat_at + RECORD_TTL < at)
             .map(|(id, _)| *id)
             .collect();
-        lapsed.into_iter().for_each(|id| topic.drop(id));
+        expired.into_iter().for_each(|id| topic.remove(id));
         if rng.u32(..60) == 0 {
-            copy = topic.clone();
+            backup = topic.clone();
         }
-        if play.has_restores && !is_calm && rng.u32(..160) == 0 {
+        if scenario.has_restores && !is_settling && rng.u32(..160) == 0 {
             // Records in the copy start to expire at the restore.
-            let listed = copy.listed.keys().map(|id| (*id, at)).collect();
-            topic = Topic { records: copy.records.clone(), listed, era: topic.era + 1 };
+            let listed = backup.listed.keys().map(|id| (*id, at)).collect();
+            topic = Topic { records: backup.records.clone(), listed, era: topic.era + 1 };
         }
         for g in 0..gateways.len() {
-            if !is_calm && rng.u32(..600) == 0 {
+            if !is_settling && rng.u32(..600) == 0 {
                 gateways[g] = Gateway::new(at);
             }
-            if !is_calm && rng.u32(..600) == 0 {
-                gateways[g].cut_until = at + rng.u64(..6_000);
+            if !is_settling && rng.u32(..600) == 0 {
+                gateways[g].partitioned_until = at + rng.u64(..6_000);
             }
             gateways[g].registry.expire(now);
-            if at >= gateways[g].reads_at && at >= gateways[g].cut_until {
-                gateways[g].reads_at = at + rng.u64(..play.read_every);
+            if at >= gateways[g].next_read_at && at >= gateways[g].partitioned_until {
+                gateways[g].next_read_at = at + rng.u64(..scenario.read_every);
                 let other = rng.usize(..gateways.len());
-                let is_ahead = gateways[other].next > gateways[g].next;
-                if is_ahead && rng.bool() && at >= gateways[other].cut_until {
+                let is_ahead = gateways[other].position > gateways[g].position;
+                if is_ahead && rng.bool() && at >= gateways[other].partitioned_until {
                     let [gateway, other] = gateways.get_disjoint_mut([g, other]).unwrap();
-                    gateway.hear(other, now);
+                    gateway.apply_peer_list(other, now);
                 } else {
-                    if play.forgets && gateways[g].next.is_some_and(|(era, _)| era < topic.era) {
-                        gateways[g].next = None;
+                    if scenario.ignores_restores
+                        && gateways[g].position.is_some_and(|(era, _)| era < topic.era)
+                    {
+                        gateways[g].position = None;
                     }
-                    let is_whole = rng.u32(..8) == 0;
-                    gateways[g].read(&topic, is_whole, now);
+                    let is_full = rng.u32(..8) == 0;
+                    gateways[g].read(&topic, is_full, now);
                 }
             }
-            judge(&mut gateways[g], &servers, &ids, at, &mut wrong);
+            count_violations(&mut gateways[g], &servers, &ids, at, &mut violations);
         }
     }
     let is_unsettled = |gateway: &&Gateway| {
-        let believes = |id: Id| gateway.believes(&ids[id]);
-        (0..servers.len()).any(|id| believes(id) != topic.listed.contains_key(&id))
+        let has_server = |id: Id| gateway.has_server(&ids[id]);
+        (0..servers.len()).any(|id| has_server(id) != topic.listed.contains_key(&id))
     };
-    wrong.unsettled = gateways.iter().filter(is_unsettled).count();
-    wrong
+    violations.unsettled = gateways.iter().filter(is_unsettled).count();
+    violations
 }
 
-fn judge(gateway: &mut Gateway, servers: &[Server], ids: &[BackendId], at: u64, wrong: &mut Wrong) {
-    let is_excused = at < gateway.cut_until + CUT_EXCUSED;
+fn count_violations(
+    gateway: &mut Gateway,
+    servers: &[Server],
+    ids: &[BackendId],
+    at: u64,
+    violations: &mut Violations,
+) {
+    let is_in_grace = at < gateway.partitioned_until + PARTITION_GRACE;
     for (id, server) in servers.iter().enumerate() {
-        let lives = at < server.leaves_at;
-        match (gateway.believes(&ids[id]), lives) {
-            (true, false) if gateway.seen_gone.remove(&id) => wrong.taken_back += 1,
-            (true, _) => drop(gateway.known.insert(id)),
-            (false, false) if gateway.known.contains(&id) => drop(gateway.seen_gone.insert(id)),
-            (false, true) if gateway.known.contains(&id) && !is_excused => wrong.lacked += 1,
+        let is_running = at < server.leaves_at;
+        match (gateway.has_server(&ids[id]), is_running) {
+            (true, false) if gateway.removed_after_leaving.remove(&id) => {
+                violations.taken_back += 1
+            }
+            (true, _) => drop(gateway.ever_registered.insert(id)),
+            (false, false) if gateway.ever_registered.contains(&id) => {
+                drop(gateway.removed_after_leaving.insert(id))
+            }
+            (false, true) if gateway.ever_registered.contains(&id) && !is_in_grace => {
+                violations.lacked += 1
+            }
             (false, _) => {}
         }
     }
@@ -272,9 +287,12 @@
     for (gateways, seeds) in [(3, 30), (27, 5), (103, 1)] {
         for seed in 0..seeds {
             for has_restores in [false, true] {
-                let wrong = play(Play { gateways, read_every, has_restores, forgets: false }, seed);
-                let what = format!("{gateways} gateways, seed {seed}, restores: {has_restores}");
-                assert_eq!(wrong, Wrong::default(), "{what}");
+                let violations = simulate(
+                    Scenario { gateways, read_every, has_restores, ignores_restores: false },
+                    seed,
+                );
+                let case = format!("{gateways} gateways, seed {seed}, restores: {has_restores}");
+                assert_eq!(violations, Violations::default(), "{case}");
             }
         }
     }
@@ -284,12 +302,17 @@
 /// have left, or lose some.
 #[test]
 fn server_that_comes_back_with_a_copy_is_caught() {
-    let wrong = |seed| {
-        let wrong = play(
-            Play { gateways: 27, read_every: READ_EVERY, has_restores: true, forgets: true },
+    let violations = |seed| {
+        let violations = simulate(
+            Scenario {
+                gateways: 27,
+                read_every: READ_EVERY,
+                has_restores: true,
+                ignores_restores: true,
+            },
             seed,
         );
-        wrong.taken_back + wrong.lacked + wrong.unsettled
+        violations.taken_back + violations.lacked + violations.unsettled
     };
-    assert!((0..5).map(wrong).sum::<usize>() > 0);
+    assert!((0..5).map(violations).sum::<usize>() > 0);
 }
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -80,24 +80,24 @@
         let text: String =
             (0..events % 20).map(|id| format!("id: {id}\r\ndata: {id}\r\n\r\n")).collect();
         let mut splitter = EventSplitter::after(None);
-        let (mut from, mut out) = (0, Vec::new());
+        let (mut from, mut emitted) = (0, Vec::new());
         for cut in cuts {
             let to = (from + usize::from(*cut)).min(text.len());
-            out.extend(splitter.push(&text.as_bytes()[from..to]).bytes);
+            emitted.extend(splitter.push(&text.as_bytes()[from..to]).bytes);
             from = to;
         }
-        let whole = text[..from].rfind("\r\n\r\n").map_or(0, |at| at + 4);
-        assert_eq!(out, &text.as_bytes()[..whole]);
-        assert_eq!(splitter.has_partial(), whole < from);
+        let complete = text[..from].rfind("\r\n\r\n").map_or(0, |at| at + 4);
+        assert_eq!(emitted, &text.as_bytes()[..complete]);
+        assert_eq!(splitter.has_partial(), complete < from);
         // Another server resumes and repeats the last two events.
         splitter.discard_partial();
         let last = splitter.last();
-        let again = last.map_or(0, |id| id.0.saturating_sub(1));
-        let rest: String = (again..u64::from(events % 20))
+        let resumed_from = last.map_or(0, |id| id.0.saturating_sub(1));
+        let rest: String = (resumed_from..u64::from(events % 20))
             .map(|id| format!("id: {id}\r\ndata: {id}\r\n\r\n"))
             .collect();
-        out.extend(splitter.push(rest.as_bytes()).bytes);
-        assert_eq!(out, text.as_bytes());
+        emitted.extend(splitter.push(rest.as_bytes()).bytes);
+        assert_eq!(emitted, text.as_bytes());
     });
 }
 
@@ -106,8 +106,8 @@
 fn any_bytes_are_events_or_held_back() {
     bolero::check!().with_type::<Vec<Vec<u8>>>().for_each(|pieces| {
         let mut splitter = EventSplitter::after(Some(EventId(3)));
-        let got: usize = pieces.iter().map(|piece| splitter.push(piece).bytes.len()).sum();
-        assert!(got <= pieces.iter().map(Vec::len).sum());
+        let emitted: usize = pieces.iter().map(|piece| splitter.push(piece).bytes.len()).sum();
+        assert!(emitted <= pieces.iter().map(Vec::len).sum());
     });
 }
 
@@ -119,21 +119,22 @@
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut budget = ResendBudget::new(Millis(WINDOW), 0.8, 0.5, 2.0);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut resends) = (Vec::new(), Vec::new());
         let mut now = 0;
         for _ in 0..4_000 {
             // Bursts and pauses.
             now += if rng.u32(..100) == 0 { rng.u64(..8_000) } else { rng.u64(..10) };
             budget.record_request(Millis(now));
             requests.push(now);
-            let what = if rng.bool() { ResendReason::Failure } else { ResendReason::Quality };
-            if budget.try_take(what, Millis(now)) {
-                repeats.push(now);
-                let within = |at: &&u64| **at + WINDOW > now;
-                let sent = repeats.iter().filter(within).count() as f64;
+            let reason = if rng.bool() { ResendReason::Failure } else { ResendReason::Quality };
+            if budget.try_take(reason, Millis(now)) {
+                resends.push(now);
+                let is_in_window = |at: &&u64| **at + WINDOW > now;
+                let sent = resends.iter().filter(is_in_window).count() as f64;
                 // The budget counts one slice more than the window, never less.
-                let known = requests.iter().filter(|at| **at + WINDOW + 1_000 > now).count() as f64;
-                assert!(sent <= known * 0.8 + 2.0, "seed {seed} at {now}: {sent} of {known}");
+                let counted =
+                    requests.iter().filter(|at| **at + WINDOW + 1_000 > now).count() as f64;
+                assert!(sent <= counted * 0.8 + 2.0, "seed {seed} at {now}: {sent} of {counted}");
             }
         }
     }
@@ -149,61 +150,62 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut registry = Registry::new(RegistryPolicy { return_grace: Millis(GRACE) });
         // Actual states of the servers.
-        let mut alive: BTreeMap<String, ServerState> = BTreeMap::new();
-        let mut drained: Vec<String> = Vec::new();
-        let (mut is_down, mut back_at) = (false, 0_u64);
+        let mut running: BTreeMap<String, ServerState> = BTreeMap::new();
+        let mut ever_draining: Vec<String> = Vec::new();
+        let (mut is_unavailable, mut returned_at) = (false, 0_u64);
         let mut next_id = 0;
         for now in (0..60_000_u64).step_by(250) {
             match rng.u32(..40) {
-                0 if !is_down => is_down = true,
-                1..=8 if is_down => (is_down, back_at) = (false, now),
-                9 | 10 if alive.len() < 6 => {
-                    alive.insert(format!("s{next_id}"), ServerState::Ready);
+                0 if !is_unavailable => is_unavailable = true,
+                1..=8 if is_unavailable => (is_unavailable, returned_at) = (false, now),
+                9 | 10 if running.len() < 6 => {
+                    running.insert(format!("s{next_id}"), ServerState::Ready);
                     next_id += 1;
                 }
                 11 => {
-                    if let Some(state) = alive.values_mut().next() {
+                    if let Some(state) = running.values_mut().next() {
                         *state = ServerState::Draining;
                     }
                 }
                 12 => {
-                    alive.pop_first();
+                    running.pop_first();
                 }
                 _ => {}
             }
-            if is_down {
+            if is_unavailable {
                 registry.record_outage(Millis(now));
                 registry.expire(Millis(now));
                 continue;
             }
             // Expired records are registered again one after the other within the grace period.
-            let is_back = |i: usize| now >= back_at + (i as u64 + 1) * 300 || back_at == 0;
-            let listed: Vec<_> = alive
+            let is_registered_again =
+                |i: usize| now >= returned_at + (i as u64 + 1) * 300 || returned_at == 0;
+            let listed: Vec<_> = running
                 .iter()
                 .enumerate()
-                .filter(|(i, _)| is_back(*i))
+                .filter(|(i, _)| is_registered_again(*i))
                 .map(|(_, (id, state))| server(id, *state))
                 .collect();
             for server in &listed {
                 if server.state == ServerState::Draining {
-                    drained.push(server.id.to_string());
+                    ever_draining.push(server.id.to_string());
                 }
             }
             registry.replace(listed, Millis(now));
             registry.expire(Millis(now));
-            for known in registry.servers(Millis(now)) {
-                let is_drained = drained.iter().any(|id| *id == known.id.as_str());
+            for registered in registry.servers(Millis(now)) {
+                let was_draining = ever_draining.iter().any(|id| *id == registered.id.as_str());
                 assert!(
-                    !(is_drained && known.state == ServerState::Ready),
+                    !(was_draining && registered.state == ServerState::Ready),
                     "seed {seed} at {now}: {} takes work again",
-                    known.id
+                    registered.id
                 );
             }
-            if now > back_at + GRACE + 250 {
-                let known: Vec<_> =
+            if now > returned_at + GRACE + 250 {
+                let registered: Vec<_> =
                     registry.servers(Millis(now)).map(|s| s.id.to_string()).collect();
-                assert_eq!(known.len(), alive.len(), "seed {seed} at {now}");
-                assert!(alive.keys().all(|id| known.contains(id)), "seed {seed} at {now}");
+                assert_eq!(registered.len(), running.len(), "seed {seed} at {now}");
+                assert!(running.keys().all(|id| registered.contains(id)), "seed {seed} at {now}");
             }
         }
     }
@@ -263,23 +265,23 @@
 #[test]
 fn failing_server_is_told_from_failing_calls() {
     let policy = HealthPolicy::default();
-    let time_out = |rate: f64| {
+    let ejected_share = |rate: f64| {
         let mut rng = fastrand::Rng::with_seed(11);
         let mut health = ServerHealth::default();
-        let mut out = 0;
+        let mut ejected_checks = 0;
         for ms in (0..120_000).step_by(50) {
             match health.is_ejected(Millis(ms)) {
-                true => out += 1,
+                true => ejected_checks += 1,
                 false if rng.f64() < rate => {
                     health.record_failure(Fault::Answered, &policy, Millis(ms));
                 }
                 false => health.record_success(),
             }
         }
-        f64::from(out) / 2_400.0
+        f64::from(ejected_checks) / 2_400.0
     };
-    let (grey, usual) = (time_out(0.4), time_out(0.14));
-    assert!(grey > 0.5 && usual < 0.05, "{grey} {usual}");
+    let (failing, usual) = (ejected_share(0.4), ejected_share(0.14));
+    assert!(failing > 0.5 && usual < 0.05, "{failing} {usual}");
 }
 
 fn places(n: usize) -> Vec<Place> {
@@ -309,18 +311,18 @@
             let now = n * 8;
             let mut places = places(12);
             for (place, free) in places.iter_mut().zip(&free_at) {
-                let left = free.saturating_sub(now);
+                let backlog_ms = free.saturating_sub(now);
                 match by_time {
-                    true => place.unread = Millis(left),
-                    false => place.running = f64::from(u8::from(left > 0)),
+                    true => place.unread = Millis(backlog_ms),
+                    false => place.running = f64::from(u8::from(backlog_ms > 0)),
                 }
             }
             let chosen = place(&places, Work::default(), &policy, |k| rng.usize(..k)).unwrap();
             let i = places.iter().position(|p| p.id == chosen.id).unwrap();
-            let takes = if rng.u32(..50) == 0 { 2_000 } else { 30 };
+            let prefill_ms = if rng.u32(..50) == 0 { 2_000 } else { 30 };
             let start = free_at[i].max(now);
-            free_at[i] = start + takes;
-            if takes == 30 {
+            free_at[i] = start + prefill_ms;
+            if prefill_ms == 30 {
                 waits.push(start - now);
             }
         }
@@ -339,17 +341,17 @@
     let work =
         |prompt| Work { shared_prompt: Some(prompt), shared: Millis(60), shared_tokens: 5_000 };
     let idle = places(12);
-    let home =
+    let choose =
         |places: &[Place], prompt| place(places, work(prompt), &policy, |_| 0).unwrap().id.clone();
-    let homes: Vec<_> = (0..300).map(|prompt| home(&idle, prompt)).collect();
-    let fewer: Vec<_> = idle[1..].to_vec();
-    let moved = (0..300).filter(|p| homes[*p as usize] != home(&fewer, *p)).count();
-    let of_gone = homes.iter().filter(|id| **id == idle[0].id).count();
-    assert_eq!(moved, of_gone);
+    let chosen: Vec<_> = (0..300).map(|prompt| choose(&idle, prompt)).collect();
+    let remaining: Vec<_> = idle[1..].to_vec();
+    let moved = (0..300).filter(|p| chosen[*p as usize] != choose(&remaining, *p)).count();
+    let on_removed = chosen.iter().filter(|id| **id == idle[0].id).count();
+    assert_eq!(moved, on_removed);
     let mut loaded = places(12);
-    let at = loaded.iter().position(|p| p.id == homes[0]).unwrap();
+    let at = loaded.iter().position(|p| p.id == chosen[0]).unwrap();
     loaded[at].unread = Millis(2_000);
-    assert_ne!(home(&loaded, 0), homes[0]);
+    assert_ne!(choose(&loaded, 0), chosen[0]);
 }
 
 /// Load pattern: a third of the engines leaves. As the latency of first sends rises, the required confidence falls; it
@@ -358,12 +360,15 @@
 fn bar_of_confidence_follows_the_pressure() {
     let policy = SizePolicy::default();
     let mut pressure = Pressure::default();
-    let mut bars = Vec::new();
-    for took in [50, 600, 50] {
-        (0..60).for_each(|_| pressure.record(Millis(took), Millis(1_000)));
-        bars.push(policy.min_confidence_at(pressure.value()));
+    let mut required = Vec::new();
+    for latency_ms in [50, 600, 50] {
+        (0..60).for_each(|_| pressure.record(Millis(latency_ms), Millis(1_000)));
+        required.push(policy.min_confidence_at(pressure.value()));
     }
-    assert!(bars[0] == policy.min_confidence && bars[1] == 0.0 && bars[2] > 45.0, "{bars:?}");
+    assert!(
+        required[0] == policy.min_confidence && required[1] == 0.0 && required[2] > 45.0,
+        "{required:?}"
+    );
 }
 
 /// The prompts of other gateways count until the server has read them, without a message about it.
@@ -371,14 +376,14 @@
 fn backlog_of_others_runs_off() {
     let mut peers = PeerLoads::default();
     let mut rng = fastrand::Rng::with_seed(9);
-    let (mut truth, mut now) = (0_u64, 0_u64);
+    let (mut expected, mut now) = (0_u64, 0_u64);
     for _ in 0..1_000 {
-        let pause = rng.u64(..200);
-        (now, truth) = (now + pause, truth.saturating_sub(pause));
-        let takes = rng.u64(..300);
-        peers.record_sent(1, Millis(takes), Millis(now));
-        truth += takes;
-        assert_eq!(peers.backlog(1, Millis(now)), Millis(truth));
+        let elapsed = rng.u64(..200);
+        (now, expected) = (now + elapsed, expected.saturating_sub(elapsed));
+        let prefill = rng.u64(..300);
+        peers.record_sent(1, Millis(prefill), Millis(now));
+        expected += prefill;
+        assert_eq!(peers.backlog(1, Millis(now)), Millis(expected));
     }
 }
 
@@ -423,14 +428,15 @@
     let catalog = Catalog::new(1, CallLimits::default(), routes, [], []);
     for _ in 0..2_000 {
         let parts = rng.usize(..10);
-        let mut asked = path(&mut rng, parts);
+        let mut requested = path(&mut rng, parts);
         if rng.bool() {
-            asked.pop();
+            requested.pop();
         }
-        let fitting = prefixes.iter().enumerate().filter(|(_, p)| asked.starts_with(p.as_str()));
-        let longest = fitting.rev().max_by_key(|(_, prefix)| prefix.len());
-        let found = catalog.route("a.example", &asked).map(|route| route.name.to_string());
-        assert_eq!(found, longest.map(|(n, _)| n.to_string()), "{asked}");
+        let matching =
+            prefixes.iter().enumerate().filter(|(_, p)| requested.starts_with(p.as_str()));
+        let longest = matching.rev().max_by_key(|(_, prefix)| prefix.len());
+        let found = catalog.route("a.example", &requested).map(|route| route.name.to_string());
+        assert_eq!(found, longest.map(|(n, _)| n.to_string()), "{requested}");
     }
     assert_eq!(
         catalog.route("a.example", &"/".repeat(9_000)).is_some(),
