--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -111,8 +111,8 @@
     });
 }
 
-/// Guards against retries that amplify an overload: in any ten seconds there are at most the configured share of the
-/// requests plus the slack. The limit for larger models leaves room for retries after failures.
+/// Guards against retries that amplify an overload: in any ten seconds, retries are at most the configured share of the
+/// requests plus a fixed allowance. The limit for larger models leaves room for retries after failures.
 #[test]
 fn budget_holds_in_every_window() {
     const WINDOW: u64 = 10_000;
@@ -197,7 +197,7 @@
                 let was_draining = ever_draining.iter().any(|id| *id == registered.id.as_str());
                 assert!(
                     !(was_draining && registered.state == ServerState::Ready),
-                    "seed {seed} at {now}: {} takes work again",
+                    "seed {seed} at {now}: {} is ready again after it was draining",
                     registered.id
                 );
             }
@@ -261,7 +261,7 @@
 }
 
 /// A server that fails two in five of its answers while its health checks pass is excluded within about twenty answers.
-/// One that fails one in seven, as some requests do on any server, is almost never excluded.
+/// One that fails one in seven, a rate that the requests themselves can cause on any server, is almost never excluded.
 #[test]
 fn failing_server_is_told_from_failing_calls() {
     let policy = HealthPolicy::default();
