--- a/core/tests/restored_servers.rs
+++ b/core/tests/restored_servers.rs
@@ -62,8 +62,8 @@
     next_read_at: u64,
     partitioned_until: u64,
     /// Servers that were in its registry, and those of them that were removed from it after they had left.
-    ever_registered: HashSet<Id>,
-    removed_after_leaving: HashSet<Id>,
+    registered: HashSet<Id>,
+    removed: HashSet<Id>,
 }
 
 impl Gateway {
@@ -73,8 +73,8 @@
             position: None,
             next_read_at,
             partitioned_until: 0,
-            ever_registered: HashSet::new(),
-            removed_after_leaving: HashSet::new(),
+            registered: HashSet::new(),
+            removed: HashSet::new(),
         }
     }
 
@@ -255,14 +255,10 @@
     for (id, server) in servers.iter().enumerate() {
         let is_running = at < server.leaves_at;
         match (gateway.has_server(&ids[id]), is_running) {
-            (true, false) if gateway.removed_after_leaving.remove(&id) => {
-                violations.taken_back += 1
-            }
-            (true, _) => drop(gateway.ever_registered.insert(id)),
-            (false, false) if gateway.ever_registered.contains(&id) => {
-                drop(gateway.removed_after_leaving.insert(id))
-            }
-            (false, true) if gateway.ever_registered.contains(&id) && !is_in_grace => {
+            (true, false) if gateway.removed.remove(&id) => violations.taken_back += 1,
+            (true, _) => drop(gateway.registered.insert(id)),
+            (false, false) if gateway.registered.contains(&id) => drop(gateway.removed.insert(id)),
+            (false, true) if gateway.registered.contains(&id) && !is_in_grace => {
                 violations.lacked += 1
             }
             (false, _) => {}
