--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear answer, and the process goes on.
+//! Invalid input gets a clear error, and the process continues to serve.
 
 mod common;
 
@@ -23,8 +23,8 @@
         .start(&objects())
 }
 
-/// Sends bytes and reads what comes until the connection is closed.
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes and returns the response up to the end of the connection.
+fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("connect");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout above zero");
     stream.write_all(bytes).ok();
@@ -33,12 +33,13 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn is_alive(fleet: &Fleet) {
+fn check_still_serves(fleet: &Fleet) {
     let answered = fleet.caller(0).send_blocking(&Ask::chat("ani", "slip", "one"));
     assert_eq!(answered.status, 200, "{}", answered.text());
 }
 
-/// Each malformed request is answered with its row of the table of error kinds.
+/// Each malformed request gets the status and code of its error kind, as `not_run`, and a request
+/// id.
 #[test]
 fn malformed_requests() {
     let fleet = fleet();
@@ -78,12 +79,12 @@
         assert_eq!(answered.error_code(), (code.to_owned(), "not_run".to_owned()), "{ask:?}");
         assert!(answered.header("x-request-id").is_some());
     }
-    is_alive(&fleet);
+    check_still_serves(&fleet);
     assert_eq!(fleet.engines["gpu-1"].history.of("run").len(), 1);
 }
 
-/// What is no HTTP is answered with 400, a head without end with 431, and a sender that stops in
-/// the middle with 408; each answer closes its connection.
+/// Bytes that are not valid HTTP get status 400, an oversized head 431, a request that stops in the
+/// middle 408, and an oversized body 413. Each response closes its connection.
 #[test]
 fn bytes_that_are_no_request() {
     let fleet = fleet();
@@ -110,38 +111,39 @@
         ),
     ];
     for (bytes, status) in cases {
-        let answer = raw(addr, bytes.as_bytes());
-        let shown = &bytes[..bytes.len().min(60)];
-        assert!(answer.starts_with(&format!("HTTP/1.1{status}")), "{shown:?}: {answer:?}");
+        let answer = send_raw(addr, bytes.as_bytes());
+        let excerpt = &bytes[..bytes.len().min(60)];
+        assert!(answer.starts_with(&format!("HTTP/1.1{status}")), "{excerpt:?}: {answer:?}");
         assert!(answer.contains("\"run_state\":\"not_run\""), "{answer}");
         assert!(answer.to_lowercase().contains("x-request-id: "), "{answer}");
     }
-    is_alive(&fleet);
+    check_still_serves(&fleet);
 }
 
-/// Connections beyond the limit are refused, with a time to come back, and work again when others
-/// have gone.
+/// Connections beyond the limit are refused with `too_many_open`, and accepted again after others
+/// were closed.
 #[test]
 fn too_many_connections() {
     let fleet = fleet();
     let addr = fleet.caller(0).addr;
-    let held: Vec<_> = (0..20).map(|_| TcpStream::connect(addr).expect("connect")).collect();
-    wait_until("the limit is reached", || {
-        raw(addr, b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").contains("too_many_open")
+    let open_connections: Vec<_> =
+        (0..20).map(|_| TcpStream::connect(addr).expect("connect")).collect();
+    wait_until("a connection beyond the limit is refused", || {
+        send_raw(addr, b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").contains("too_many_open")
     });
-    drop(held);
-    wait_until("others have gone", || {
+    drop(open_connections);
+    wait_until("a new connection is accepted", || {
         fleet.caller(0).send_blocking(&Ask::new(Method::Get, "/healthz", "ani")).status == 200
     });
 }
 
-/// A process without a certificate of this fleet gets nowhere: neither with one of another fleet
-/// nor with bytes that are no handshake.
+/// A process without a certificate of this fleet is rejected: the tool with a certificate of
+/// another fleet gets no status, and datagrams that are not a handshake do no harm.
 #[test]
 fn strangers_get_nowhere() {
     let fleet = fleet();
-    let stranger = builder().start_without_daemons();
-    let settings = stranger.dir().join("ctl.json");
+    let other_fleet = builder().start_without_daemons();
+    let settings = other_fleet.dir().join("ctl.json");
     let mut ours: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(fleet.dir().join("ctl.json")).unwrap())
             .unwrap();
@@ -149,19 +151,19 @@
         serde_json::from_str(&std::fs::read_to_string(&settings).unwrap()).unwrap();
     ours["tls"] = theirs["tls"].clone();
     std::fs::write(&settings, ours.to_string()).unwrap();
-    let output = stranger.ctl(&["status"]);
+    let output = other_fleet.ctl(&["status"]);
     assert_eq!(output.status.code(), Some(4), "{output:?}");
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(said.contains("silent") && !said.contains("serving"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(printed.contains("silent") && !printed.contains("serving"), "{printed}");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     for n in 0..200_u8 {
         let bytes: Vec<u8> = (0..=n).map(|i| i.wrapping_mul(n) ^ 0xc3).collect();
         socket.send_to(&bytes, fleet.peer_addr("gpu-1")).unwrap();
     }
-    is_alive(&fleet);
+    check_still_serves(&fleet);
 }
 
-/// The operator's tool refuses objects that do not fit, says what is wrong with which code, and
+/// The operator's tool rejects invalid objects with an error code and the name of the object, and
 /// publishes nothing.
 #[test]
 fn bad_configurations() {
@@ -171,15 +173,15 @@
     let file = fleet.write_objects("dangling", &dangling);
     let output = fleet.ctl(&["publish", &file, "--reason", "x"]);
     assert_eq!(output.status.code(), Some(5));
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("bad_object") && said.contains("version/nowhere-1"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(printed.contains("bad_object") && printed.contains("version/nowhere-1"), "{printed}");
 
     let empty = Objects::default().grant("none", "org=nobody", "model=slip");
     let file = fleet.write_objects("empty", &empty);
     let output = fleet.ctl(&["check", &file, "--explain"]);
     assert_eq!(output.status.code(), Some(5));
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(said.contains("empty_selector") && said.contains("grant/none"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(printed.contains("empty_selector") && printed.contains("grant/none"), "{printed}");
 
     std::fs::write(fleet.dir().join("torn.json"), "[{\"kind\":\"model\",").unwrap();
     let torn = fleet.dir().join("torn.json");
@@ -191,13 +193,14 @@
     )
     .unwrap();
     let output = fleet.ctl(&["check", torn.to_str().unwrap(), "--offline"]);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("selector"), "{said}");
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(printed.contains("selector"), "{printed}");
     assert_eq!(fleet.log.records("config").len(), records);
 }
 
-/// A caller sends a body far over the limit. It is refused before the body has come, and must read the
-/// refusal: were the connection closed with the rest unread, a reset would meet the caller while it sends.
+/// A caller whose body is far over the limit is refused before it has sent all of it, and must be
+/// able to read the refusal. If the entry closed the connection with unread data, the caller would
+/// get a TCP reset while it sends.
 #[test]
 fn refusal_of_a_large_body_reaches_a_caller_that_is_still_sending() {
     use std::io::{Read, Write};
