--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use redwingfold_standins::platform::{Arrival, Got};
+use redwingfold_standins::platform::{Arrival, ReceivedResponse};
 
 /// A request as its caller knows it.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// Customer that holds the key.
     pub customer: &'static str,
     /// What came back.
-    pub got: Got,
+    pub got: ReceivedResponse,
     /// Whether the caller took so long that its own patience ended first.
     pub is_late: bool,
 }
@@ -43,14 +43,14 @@
             broken.push(format!("{} {}: {what}: {:?}", request.id, request.path, request.got));
         }
     };
-    let runs: Vec<_> = arrived.iter().filter(|a| a.ran).collect();
+    let runs: Vec<_> = arrived.iter().filter(|a| a.was_run).collect();
     let status = request.got.status();
     let is_stream = request.path.starts_with("/draft/") || request.path.starts_with("/sized/");
     claim(!request.path.starts_with("/send/") || runs.len() <= 1, "ran more than once");
     claim(runs.len() <= 3, "ran at more engines than its route allows");
     claim(!matches!(status, 429 | 503) || runs.is_empty(), "refused as not run, but it ran");
     claim(!matches!(status, 403 | 404), "refused though its route is there");
-    let whole = status == 200 && request.got.is_whole;
+    let whole = status == 200 && request.got.is_complete;
     let own = format!("answer to {}", request.id);
     claim(!whole || is_stream || request.got.text() == own, "got another answer than its own");
     claim(
@@ -66,7 +66,7 @@
         claim(head.line.contains(&request.path), "ran with another path");
         // Another engine that has the address now refuses it.
         let is_meant = head.get("expect-instance") == Some(&arrival.server);
-        claim(is_meant || !arrival.ran, "not meant for its engine");
+        claim(is_meant || !arrival.was_run, "not meant for its engine");
     }
     broken
 }
--- a/soak/src/deadly.rs
+++ b/soak/src/deadly.rs
@@ -42,13 +42,13 @@
 
 /// After the last fault, and the time in which all must learn, hardly any of its sends may reach an engine.
 pub(crate) fn is_known(world: &mut World, seed: u64) -> Option<String> {
-    let ended = world.fleet.arrivals().iter().filter(|a| a.ran && is_deadly(a)).count();
+    let ended = world.fleet.arrivals().iter().filter(|a| a.was_run && is_deadly(a)).count();
     let mut rng = fastrand::Rng::with_seed(seed);
     let (begun, mut before) = (Instant::now(), None);
     while begun.elapsed() < 2 * CONTACT {
         let gateways: Vec<_> = world.fleet.gateways.iter().map(|g| g.callers).collect();
         send(&mut rng, &gateways);
-        world.fleet.revive();
+        world.fleet.replace_crashed();
         if begun.elapsed() >= CONTACT && before.is_none() {
             before = Some(arrived(world));
         }
--- a/soak/src/domains.rs
+++ b/soak/src/domains.rs
@@ -85,9 +85,9 @@
         self.calm = 0;
         self.is_emptied = !self.is_emptied;
         if !self.is_emptied {
-            engines_there(world).for_each(|engine| engine.cool(COLD, BEARS));
+            engines_there(world).for_each(|engine| engine.set_cold(COLD, BEARS));
         }
-        world.fleet.empty(DOMAIN, self.is_emptied);
+        world.fleet.order_evacuation(DOMAIN, self.is_emptied);
         if !self.is_emptied {
             // Each engine says so with its next heartbeat.
             let here = |engine: &&Engine| !world.left.contains(&engine.spec.id);
@@ -101,12 +101,13 @@
     pub(crate) fn check(world: &World) -> Vec<String> {
         let fleet = &world.fleet;
         let engines = fleet.engines.iter().chain(&fleet.crashed);
-        let most = engines.map(|e| (e, e.most_while_cold())).filter(|(_, most)| *most > BEARS);
+        let most =
+            engines.map(|e| (e, e.max_per_second_while_cold())).filter(|(_, most)| *most > BEARS);
         let mut broken: Vec<_> =
             most.map(|(e, most)| format!("cold engine {} got {most}", e.spec.id)).collect();
         fleet.store.set_fault(StoreFault::None);
-        fleet.empty(DOMAIN, true);
-        fleet.empty(MARKER, true);
+        fleet.order_evacuation(DOMAIN, true);
+        fleet.order_evacuation(MARKER, true);
         let line = format!("event=domain_emptied domain={MARKER}");
         for gateway in &fleet.gateways {
             broken.extend(gateway.process.wait_for_line(&line, LIMIT).err().map(|e| e.to_string()));
@@ -119,8 +120,8 @@
         if after > before {
             broken.push(format!("{} requests reached an emptied domain", after - before));
         }
-        fleet.empty(DOMAIN, false);
-        fleet.empty(MARKER, false);
+        fleet.order_evacuation(DOMAIN, false);
+        fleet.order_evacuation(MARKER, false);
         broken
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -112,13 +112,13 @@
 fn engine_way(world: &World, n: usize) -> Option<&TcpProxy> {
     let engines = &world.fleet.engines;
     let engine = engines.get(n % engines.len().max(1))?;
-    world.fleet.engine_ways.get(&engine.spec.id)
+    world.fleet.engine_proxies.get(&engine.spec.id)
 }
 
 /// Lets all bytes through again.
 pub(crate) fn clear_ways(world: &World) {
-    world.fleet.engine_ways.values().for_each(|way| way.set_fault(LinkFault::None));
-    world.fleet.store_way.iter().for_each(|way| way.set_fault(world.calm_way));
+    world.fleet.engine_proxies.values().for_each(|way| way.set_fault(LinkFault::None));
+    world.fleet.store_proxy.iter().for_each(|way| way.set_fault(world.calm_way));
 }
 
 /// Length of a freeze.
@@ -178,18 +178,18 @@
         Fault::Store(fault) => world.fleet.store.set_fault(fault),
         Fault::StoreWay(fault) => {
             let fault = if fault == LinkFault::None { world.calm_way } else { fault };
-            world.fleet.store_way.iter().for_each(|way| way.set_fault(fault));
+            world.fleet.store_proxy.iter().for_each(|way| way.set_fault(fault));
         }
         Fault::EngineWay(n, fault) => {
             engine_way(world, n).into_iter().for_each(|way| way.set_fault(fault));
         }
         Fault::LostConnections(n) => {
-            let ways = engine_way(world, n).into_iter().chain(&world.fleet.store_way);
+            let ways = engine_way(world, n).into_iter().chain(&world.fleet.store_proxy);
             ways.for_each(TcpProxy::silence_connections);
         }
         Fault::StoreForgets => {
-            world.fleet.store.forget("keyed.op");
-            world.fleet.store.forget("keyed.servers");
+            world.fleet.store.drop_records("keyed.op");
+            world.fleet.store.drop_records("keyed.servers");
         }
     }
     Ok(())
--- a/soak/src/reports.rs
+++ b/soak/src/reports.rs
@@ -169,7 +169,7 @@
 
     /// Checks the requests that each gateway sent after a refusal, until the `Retry-After` delay had ended.
     fn check_retry_after(&self, engine: &str, sent: &[SentRequest<'_>]) -> Option<String> {
-        let most = sent.iter().filter(|s| !s.arrival.ran).map(|refused| {
+        let most = sent.iter().filter(|s| !s.arrival.was_run).map(|refused| {
             let (from, to) = (refused.arrival.at + ANSWER_GRACE, refused.arrival.at + RETRY_AFTER);
             let is_exempt = self.is_disrupted(refused.gateway, refused.arrival.at, to);
             let is_in_delay = |s: &&SentRequest<'_>| {
--- a/soak/src/restores.rs
+++ b/soak/src/restores.rs
@@ -1,6 +1,6 @@
 //! A store that comes back from older copies.
 
-use redwingfold_standins::platform::StoreCopy;
+use redwingfold_standins::platform::StoreSnapshot;
 
 use crate::world::World;
 
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct Restores {
     rng: fastrand::Rng,
-    copy: Option<StoreCopy>,
+    copy: Option<StoreSnapshot>,
     /// Whether the operator and the engines have still to write again what the store lost.
     is_owed: bool,
 }
@@ -31,7 +31,7 @@
             return None;
         }
         let Some(copy) = self.copy.take() else {
-            self.copy = Some(world.fleet.store.copy());
+            self.copy = Some(world.fleet.store.snapshot());
             return None;
         };
         world.fleet.store.restore(&copy);
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -52,7 +52,7 @@
 fn plain(arrival: &Arrival, mishaps: &Mishaps, salt: u64) -> Plan {
     let body = format!("answer to {}", arrival.id()).into_bytes();
     if draw(arrival.id(), salt) >= mishaps.any.load(Ordering::SeqCst) {
-        return Plan::Later(
+        return Plan::Delayed(
             Duration::from_millis(u64::from(draw(arrival.id(), 7) % 40)),
             200,
             body,
@@ -62,9 +62,9 @@
         0 => Plan::Reset,
         1 => mishaps.refusal(),
         2 => Plan::Answer(500, b"failure".to_vec()),
-        3 => Plan::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong".to_vec()),
-        4 => Plan::Later(Duration::from_millis(700), 200, body),
-        _ => Plan::Bytes(
+        3 => Plan::RawBytes(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong".to_vec()),
+        4 => Plan::Delayed(Duration::from_millis(700), 200, body),
+        _ => Plan::RawBytes(
             b"HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nResponse-Stamp: s\r\n\
               Content-Length: 5\r\n\r\nother"
                 .to_vec(),
@@ -111,7 +111,7 @@
 impl World {
     /// Starts gateways and engines.
     pub(crate) fn start(settings: &Settings) -> Self {
-        let fleet = PlatformFleet::new(&settings.program.display().to_string()).with_ways();
+        let fleet = PlatformFleet::new(&settings.program.display().to_string()).with_proxies();
         let idle_routes = settings.idle_routes;
         let calm_way = if idle_routes > 0 { LinkFault::Rate(SLOW_WAY) } else { LinkFault::None };
         let mut config = Config { idle_routes, ..Config::default() };
@@ -123,7 +123,7 @@
             fleet.bounds = json!({"cold_over": 1.5, "cold_slack": 5});
         }
         for (route, timeout) in [(0, 3_000), (1, 3_000), (2, 8_000), (3, 8_000)] {
-            let more = config.routes[route].more.as_object_mut();
+            let more = config.routes[route].overrides.as_object_mut();
             more.map(|more| more.insert("timeout_ms".to_owned(), timeout.into()));
         }
         fleet.publish(&config);
@@ -147,7 +147,7 @@
             world.fleet.start();
         });
         (0..settings.gateways).for_each(|n| world.fleet.wait_ready(n));
-        world.fleet.store_way.iter().for_each(|way| way.set_fault(world.calm_way));
+        world.fleet.store_proxy.iter().for_each(|way| way.set_fault(world.calm_way));
         world
     }
 
@@ -177,7 +177,7 @@
             _ => model(arrival, &mishaps, salt),
         };
         let id = format!("i-{}", self.next_engine);
-        self.fleet.engine_as(EngineSpec::new(&id, service, version, domain), cold, plan)
+        self.fleet.engine_from_spec(EngineSpec::new(&id, service, version, domain), cold, plan)
     }
 
     /// The operator and the engines write again what a store has lost.
--- a/soak/tests/checkers.rs
+++ b/soak/tests/checkers.rs
@@ -1,7 +1,7 @@
 //! Each check catches a violation that is planted.
 
 use redwingfold_soak::{Seen, violations};
-use redwingfold_standins::platform::{Arrival, Got, Head};
+use redwingfold_standins::platform::{Arrival, Head, ReceivedResponse};
 
 fn head(line: &str, headers: &[(&str, &str)]) -> Head {
     let headers = headers.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
@@ -9,10 +9,10 @@
 }
 
 fn seen(path: &str, status: u16, body: &str) -> Seen {
-    let got = Got {
+    let got = ReceivedResponse {
         head: head(&format!("HTTP/1.1 {status} Any"), &[]),
         body: body.as_bytes().to_vec(),
-        is_whole: true,
+        is_complete: true,
     };
     Seen { id: "r1".to_owned(), path: path.to_owned(), customer: "ani", got, is_late: false }
 }
@@ -23,8 +23,8 @@
         server: "i-1".to_owned(),
         head: head(&format!("POST {path} HTTP/1.1"), &headers),
         body: Vec::new(),
-        ran: true,
-        left: false,
+        was_run: true,
+        caller_closed: false,
         at: std::time::Instant::now(),
     }
 }
--- a/standins/src/platform/engine.rs
+++ b/standins/src/platform/engine.rs
@@ -19,9 +19,9 @@
     /// Its body.
     pub body: Vec<u8>,
     /// Whether the engine began to run it.
-    pub ran: bool,
+    pub was_run: bool,
     /// Whether its connection was closed while the engine was at work.
-    pub left: bool,
+    pub caller_closed: bool,
     /// When it arrived.
     pub at: Instant,
 }
@@ -39,9 +39,9 @@
     /// Answers with this status and body, signed.
     Answer(u16, Vec<u8>),
     /// Answers so after a time.
-    Later(Duration, u16, Vec<u8>),
+    Delayed(Duration, u16, Vec<u8>),
     /// Writes these bytes and closes.
-    Bytes(Vec<u8>),
+    RawBytes(Vec<u8>),
     /// Runs it and crashes after a time, whoever waits: all its connections break, and nobody listens any more.
     Crash(Duration),
     /// Says that it did not run it.
@@ -121,7 +121,7 @@
     since: Instant,
     until: Instant,
     /// Requests within a second above which it crashes.
-    bears: usize,
+    max_per_second: usize,
 }
 
 /// A rate limit that an engine reports.
@@ -168,14 +168,14 @@
 
 impl Sockets {
     /// Keeps a connection for the crash, under a number; `false` if that has come already.
-    fn keep(&self, number: u64, stream: &TcpStream) -> bool {
+    fn track(&self, number: u64, stream: &TcpStream) -> bool {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.extend(stream.try_clone().map(|stream| (number, stream)));
         !self.is_down.load(Ordering::SeqCst)
     }
 
     /// Lets go of a connection: it is closed when nobody holds it any more.
-    fn let_go(&self, number: u64) {
+    fn untrack(&self, number: u64) {
         self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
     }
 
@@ -216,12 +216,12 @@
     /// # Panics
     ///
     /// If its port is taken.
-    pub fn successor(&self, id: &str) -> Self {
+    pub fn restart_as(&self, id: &str) -> Self {
         let spec = EngineSpec { id: id.to_owned(), ..self.spec.clone() };
-        Self::start_at(self.own_addr(), spec, self.plan.clone())
+        Self::start_at(self.listen_addr(), spec, self.plan.clone())
     }
 
-    fn own_addr(&self) -> SocketAddr {
+    fn listen_addr(&self) -> SocketAddr {
         self.sockets.addr
     }
 
@@ -248,13 +248,13 @@
         let serving = engine.clone();
         std::thread::spawn(move || {
             for (number, stream) in (0..).zip(listener.incoming().map_while(Result::ok)) {
-                if !serving.sockets.keep(number, &stream) {
+                if !serving.sockets.track(number, &stream) {
                     return;
                 }
                 let engine = serving.clone();
                 std::thread::spawn(move || {
                     engine.serve(stream);
-                    engine.sockets.let_go(number);
+                    engine.sockets.untrack(number);
                 });
             }
         });
@@ -277,9 +277,9 @@
     }
 
     /// Makes it cold for a time, in which it crashes if more requests than it `bears` come within a second.
-    pub fn cool(&self, span: Duration, bears: usize) {
+    pub fn set_cold(&self, duration: Duration, max_per_second: usize) {
         let since = Instant::now();
-        let cold = Cold { since, until: since + span, bears };
+        let cold = Cold { since, until: since + duration, max_per_second };
         *self.cold.lock().unwrap_or_else(PoisonError::into_inner) = Some(cold);
     }
 
@@ -297,16 +297,16 @@
     /// Returns the arrival times of requests for it since its limit was set, relative to that time.
     pub fn arrivals_under_limit(&self) -> Vec<Duration> {
         let Some(limit) = self.limit() else { return Vec::new() };
-        let is_meant =
+        let is_addressed =
             |a: &Arrival| a.head.get("expect-instance").is_none_or(|id| id == self.spec.id);
         let arrivals = self.arrivals();
-        let meant = arrivals.iter().filter(|a| is_meant(a) && a.at >= limit.since);
-        meant.map(|a| a.at - limit.since).collect()
+        let addressed = arrivals.iter().filter(|a| is_addressed(a) && a.at >= limit.since);
+        addressed.map(|a| a.at - limit.since).collect()
     }
 
     /// Returns the maximum number of requests that it got within any window after the grace period of its limit, and
     /// the maximum that the limit allows.
-    pub fn most_under_limit(&self) -> (usize, usize) {
+    pub fn max_in_window_under_limit(&self) -> (usize, usize) {
         let Some(limit) = self.limit() else { return (0, 0) };
         let arrivals: Vec<_> = self
             .arrivals_under_limit()
@@ -331,15 +331,15 @@
     }
 
     /// Returns the most requests for it that arrived within any second while it was last cold.
-    pub fn most_while_cold(&self) -> usize {
+    pub fn max_per_second_while_cold(&self) -> usize {
         let cold = *self.cold.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(cold) = cold else { return 0 };
-        let is_meant = |a: &Arrival| {
+        let is_addressed = |a: &Arrival| {
             a.head.get("expect-instance").is_none_or(|id| id == self.spec.id)
                 && (cold.since..cold.until).contains(&a.at)
         };
         let arrivals = self.arrivals();
-        let arrivals: Vec<_> = arrivals.iter().filter(|a| is_meant(a)).map(|a| a.at).collect();
+        let arrivals: Vec<_> = arrivals.iter().filter(|a| is_addressed(a)).map(|a| a.at).collect();
         let within = |first: &Instant| {
             arrivals.iter().filter(|at| *at >= first && **at < *first + SECOND).count()
         };
@@ -372,7 +372,7 @@
         while let Ok(Some(head)) = read_head(&mut stream) {
             let Ok(body) = read_body(&mut stream, &head, false) else { return };
             let (server, at) = (self.spec.id.clone(), Instant::now());
-            let arrival = Arrival { server, head, body, ran: false, left: false, at };
+            let arrival = Arrival { server, head, body, was_run: false, caller_closed: false, at };
             if !self.answer(&out, arrival) {
                 return;
             }
@@ -387,45 +387,45 @@
             Some(id) if id != self.spec.id => Plan::NotRun(421),
             _ => plan(&arrival),
         };
-        arrival.ran = !matches!(plan, Plan::NotRun(_) | Plan::RetryAfter(_));
+        arrival.was_run = !matches!(plan, Plan::NotRun(_) | Plan::RetryAfter(_));
         let index = {
             let mut arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
             arrivals.push(arrival.clone());
             arrivals.len() - 1
         };
         self.running.fetch_add(1, Ordering::SeqCst);
-        if self.cold().is_some_and(|cold| self.most_while_cold() > cold.bears) {
+        if self.cold().is_some_and(|cold| self.max_per_second_while_cold() > cold.max_per_second) {
             self.crash();
         }
-        let kept = self.carry_out(out, &arrival, plan);
+        let keep_open = self.execute(out, &arrival, plan);
         self.running.fetch_sub(1, Ordering::SeqCst);
-        if kept.is_err() {
+        if keep_open.is_err() {
             let mut arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
-            arrivals[index].left = true;
+            arrivals[index].caller_closed = true;
         }
-        kept.unwrap_or(false)
+        keep_open.unwrap_or(false)
     }
 
-    fn carry_out(&self, out: &TcpStream, arrival: &Arrival, plan: Plan) -> std::io::Result<bool> {
+    fn execute(&self, out: &TcpStream, arrival: &Arrival, plan: Plan) -> std::io::Result<bool> {
         let mut writer = out;
         match plan {
             Plan::Answer(status, body) => {
-                writer.write_all(&self.whole(arrival, status, "", &body))?;
+                writer.write_all(&self.response_bytes(arrival, status, "", &body))?;
             }
-            Plan::Later(pause, status, body) => {
-                wait_or_gone(out, pause)?;
-                writer.write_all(&self.whole(arrival, status, "", &body))?;
+            Plan::Delayed(pause, status, body) => {
+                wait_unless_closed(out, pause)?;
+                writer.write_all(&self.response_bytes(arrival, status, "", &body))?;
             }
             Plan::NotRun(status) => {
                 let not_run = if status == 421 { "" } else { "Not-Executed: 1\r\n" };
-                writer.write_all(&self.whole(arrival, status, not_run, b""))?;
+                writer.write_all(&self.response_bytes(arrival, status, not_run, b""))?;
             }
             Plan::RetryAfter(delay) => {
-                let more =
+                let extra_headers =
                     format!("Not-Executed: 1\r\nRetry-After: {:.3}\r\n", delay.as_secs_f64());
-                writer.write_all(&self.whole(arrival, 503, &more, b""))?;
+                writer.write_all(&self.response_bytes(arrival, 503, &extra_headers, b""))?;
             }
-            Plan::Bytes(bytes) => {
+            Plan::RawBytes(bytes) => {
                 writer.write_all(&bytes)?;
                 return Ok(false);
             }
@@ -435,16 +435,16 @@
                 return Ok(false);
             }
             Plan::Reset => {
-                linger_zero(out);
+                reset_on_close(out);
                 return Ok(false);
             }
-            Plan::Silent => wait_or_gone(out, Duration::from_secs(60))?,
+            Plan::Silent => wait_unless_closed(out, Duration::from_secs(60))?,
             Plan::Stream(plan) => return self.stream(out, arrival, &plan),
         }
         Ok(true)
     }
 
-    fn head(&self, arrival: &Arrival, status: u16, more: &str) -> String {
+    fn head(&self, arrival: &Arrival, status: u16, extra_headers: &str) -> String {
         let running = self.running.load(Ordering::SeqCst);
         let cold = self.cold().map_or_else(String::new, |cold| {
             format!("Cold-Ms: {}\r\n", (cold.until - Instant::now()).as_millis())
@@ -456,14 +456,20 @@
         let leaving = if is_leaving { "Server-Leaving: 1\r\n" } else { "" };
         format!(
             "HTTP/1.1 {status} Any\r\nAttempt-Id: {}\r\nResponse-Stamp: by-{}\r\n\
-             Instance-Load: {running},0,8\r\n{cold}{limit}{leaving}{more}",
+             Instance-Load: {running},0,8\r\n{cold}{limit}{leaving}{extra_headers}",
             arrival.id(),
             self.spec.id,
         )
     }
 
-    fn whole(&self, arrival: &Arrival, status: u16, more: &str, body: &[u8]) -> Vec<u8> {
-        let mut bytes = self.head(arrival, status, more).into_bytes();
+    fn response_bytes(
+        &self,
+        arrival: &Arrival,
+        status: u16,
+        extra_headers: &str,
+        body: &[u8],
+    ) -> Vec<u8> {
+        let mut bytes = self.head(arrival, status, extra_headers).into_bytes();
         bytes.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
         bytes.extend_from_slice(body);
         bytes
@@ -475,28 +481,28 @@
         arrival: &Arrival,
         plan: &StreamPlan,
     ) -> std::io::Result<bool> {
-        let mut more = String::from("Content-Type: text/event-stream\r\n");
+        let mut extra_headers = String::from("Content-Type: text/event-stream\r\n");
         if let Some(confidence) = plan.confidence {
-            more.push_str(&format!("Confidence: {confidence}\r\n"));
+            extra_headers.push_str(&format!("Confidence: {confidence}\r\n"));
         }
-        more.push_str(if plan.is_framed { "Transfer-Encoding: chunked\r\n" } else { "" });
+        extra_headers.push_str(if plan.is_framed { "Transfer-Encoding: chunked\r\n" } else { "" });
         let mut writer = out;
-        writer.write_all(self.head(arrival, 200, &more).as_bytes())?;
+        writer.write_all(self.head(arrival, 200, &extra_headers).as_bytes())?;
         writer.write_all(b"\r\n")?;
         let last = arrival.head.get("last-event-id").and_then(|id| id.parse::<u64>().ok());
         let from = last.map_or(0, |id| id + 1);
         for id in from..plan.events {
-            wait_or_gone(out, plan.pause)?;
+            wait_unless_closed(out, plan.pause)?;
             if plan.silent_after == Some(id) {
-                wait_or_gone(out, Duration::from_secs(60))?;
+                wait_unless_closed(out, Duration::from_secs(60))?;
             }
             let event = format!("id: {id}\ndata: piece {id}\n\n");
             if plan.cut_after == Some(id) {
-                write_piece(writer, &event.as_bytes()[..6], plan.is_framed)?;
-                linger_zero(out);
+                write_part(writer, &event.as_bytes()[..6], plan.is_framed)?;
+                reset_on_close(out);
                 return Ok(false);
             }
-            write_piece(writer, event.as_bytes(), plan.is_framed)?;
+            write_part(writer, event.as_bytes(), plan.is_framed)?;
         }
         if plan.is_framed {
             writer.write_all(b"0\r\n\r\n")?;
@@ -505,7 +511,7 @@
     }
 }
 
-fn write_piece(mut out: &TcpStream, bytes: &[u8], is_framed: bool) -> std::io::Result<()> {
+fn write_part(mut out: &TcpStream, bytes: &[u8], is_framed: bool) -> std::io::Result<()> {
     if !is_framed {
         return out.write_all(bytes);
     }
@@ -516,16 +522,16 @@
 }
 
 /// Waits, and fails as soon as the other end has closed.
-fn wait_or_gone(out: &TcpStream, span: Duration) -> std::io::Result<()> {
-    out.set_read_timeout(Some(span.max(Duration::from_millis(1))))?;
+fn wait_unless_closed(out: &TcpStream, duration: Duration) -> std::io::Result<()> {
+    out.set_read_timeout(Some(duration.max(Duration::from_millis(1))))?;
     let mut buf = [0; 1];
-    let gone = matches!(out.peek(&mut buf), Ok(0));
+    let is_closed = matches!(out.peek(&mut buf), Ok(0));
     out.set_read_timeout(None)?;
-    if gone { Err(std::io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
+    if is_closed { Err(std::io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
 }
 
 /// Makes the connection end with a reset once it is dropped.
-pub(crate) fn linger_zero(stream: &TcpStream) {
+pub(crate) fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     // Both ends of the test then see a reset; if the option fails they see a plain end.
     socket.set_linger(Some(Duration::ZERO)).ok();
--- a/standins/src/platform/fleet.rs
+++ b/standins/src/platform/fleet.rs
@@ -8,19 +8,19 @@
 
 use serde_json::{Value, json};
 
-use super::caller::{Got, get, request};
+use super::caller::{ReceivedResponse, get, request};
 use super::engine::{Arrival, Engine, EngineSpec, Plan};
 use super::store::Store;
 use crate::fleet::Process;
 use crate::tcp_proxy::TcpProxy;
 
 /// Longest wait for anything in a test.
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Least port that a gateway gets: those below are for services that are known by them.
-const LEAST_PORT: u16 = 10_000;
+const MIN_PORT: u16 = 10_000;
 
 /// First port that the system gives away where it does not say.
-const DEFAULT_FIRST_GIVEN: u16 = 32_768;
+const DEFAULT_FIRST_EPHEMERAL_PORT: u16 = 32_768;
 
 const POLL: Duration = Duration::from_millis(5);
 
@@ -34,7 +34,7 @@
     /// `idempotent`, `non_idempotent` or `stream`.
     pub kind: &'static str,
     /// Anything else, over the defaults.
-    pub more: Value,
+    pub overrides: Value,
 }
 
 /// A configuration as an operator writes it.
@@ -59,22 +59,25 @@
 impl Default for Config {
     fn default() -> Self {
         let none = json!({});
-        let route = |name, service, kind| Route { name, service, kind, more: none.clone() };
+        let route = |name, service, kind| Route { name, service, kind, overrides: none.clone() };
         Self {
             version: 1,
             routes: vec![
                 route("look", "plain", "idempotent"),
                 route("send", "plain", "non_idempotent"),
                 Route {
-                    more: json!({"resume_streams": true, "max_attempts": 3}),
+                    overrides: json!({"resume_streams": true, "max_attempts": 3}),
                     ..route("draft", "models", "stream")
                 },
                 Route {
-                    more: json!({"resume_streams": true, "max_attempts": 3, "sizes": ["s", "m", "l"]}),
+                    overrides: json!({"resume_streams": true, "max_attempts": 3, "sizes": ["s", "m", "l"]}),
                     ..route("sized", "models", "stream")
                 },
                 route("once", "models", "stream"),
-                Route { more: json!({"public": true}), ..route("open", "plain", "idempotent") },
+                Route {
+                    overrides: json!({"public": true}),
+                    ..route("open", "plain", "idempotent")
+                },
             ],
             keys: vec![("ani", vec!["key-ani"]), ("haus", vec!["key-haus"])],
             limits: none,
@@ -108,7 +111,7 @@
         "kind": route.kind, "timeout_ms": 10_000, "target_latency_ms": 300, "priority": 1,
         "service": route.service, "max_attempts": 2, "public": false, "gap_aim_ms": 200,
     });
-    merged(base, &route.more)
+    merged(base, &route.overrides)
 }
 
 fn idle_route_json(n: usize) -> Value {
@@ -119,9 +122,9 @@
     })
 }
 
-fn merged(mut base: Value, more: &Value) -> Value {
-    if let (Some(base), Some(more)) = (base.as_object_mut(), more.as_object()) {
-        base.extend(more.clone());
+fn merged(mut base: Value, overrides: &Value) -> Value {
+    if let (Some(base), Some(overrides)) = (base.as_object_mut(), overrides.as_object()) {
+        base.extend(overrides.clone());
     }
     base
 }
@@ -155,9 +158,9 @@
     /// What earlier processes of gateways logged, by their numbers.
     pub earlier_lines: Vec<(usize, Vec<String>)>,
     /// Ways to the engines, by id, if the fleet has any.
-    pub engine_ways: HashMap<String, TcpProxy>,
+    pub engine_proxies: HashMap<String, TcpProxy>,
     /// The way to the store, if the fleet has any.
-    pub store_way: Option<TcpProxy>,
+    pub store_proxy: Option<TcpProxy>,
     program: PathBuf,
     folder: PathBuf,
     /// Bounds that differ from the defaults.
@@ -187,13 +190,13 @@
             crashed: Vec::new(),
             gateways: Vec::new(),
             earlier_lines: Vec::new(),
-            engine_ways: HashMap::new(),
-            store_way: None,
+            engine_proxies: HashMap::new(),
+            store_proxy: None,
             program: Path::new(program).to_owned(),
             folder,
             bounds: json!({}),
             regions: json!({"hall-1": "region-1"}),
-            ip: own_address(n),
+            ip: fleet_address(n),
             ports: Vec::new(),
         }
     }
@@ -204,8 +207,8 @@
     ///
     /// If no port can be opened.
     #[must_use]
-    pub fn with_ways(mut self) -> Self {
-        self.store_way = Some(TcpProxy::start(self.store.addr).expect("a way to the store"));
+    pub fn with_proxies(mut self) -> Self {
+        self.store_proxy = Some(TcpProxy::start(self.store.addr).expect("a way to the store"));
         self
     }
 
@@ -221,29 +224,29 @@
         service: &str,
         plan: impl Fn(&Arrival) -> Plan + Send + Sync + 'static,
     ) -> Engine {
-        self.engine_of(id, service, "v1", plan)
+        self.engine_with_version(id, service, "v1", plan)
     }
 
     /// Starts an engine of a version and registers it.
-    pub fn engine_of(
+    pub fn engine_with_version(
         &mut self,
         id: &str,
         service: &str,
         version: &str,
         plan: impl Fn(&Arrival) -> Plan + Send + Sync + 'static,
     ) -> Engine {
-        self.engine_as(EngineSpec::new(id, service, version, "hall-1"), None, plan)
+        self.engine_from_spec(EngineSpec::new(id, service, version, "hall-1"), None, plan)
     }
 
     /// Starts an engine in a failure domain and registers it.
-    pub fn engine_in(
+    pub fn engine_in_domain(
         &mut self,
         domain: &str,
         id: &str,
         service: &str,
         plan: impl Fn(&Arrival) -> Plan + Send + Sync + 'static,
     ) -> Engine {
-        self.engine_as(EngineSpec::new(id, service, "v1", domain), None, plan)
+        self.engine_from_spec(EngineSpec::new(id, service, "v1", domain), None, plan)
     }
 
     /// Starts an engine that is cold for a time, in which it bears so many requests within a second, and registers it.
@@ -251,14 +254,18 @@
         &mut self,
         id: &str,
         service: &str,
-        (span, bears): (Duration, usize),
+        (duration, max_per_second): (Duration, usize),
         plan: impl Fn(&Arrival) -> Plan + Send + Sync + 'static,
     ) -> Engine {
-        self.engine_as(EngineSpec::new(id, service, "v1", "hall-1"), Some((span, bears)), plan)
+        self.engine_from_spec(
+            EngineSpec::new(id, service, "v1", "hall-1"),
+            Some((duration, max_per_second)),
+            plan,
+        )
     }
 
     /// Starts an engine, cold for a time if `cold` says so, and registers it.
-    pub fn engine_as(
+    pub fn engine_from_spec(
         &mut self,
         spec: EngineSpec,
         cold: Option<(Duration, usize)>,
@@ -266,11 +273,12 @@
     ) -> Engine {
         let id = spec.id.clone();
         let mut engine = Engine::start(spec, plan);
-        cold.iter().for_each(|(span, bears)| engine.cool(*span, *bears));
-        if self.store_way.is_some() {
-            let way = TcpProxy::start(engine.addr).expect("a way to the engine");
-            engine.addr = way.addr;
-            self.engine_ways.insert(id, way);
+        cold.iter()
+            .for_each(|(duration, max_per_second)| engine.set_cold(*duration, *max_per_second));
+        if self.store_proxy.is_some() {
+            let proxy = TcpProxy::start(engine.addr).expect("a way to the engine");
+            engine.addr = proxy.addr;
+            self.engine_proxies.insert(id, proxy);
         }
         self.register(&engine, "ready");
         self.engines.push(engine.clone());
@@ -278,19 +286,19 @@
     }
 
     /// Orders a failure domain to be emptied, or takes that back.
-    pub fn empty(&self, domain: &str, is_ordered: bool) {
+    pub fn order_evacuation(&self, domain: &str, is_ordered: bool) {
         let key = format!("evacuate/{domain}");
         self.store.put("keyed.op", &key, is_ordered.then_some("{}"));
     }
 
     /// Starts the engines anew that have crashed, each as another one at its address.
-    pub fn revive(&mut self) {
+    pub fn replace_crashed(&mut self) {
         let (down, up) = std::mem::take(&mut self.engines).into_iter().partition(Engine::is_down);
         self.engines = up;
         for crashed in down {
             self.unregister(&crashed);
             let id = format!("{}+", crashed.spec.id);
-            let mut next = crashed.successor(&id);
+            let mut next = crashed.restart_as(&id);
             next.addr = crashed.addr;
             self.register(&next, "ready");
             self.engines.push(next);
@@ -310,8 +318,8 @@
 
     /// Starts a gateway and waits until it listens; returns its number.
     pub fn start(&mut self) -> usize {
-        let store = self.store_way.as_ref().map_or(self.store.addr, |way| way.addr);
-        self.start_before(store)
+        let store = self.store_proxy.as_ref().map_or(self.store.addr, |proxy| proxy.addr);
+        self.start_with_store(store)
     }
 
     /// Starts a gateway that finds the store at an address, and waits until it listens; returns its
@@ -320,12 +328,12 @@
     /// # Panics
     ///
     /// If it does not start.
-    pub fn start_before(&mut self, store: SocketAddr) -> usize {
+    pub fn start_with_store(&mut self, store: SocketAddr) -> usize {
         let n = self.gateways.len();
         let settings = self.folder.join(format!("boot-{n}.json"));
-        let port = own_port(&self.ports);
+        let port = unused_port(&self.ports);
         self.ports.push(port);
-        std::fs::write(&settings, self.boot(n, store, port)).expect("a settings file");
+        std::fs::write(&settings, self.settings_json(n, store, port)).expect("a settings file");
         let gateway = self.launch(&settings);
         self.gateways.push(gateway);
         n
@@ -353,7 +361,7 @@
         assert!(is_ready, "not in time: a gateway is ready; its log:\n{}", lines());
     }
 
-    fn boot(&self, n: usize, store: SocketAddr, port: u16) -> String {
+    fn settings_json(&self, n: usize, store: SocketAddr, port: u16) -> String {
         let bounds = json!({"grace_s": 4.0, "retry_budget_ratio": 0.9, "budget_window_s": 10,
             "session_s": 5});
         json!({
@@ -372,7 +380,7 @@
         let path = settings.display().to_string();
         let args = ["--settings", path.as_str(), "--metrics-port", "0"];
         let process = Process::start("gateway", &self.program, &args).expect("a process");
-        let line = process.wait_for_line("event=started", LIMIT).expect("the gateway starts");
+        let line = process.wait_for_line("event=started", TIMEOUT).expect("the gateway starts");
         let addr = |key: &str| -> SocketAddr {
             let from = line.find(&format!(" {key}=")).expect("an address") + key.len() + 2;
             let text = line[from..].split(' ').next().unwrap_or_default();
@@ -405,10 +413,10 @@
         method: &str,
         path: &str,
         id: &str,
-        more: &str,
+        headers: &str,
         body: &str,
-    ) -> Got {
-        request(self.gateways[n].callers, message(method, path, id, more, body).as_bytes())
+    ) -> ReceivedResponse {
+        request(self.gateways[n].callers, message(method, path, id, headers, body).as_bytes())
     }
 
     /// Returns all requests that arrived at engines.
@@ -418,7 +426,7 @@
 
     /// Returns the requests of an id that engines ran.
     pub fn runs(&self, id: &str) -> Vec<Arrival> {
-        self.arrivals().into_iter().filter(|a| a.ran && a.id() == id).collect()
+        self.arrivals().into_iter().filter(|a| a.was_run && a.id() == id).collect()
     }
 }
 
@@ -429,11 +437,11 @@
 }
 
 /// Writes a request of the customer `ani` that waits ten seconds.
-pub fn message(method: &str, path: &str, id: &str, more: &str, body: &str) -> String {
-    let key = if more.contains("Credential:") { "" } else { "Credential: key-ani\r\n" };
-    let deadline = if more.contains("Deadline-Ms:") { "" } else { "Deadline-Ms: 10000\r\n" };
+pub fn message(method: &str, path: &str, id: &str, headers: &str, body: &str) -> String {
+    let key = if headers.contains("Credential:") { "" } else { "Credential: key-ani\r\n" };
+    let deadline = if headers.contains("Deadline-Ms:") { "" } else { "Deadline-Ms: 10000\r\n" };
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\n{key}{deadline}{more}\
+        "{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\n{key}{deadline}{headers}\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
@@ -452,16 +460,16 @@
 ///
 /// A gateway that comes back has the port that it had, and meanwhile nobody else may take it: on an address of its
 /// own, nobody else asks for ports.
-fn own_address(fleet: u32) -> Ipv4Addr {
+fn fleet_address(fleet: u32) -> Ipv4Addr {
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 64 + high % 128, low, 1 + (fleet % 250) as u8)
 }
 
 /// Returns the first port that the system gives to who asks for any.
-fn first_given_port() -> u16 {
+fn first_ephemeral_port() -> u16 {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let first = range.ok().and_then(|text| text.split_whitespace().next()?.parse().ok());
-    first.unwrap_or(DEFAULT_FIRST_GIVEN)
+    first.unwrap_or(DEFAULT_FIRST_EPHEMERAL_PORT)
 }
 
 /// Returns a port of a fleet's own address that nobody else is given.
@@ -469,16 +477,16 @@
 /// It is not tried out here. The pages of another gateway at the address ask for any port, and may be given one that was
 /// let go; and a process that another test starts at that moment holds a socket of the trial until it runs its own
 /// program. Either way a gateway ended at its start with "Address already in use".
-fn own_port(taken: &[u16]) -> u16 {
-    let ports = std::iter::repeat_with(|| fastrand::u16(LEAST_PORT..first_given_port()));
-    let mut free = ports.filter(|port| !taken.contains(port));
+fn unused_port(used: &[u16]) -> u16 {
+    let ports = std::iter::repeat_with(|| fastrand::u16(MIN_PORT..first_ephemeral_port()));
+    let mut free = ports.filter(|port| !used.contains(port));
     free.next().expect("an endless choice")
 }
 
 /// Says whether something holds before long.
 pub fn eventually(holds: impl Fn() -> bool) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < LIMIT {
+    let started_at = Instant::now();
+    while started_at.elapsed() < TIMEOUT {
         if holds() {
             return true;
         }
--- a/standins/src/platform/http.rs
+++ b/standins/src/platform/http.rs
@@ -22,13 +22,13 @@
     }
 
     /// Returns a part of the first line, by its number.
-    pub fn word(&self, n: usize) -> &str {
+    pub fn line_part(&self, n: usize) -> &str {
         self.line.split(' ').nth(n).unwrap_or_default()
     }
 
     /// Returns an answer's status; 0 if there is none.
     pub fn status(&self) -> u16 {
-        self.word(1).parse().unwrap_or(0)
+        self.line_part(1).parse().unwrap_or(0)
     }
 }
 
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -8,8 +8,8 @@
 mod http;
 mod store;
 
-pub use caller::{Conn, Got, get, request};
+pub use caller::{Conn, ReceivedResponse, get, request};
 pub use engine::{Arrival, Engine, EngineSpec, Plan, StreamPlan};
 pub use fleet::{Config, Gateway, PlatformFleet, Route, eventually, message, wait_for};
 pub use http::Head;
-pub use store::{Store, StoreCopy, StoreFault};
+pub use store::{Store, StoreFault, StoreSnapshot};
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -14,8 +14,8 @@
 const DEFAULT_READ_KB: u64 = 1_024;
 
 /// Splits the target of a call into its path and its query.
-fn call(head: &Head) -> (&str, HashMap<&str, &str>) {
-    let (path, query) = head.word(1).split_once('?').unwrap_or((head.word(1), ""));
+fn split_target(head: &Head) -> (&str, HashMap<&str, &str>) {
+    let (path, query) = head.line_part(1).split_once('?').unwrap_or((head.line_part(1), ""));
     (path, query.split('&').filter_map(|pair| pair.split_once('=')).collect())
 }
 
@@ -55,7 +55,7 @@
 
 /// A copy of all that a store has.
 #[derive(Clone, Debug)]
-pub struct StoreCopy(HashMap<String, Topic>);
+pub struct StoreSnapshot(HashMap<String, Topic>);
 
 /// A store that runs in this process. Clones share it.
 #[derive(Clone, Debug)]
@@ -108,13 +108,13 @@
 
     /// Writes a record as the operator or an engine would; without a value the key is dropped.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
-        self.lock().append(topic, vec![record(key, value.unwrap_or_default())]);
+        self.lock().append(topic, vec![encode_record(key, value.unwrap_or_default())]);
         self.state.1.notify_all();
     }
 
     /// Writes records of one key, which come all at once however busy this host is.
     pub fn put_all(&self, topic: &str, key: &str, values: &[String]) {
-        let records = values.iter().map(|value| record(key, value)).collect();
+        let records = values.iter().map(|value| encode_record(key, value)).collect();
         self.lock().append(topic, records);
         self.state.1.notify_all();
     }
@@ -130,12 +130,12 @@
     pub fn values(&self, topic: &str, key: &str) -> Vec<String> {
         let state = self.lock();
         let records = state.topics.get(topic).map(|t| t.records.as_slice()).unwrap_or_default();
-        let of_key = records.iter().filter_map(|r| keyed(r)).filter(|(k, _)| *k == key);
+        let of_key = records.iter().filter_map(|r| split_record(r)).filter(|(k, _)| *k == key);
         of_key.map(|(_, value)| String::from_utf8_lossy(value).into_owned()).collect()
     }
 
     /// Forgets the records of a topic; the newest of each key stays.
-    pub fn forget(&self, topic: &str) {
+    pub fn drop_records(&self, topic: &str) {
         let mut state = self.lock();
         let topic = state.topics.entry(topic.to_owned()).or_default();
         topic.first += topic.records.len() as u64;
@@ -143,14 +143,14 @@
     }
 
     /// Makes a copy of what it has.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.lock().topics.clone())
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot(self.lock().topics.clone())
     }
 
     /// Comes back from a copy: what was written since is gone, and its offsets are given out again.
-    pub fn restore(&self, copy: &StoreCopy) {
+    pub fn restore(&self, snapshot: &StoreSnapshot) {
         let mut state = self.lock();
-        state.topics = copy.0.clone();
+        state.topics = snapshot.0.clone();
         state.era += 1;
         drop(state);
         self.state.1.notify_all();
@@ -174,9 +174,11 @@
             let Ok(body) = read_body(&mut stream, &head, false) else { return };
             let (fault, era) = {
                 let mut state = self.lock();
-                state.calls.push(format!("{} {}", head.word(0), head.word(1)));
-                let is_busy =
-                    call(&head).1.get("topic").is_some_and(|topic| state.busy.contains(*topic));
+                state.calls.push(format!("{} {}", head.line_part(0), head.line_part(1)));
+                let is_busy = split_target(&head)
+                    .1
+                    .get("topic")
+                    .is_some_and(|topic| state.busy.contains(*topic));
                 (if is_busy { StoreFault::Busy } else { state.fault }, state.era)
             };
             let reply = match fault {
@@ -186,11 +188,11 @@
                 }
                 StoreFault::Resets => return reset(&out),
                 StoreFault::Busy => (503, Vec::new()),
-                StoreFault::LosesAppends if head.word(0) == "POST" => {
-                    self.answer(&head, &body);
+                StoreFault::LosesAppends if head.line_part(0) == "POST" => {
+                    self.respond(&head, &body);
                     return;
                 }
-                StoreFault::LosesAppends | StoreFault::None => self.answer(&head, &body),
+                StoreFault::LosesAppends | StoreFault::None => self.respond(&head, &body),
             };
             let text = format!(
                 "HTTP/1.1 {} Any\r\nStore-Era: {era}\r\nContent-Length: {}\r\n\r\n",
@@ -210,8 +212,8 @@
         }
     }
 
-    fn answer(&self, head: &Head, body: &[u8]) -> Reply {
-        let (path, query) = call(head);
+    fn respond(&self, head: &Head, body: &[u8]) -> Reply {
+        let (path, query) = split_target(head);
         let topic = query.get("topic").copied().unwrap_or_default();
         let number = |name: &str| query.get(name).and_then(|n| n.parse::<u64>().ok());
         match path {
@@ -226,7 +228,7 @@
                 self.read(topic, from, max as usize, number("wait_ms").unwrap_or(0))
             }
             "/log-newest" => {
-                let after = query.get("after").map(|after| unescaped(after));
+                let after = query.get("after").map(|after| percent_decoded(after));
                 self.lock().page(topic, after.as_deref())
             }
             _ => (404, Vec::new()),
@@ -238,12 +240,12 @@
         let mut state = self.lock();
         loop {
             let found = state.read(topic, from, max);
-            let left = until.saturating_duration_since(Instant::now());
+            let time_left = until.saturating_duration_since(Instant::now());
             match found {
                 Some(reply) => return reply,
-                None if left.is_zero() => return state.read_empty(topic),
+                None if time_left.is_zero() => return state.read_empty(topic),
                 None => {
-                    let waited = self.state.1.wait_timeout(state, left);
+                    let waited = self.state.1.wait_timeout(state, time_left);
                     state = waited.unwrap_or_else(PoisonError::into_inner).0;
                 }
             }
@@ -257,7 +259,7 @@
         let offset = topic.end();
         for record in records {
             let at = topic.end();
-            match keyed(&record) {
+            match split_record(&record) {
                 Some((key, [])) => {
                     topic.newest.remove(key);
                 }
@@ -340,7 +342,7 @@
 }
 
 /// Reads what was escaped in a query.
-fn unescaped(text: &str) -> String {
+fn percent_decoded(text: &str) -> String {
     let mut bytes = Vec::new();
     let mut rest = text.as_bytes();
     while let Some((first, after)) = rest.split_first() {
@@ -354,14 +356,14 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn record(key: &str, value: &str) -> Vec<u8> {
+fn encode_record(key: &str, value: &str) -> Vec<u8> {
     let mut record = vec![key.len() as u8];
     record.extend_from_slice(key.as_bytes());
     record.extend_from_slice(value.as_bytes());
     record
 }
 
-fn keyed(record: &[u8]) -> Option<(&str, &[u8])> {
+fn split_record(record: &[u8]) -> Option<(&str, &[u8])> {
     let (len, rest) = record.split_first()?;
     let (key, value) = rest.split_at_checked(usize::from(*len))?;
     Some((std::str::from_utf8(key).ok()?, value))
@@ -384,5 +386,5 @@
 
 /// Closes a connection so that the other end sees a reset.
 fn reset(stream: &TcpStream) {
-    super::engine::linger_zero(stream);
+    super::engine::reset_on_close(stream);
 }
