--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use redwingfold_standins::platform::{Arrival, ReceivedResponse};
+use redwingfold_standins::platform::{Arrival, Got};
 
 /// A request as its caller knows it.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// Customer that holds the key.
     pub customer: &'static str,
     /// What came back.
-    pub got: ReceivedResponse,
+    pub got: Got,
     /// Whether the caller took so long that its own patience ended first.
     pub is_late: bool,
 }
@@ -50,13 +50,10 @@
     claim(runs.len() <= 3, "ran at more engines than its route allows");
     claim(!matches!(status, 429 | 503) || runs.is_empty(), "refused as not run, but it ran");
     claim(!matches!(status, 403 | 404), "refused though its route is there");
-    let whole = status == 200 && request.got.is_complete;
+    let whole = status == 200 && request.got.is_whole;
     let own = format!("answer to {}", request.id);
     claim(!whole || is_stream || request.got.text() == own, "got another answer than its own");
-    claim(
-        !(whole && is_stream) || is_complete(&request.got.text()),
-        "a stream has gaps or doubles",
-    );
+    claim(!(whole && is_stream) || is_whole(&request.got.text()), "a stream has gaps or doubles");
     claim(!(is_stream && status == 200) || is_ordered(&request.got.text()), "events out of order");
     claim(!request.is_late, "held beyond its time");
     for arrival in arrived {
@@ -75,7 +72,7 @@
     text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
 }
 
-fn is_complete(text: &str) -> bool {
+fn is_whole(text: &str) -> bool {
     ids(text) == [0, 1, 2, 3, 4, 5] && text.matches("data: piece").count() == 6
 }
 
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use redwingfold_standins::platform::{Arrival, Conn, ReceivedResponse, StoreFault, message};
+use redwingfold_standins::platform::{Arrival, Conn, Got, StoreFault, message};
 
 use crate::checks::{Seen, violations};
 use crate::deadly;
@@ -159,8 +159,8 @@
     let arrivals: Vec<_> = world.fleet.arrivals().into_iter().filter(is_checked).collect();
     seen.sort_by(|a, b| a.id.cmp(&b.id));
     outcome.requests = seen.len();
-    outcome.served = seen.iter().filter(|s| s.got.status() == 200 && s.got.is_complete).count();
-    let refused = |got: &ReceivedResponse| got.text().starts_with("quarantined");
+    outcome.served = seen.iter().filter(|s| s.got.status() == 200 && s.got.is_whole).count();
+    let refused = |got: &Got| got.text().starts_with("quarantined");
     let innocent: HashSet<_> = seen.iter().filter(|s| refused(&s.got)).map(|s| &s.path).collect();
     outcome.quarantined = seen.iter().filter(|s| refused(&s.got)).count();
     let never_cleared = innocent.iter().filter(|path| !is_served(&world, path));
@@ -222,9 +222,8 @@
     Seen { id, path, customer: "ani", got, is_late }
 }
 
-fn send(addr: std::net::SocketAddr, text: &str) -> ReceivedResponse {
-    let nothing =
-        ReceivedResponse { head: Default::default(), body: Vec::new(), is_complete: false };
+fn send(addr: std::net::SocketAddr, text: &str) -> Got {
+    let nothing = Got { head: Default::default(), body: Vec::new(), is_whole: false };
     let Ok(mut conn) = Conn::open(addr) else {
         // A gateway that starts anew has no listener for a moment.
         std::thread::sleep(Duration::from_millis(20));
--- a/soak/tests/checkers.rs
+++ b/soak/tests/checkers.rs
@@ -1,7 +1,7 @@
 //! Each check catches a violation that is planted.
 
 use redwingfold_soak::{Seen, violations};
-use redwingfold_standins::platform::{Arrival, Head, ReceivedResponse};
+use redwingfold_standins::platform::{Arrival, Got, Head};
 
 fn head(line: &str, headers: &[(&str, &str)]) -> Head {
     let headers = headers.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
@@ -9,10 +9,10 @@
 }
 
 fn seen(path: &str, status: u16, body: &str) -> Seen {
-    let got = ReceivedResponse {
+    let got = Got {
         head: head(&format!("HTTP/1.1 {status} Any"), &[]),
         body: body.as_bytes().to_vec(),
-        is_complete: true,
+        is_whole: true,
     };
     Seen { id: "r1".to_owned(), path: path.to_owned(), customer: "ani", got, is_late: false }
 }
--- a/standins/src/platform/caller.rs
+++ b/standins/src/platform/caller.rs
@@ -11,16 +11,16 @@
 
 /// What a caller got.
 #[derive(Clone, Debug)]
-pub struct ReceivedResponse {
+pub struct Got {
     /// The answer's head; empty if the connection ended without one.
     pub head: Head,
     /// The body, as far as it came.
     pub body: Vec<u8>,
     /// Whether the answer was complete.
-    pub is_complete: bool,
+    pub is_whole: bool,
 }
 
-impl ReceivedResponse {
+impl Got {
     /// Returns the status; 0 if there was no answer.
     pub fn status(&self) -> u16 {
         self.head.status()
@@ -67,11 +67,11 @@
     }
 
     /// Reads an answer.
-    pub fn read_response(&mut self) -> ReceivedResponse {
+    pub fn read_response(&mut self) -> Got {
         let head = self.read_head();
         match read_body(&mut self.stream, &head, true) {
-            Ok(body) => ReceivedResponse { is_complete: !head.line.is_empty(), head, body },
-            Err(_) => ReceivedResponse { head, body: Vec::new(), is_complete: false },
+            Ok(body) => Got { is_whole: !head.line.is_empty(), head, body },
+            Err(_) => Got { head, body: Vec::new(), is_whole: false },
         }
     }
 
@@ -92,9 +92,8 @@
 }
 
 /// Sends a request on a connection of its own and reads the answer.
-pub fn request(addr: SocketAddr, bytes: &[u8]) -> ReceivedResponse {
-    let no_response =
-        ReceivedResponse { head: Head::default(), body: Vec::new(), is_complete: false };
+pub fn request(addr: SocketAddr, bytes: &[u8]) -> Got {
+    let no_response = Got { head: Head::default(), body: Vec::new(), is_whole: false };
     let Ok(mut conn) = Conn::open(addr) else { return no_response };
     match conn.write(bytes) {
         Ok(()) => conn.read_response(),
@@ -103,6 +102,6 @@
 }
 
 /// Gets a page.
-pub fn get(addr: SocketAddr, path: &str) -> ReceivedResponse {
+pub fn get(addr: SocketAddr, path: &str) -> Got {
     request(addr, format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").as_bytes())
 }
--- a/standins/src/platform/fleet.rs
+++ b/standins/src/platform/fleet.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use super::caller::{ReceivedResponse, get, request};
+use super::caller::{Got, get, request};
 use super::engine::{Arrival, Engine, EngineSpec, Plan};
 use super::store::Store;
 use crate::fleet::Process;
@@ -415,7 +415,7 @@
         id: &str,
         headers: &str,
         body: &str,
-    ) -> ReceivedResponse {
+    ) -> Got {
         request(self.gateways[n].callers, message(method, path, id, headers, body).as_bytes())
     }
 
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -8,7 +8,7 @@
 mod http;
 mod store;
 
-pub use caller::{Conn, ReceivedResponse, get, request};
+pub use caller::{Conn, Got, get, request};
 pub use engine::{Arrival, Engine, EngineSpec, Plan, StreamPlan};
 pub use fleet::{Config, Gateway, PlatformFleet, Route, eventually, message, wait_for};
 pub use http::Head;
