--- a/src/config_store/tests.rs
+++ b/src/config_store/tests.rs
@@ -1,4 +1,4 @@
-//! The store of the configuration.
+//! Tests of the configuration store.
 
 use redwingfold_core::{Millis, Offset};
 
@@ -13,19 +13,20 @@
     (Offset(offset), b"of a kind that is not known".to_vec())
 }
 
-/// Every request waits for a change beside its answer. One that ended must leave nothing behind:
-/// such waits once made a side hold 10 kB for each request that it had served.
+/// Every request waits for a configuration change while its response is in flight. A dropped wait
+/// must unregister its listener: listeners that stayed once leaked 10 kB in a side for each
+/// request.
 #[test]
 fn waits_that_were_dropped_leave_nothing() {
     let store = store();
     for _ in 0..1000 {
         drop(store.changed());
-        assert!(!smol::block_on(store.reaches(Offset(1), Millis(0))));
+        assert!(!smol::block_on(store.wait_for_offset(Offset(1), Millis(0))));
     }
-    assert_eq!(store.listeners(), 0);
+    assert_eq!(store.listener_count(), 0);
 }
 
-/// A gap is not folded over: the state behind it would be one that no other daemon has.
+/// Records after a gap must not be folded: the state would be one that no other daemon has.
 #[test]
 fn records_behind_a_gap_are_left_out() {
     let store = store();
@@ -35,16 +36,16 @@
     assert_eq!(store.mark().offset, Offset(3));
 }
 
-/// A peer that is a little behind gets records, one that is far behind a snapshot.
+/// A peer that is a few records behind gets records, and one that is far behind gets a snapshot.
 #[test]
 fn peers_get_what_they_lack() {
     let store = store();
     let all: Vec<_> = (1..=600).map(record).collect();
     store.apply(&all);
-    assert!(matches!(store.after(Offset(600)), Catchup::Nothing));
-    match store.after(Offset(590)) {
+    assert!(matches!(store.catchup_after(Offset(600)), Catchup::Nothing));
+    match store.catchup_after(Offset(590)) {
         Catchup::Records(records) => assert_eq!(records.len(), 10),
         other => panic!("{other:?}"),
     }
-    assert!(matches!(store.after(Offset(1)), Catchup::Snapshot(_)));
+    assert!(matches!(store.catchup_after(Offset(1)), Catchup::Snapshot(_)));
 }
