--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -53,7 +53,10 @@
     let whole = status == 200 && request.got.is_whole;
     let own = format!("answer to {}", request.id);
     claim(!whole || is_stream || request.got.text() == own, "got another answer than its own");
-    claim(!(whole && is_stream) || is_complete(&request.got.text()), "a stream has gaps or doubles");
+    claim(
+        !(whole && is_stream) || is_complete(&request.got.text()),
+        "a stream has gaps or doubles",
+    );
     claim(!(is_stream && status == 200) || is_ordered(&request.got.text()), "events out of order");
     claim(!request.is_late, "held beyond its time");
     for arrival in arrived {
