--- a/core/src/bill.rs
+++ b/core/src/bill.rs
@@ -67,7 +67,7 @@
 
     fn add(&mut self, bill: Bill) {
         match self.bills.get(&bill.id) {
-            Some(held) if held.attempt >= bill.attempt => {}
+            Some(stored) if stored.attempt >= bill.attempt => {}
             _ => {
                 self.bills.insert(bill.id, bill);
             }
--- a/core/src/pin.rs
+++ b/core/src/pin.rs
@@ -69,7 +69,7 @@
     /// ```
     pub fn get_or_set(&mut self, key: &PinKey, proposed: Pin, now: Millis) -> Pin {
         let pin = match self.pins.get(key) {
-            Some((held, _)) if proposed.moves <= held.moves => held.clone(),
+            Some((stored, _)) if proposed.moves <= stored.moves => stored.clone(),
             _ => proposed,
         };
         self.put(key.clone(), pin.clone(), now);
@@ -77,10 +77,10 @@
     }
 
     /// Merges a pin of another holder, and returns the pin that is stored then.
-    pub fn merge(&mut self, key: &PinKey, theirs: Pin, now: Millis) -> Pin {
+    pub fn merge(&mut self, key: &PinKey, received: Pin, now: Millis) -> Pin {
         let pin = match self.pins.get(key) {
-            Some((held, _)) if !theirs.replaces(held) => held.clone(),
-            _ => theirs,
+            Some((stored, _)) if !received.replaces(stored) => stored.clone(),
+            _ => received,
         };
         self.put(key.clone(), pin.clone(), now);
         pin
--- a/core/src/ratings.rs
+++ b/core/src/ratings.rs
@@ -124,26 +124,26 @@
     /// assert_eq!(ratings.total(&"v".parse().unwrap(), Offset(3)).good, 9);
     /// ```
     pub fn add(&mut self, record: TallyRecord) {
-        let held = self.versions.entry(record.version.clone()).or_default();
-        if held.0 < record.since {
-            *held = (record.since, TotalsByIncarnation::new());
+        let stored = self.versions.entry(record.version.clone()).or_default();
+        if stored.0 < record.since {
+            *stored = (record.since, TotalsByIncarnation::new());
         }
-        if held.0 != record.since {
+        if stored.0 != record.since {
             return;
         }
-        held.1.retain(|_, r| record.at.since(r.at) < MAX_TOTAL_AGE);
+        stored.1.retain(|_, r| record.at.since(r.at) < MAX_TOTAL_AGE);
         let key = (record.host.clone(), record.incarnation);
-        match held.1.get(&key) {
+        match stored.1.get(&key) {
             Some(older) if older.total.rated() >= record.total.rated() => {}
             _ => {
-                held.1.insert(key, record);
+                stored.1.insert(key, record);
             }
         }
     }
 
     fn records(&self, version: &VersionName, since: Offset) -> impl Iterator<Item = &TallyRecord> {
-        let held = self.versions.get(version).filter(|(held, _)| *held == since);
-        held.into_iter().flat_map(|(_, totals)| totals.values())
+        let stored = self.versions.get(version).filter(|(stored, _)| *stored == since);
+        stored.into_iter().flat_map(|(_, totals)| totals.values())
     }
 
     /// Returns the tally of all entries for a version since it was put in service.
--- a/core/tests/claims.rs
+++ b/core/tests/claims.rs
@@ -18,9 +18,9 @@
 const KEY: KeyHash = KeyHash(7);
 
 /// Derives random numbers from the bytes of a schedule.
-struct Draw<'a>(&'a [u8], usize);
+struct ScheduleRng<'a>(&'a [u8], usize);
 
-impl Draw<'_> {
+impl ScheduleRng<'_> {
     fn below(&mut self, n: usize) -> usize {
         self.1 += 1;
         let byte = self.0.get(self.1 % self.0.len().max(1)).copied().unwrap_or(0);
@@ -28,7 +28,7 @@
         (usize::from(byte) ^ (self.1.wrapping_mul(0x9e37) >> 7)) % n
     }
 
-    fn once_in(&mut self, n: usize) -> bool {
+    fn one_in(&mut self, n: usize) -> bool {
         self.below(n) == 0
     }
 }
@@ -39,12 +39,12 @@
     Read { claim: Claim, rounds: usize },
     Settle { holder: Claim, rounds: usize },
     Send { claim: Claim },
-    Over,
+    Finished,
 }
 
 /// How a caller's request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum End {
+enum Outcome {
     NotRun,
     Ran,
     Replayed,
@@ -56,7 +56,7 @@
     incarnation: Incarnation,
 }
 
-struct World {
+struct Simulation {
     log: Vec<Claim>,
     sides: Vec<Side>,
     runs: usize,
@@ -65,7 +65,7 @@
     is_checked: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(is_checked: bool) -> Self {
         let side = |n: usize| {
             let incarnation = Incarnation(n as u64 + 1);
@@ -100,11 +100,11 @@
     }
 
     /// Executes one step of an entry's request.
-    fn step(&mut self, step: Step, draw: &mut Draw<'_>) -> (Step, Option<End>) {
+    fn step(&mut self, step: Step, rng: &mut ScheduleRng<'_>) -> (Step, Option<Outcome>) {
         match step {
-            Step::Append { rounds: MAX_ROUNDS, .. } => (Step::Over, Some(End::NotRun)),
+            Step::Append { rounds: MAX_ROUNDS, .. } => (Step::Finished, Some(Outcome::NotRun)),
             Step::Append { replaces, rounds } => {
-                let n = draw.below(SIDES);
+                let n = rng.below(SIDES);
                 let claim = Claim {
                     id: ClaimId(self.next),
                     key: KEY,
@@ -114,32 +114,32 @@
                     replaces,
                 };
                 self.next += 1;
-                if draw.once_in(8) {
+                if rng.one_in(8) {
                     // The log service is unavailable: the append had no effect, and the caller gets
                     // an error that says so.
-                    return (Step::Over, Some(End::NotRun));
+                    return (Step::Finished, Some(Outcome::NotRun));
                 }
                 self.log.push(claim.clone());
                 (Step::Read { claim, rounds }, None)
             }
             Step::Read { claim, rounds } => match self.fold().status(&claim) {
                 ClaimStatus::HoldsKey => (Step::Send { claim }, None),
-                ClaimStatus::Absent => (Step::Over, Some(End::NotRun)),
+                ClaimStatus::Absent => (Step::Finished, Some(Outcome::NotRun)),
                 ClaimStatus::HeldByOther(holder) => (Step::Settle { holder, rounds }, None),
             },
             Step::Settle { holder, rounds } => {
                 let table = &mut self.side_of(&holder).table;
                 match table.state(&holder) {
-                    Some(CallState::Done(_)) => (Step::Over, Some(End::Replayed)),
+                    Some(CallState::Done(_)) => (Step::Finished, Some(Outcome::Replayed)),
                     Some(CallState::Running | CallState::Unknown) => {
-                        (Step::Over, Some(End::Unknown))
+                        (Step::Finished, Some(Outcome::Unknown))
                     }
                     None | Some(CallState::Closed) => match table.close(&holder) {
                         Some(true) => {
                             let replaces = Some(holder.id);
                             (Step::Append { replaces, rounds: rounds + 1 }, None)
                         }
-                        _ => (Step::Over, Some(End::Unknown)),
+                        _ => (Step::Finished, Some(Outcome::Unknown)),
                     },
                 }
             }
@@ -147,18 +147,18 @@
                 let is_checked = self.is_checked;
                 let side = self.side_of(&claim);
                 if side.table.begin(&claim).is_err() && is_checked {
-                    return (Step::Over, Some(End::Unknown));
+                    return (Step::Finished, Some(Outcome::Unknown));
                 }
                 self.runs += 1;
-                if draw.once_in(6) {
+                if rng.one_in(6) {
                     self.side_of(&claim).table.mark_unknown(claim.id);
-                    return (Step::Over, Some(End::Unknown));
+                    return (Step::Finished, Some(Outcome::Unknown));
                 }
                 let answer = CallAnswer { status: 200, content_type: None, body: None };
                 self.side_of(&claim).table.mark_done(claim.id, answer);
-                (Step::Over, Some(End::Ran))
+                (Step::Finished, Some(Outcome::Ran))
             }
-            Step::Over => (Step::Over, None),
+            Step::Finished => (Step::Finished, None),
         }
     }
 }
@@ -167,53 +167,53 @@
 struct OneCall;
 
 impl Specification for OneCall {
-    type Operation = End;
+    type Operation = Outcome;
     type State = bool;
 
     fn init() -> bool {
         false
     }
 
-    fn apply(end: &End, has_run: &bool) -> (bool, bool) {
-        match end {
-            End::Ran => (!has_run, true),
-            End::Replayed => (*has_run, true),
-            End::NotRun | End::Unknown => (true, *has_run),
+    fn apply(outcome: &Outcome, has_run: &bool) -> (bool, bool) {
+        match outcome {
+            Outcome::Ran => (!has_run, true),
+            Outcome::Replayed => (*has_run, true),
+            Outcome::NotRun | Outcome::Unknown => (true, *has_run),
         }
     }
 }
 
 /// Runs a schedule; returns the number of runs and the history of the calls.
-fn schedule(bytes: &[u8], is_checked: bool) -> (usize, Vec<(usize, Action<End>)>) {
-    let mut draw = Draw(bytes, 0);
-    let mut world = World::new(is_checked);
+fn run_schedule(bytes: &[u8], is_checked: bool) -> (usize, Vec<(usize, Action<Outcome>)>) {
+    let mut rng = ScheduleRng(bytes, 0);
+    let mut simulation = Simulation::new(is_checked);
     let mut entries = BTreeMap::<usize, Step>::new();
     let mut calls = Vec::new();
-    let mut ends = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     let mut next_call = 0;
     for _ in 0..STEPS {
-        if draw.once_in(20) {
-            let n = draw.below(SIDES);
-            world.restart(n);
+        if rng.one_in(20) {
+            let n = rng.below(SIDES);
+            simulation.restart(n);
         }
-        if entries.len() < ENTRIES && draw.once_in(3) {
+        if entries.len() < ENTRIES && rng.one_in(3) {
             entries.insert(next_call, Step::Append { replaces: None, rounds: 0 });
             calls.push((next_call, true));
             next_call += 1;
         }
-        let Some(&call) = entries.keys().nth(draw.below(entries.len().max(1))) else { continue };
-        if draw.once_in(25) {
+        let Some(&call) = entries.keys().nth(rng.below(entries.len().max(1))) else { continue };
+        if rng.one_in(25) {
             // The entry crashes; its caller gets no response.
             entries.remove(&call);
             calls.push((call, false));
-            ends.insert(call, End::Unknown);
+            outcomes.insert(call, Outcome::Unknown);
             continue;
         }
         let step = entries.remove(&call).unwrap();
-        match world.step(step, &mut draw) {
-            (_, Some(end)) => {
+        match simulation.step(step, &mut rng) {
+            (_, Some(outcome)) => {
                 calls.push((call, false));
-                ends.insert(call, end);
+                outcomes.insert(call, outcome);
             }
             (next, None) => {
                 entries.insert(call, next);
@@ -222,13 +222,13 @@
     }
     for call in entries.into_keys() {
         calls.push((call, false));
-        ends.insert(call, End::Unknown);
+        outcomes.insert(call, Outcome::Unknown);
     }
     let action = |&(call, begins): &(usize, bool)| match begins {
-        true => (call, Action::Call(ends[&call])),
-        false => (call, Action::Response(ends[&call])),
+        true => (call, Action::Call(outcomes[&call])),
+        false => (call, Action::Response(outcomes[&call])),
     };
-    (world.runs, calls.iter().map(action).collect())
+    (simulation.runs, calls.iter().map(action).collect())
 }
 
 /// A call runs at most once in any interleaving of the steps of entries, sides and the log. A
@@ -236,7 +236,7 @@
 #[test]
 fn a_call_runs_at_most_once() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let (runs, _) = schedule(bytes, true);
+        let (runs, _) = run_schedule(bytes, true);
         assert!(runs <= 1, "ran {runs} times");
     });
 }
@@ -246,9 +246,9 @@
 #[test]
 fn what_callers_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let (_, history) = schedule(bytes, true);
+        let (_, history) = run_schedule(bytes, true);
         let is_known =
-            history.iter().all(|(_, action)| !matches!(action, Action::Call(End::Unknown)));
+            history.iter().all(|(_, action)| !matches!(action, Action::Call(Outcome::Unknown)));
         if is_known && !history.is_empty() {
             assert!(WGLChecker::<OneCall>::is_linearizable(History::from_actions(history)));
         }
@@ -263,7 +263,7 @@
         let bytes: Vec<u8> = (0..64)
             .map(|i| xxhash_rust::xxh3::xxh3_64(&[seed.to_be_bytes(), [i, 0, 0, 0]].concat()) as u8)
             .collect();
-        worst = worst.max(schedule(&bytes, false).0);
+        worst = worst.max(run_schedule(&bytes, false).0);
     }
     assert!(worst > 1, "no schedule ran a call twice");
 }
@@ -272,10 +272,10 @@
 #[test]
 fn the_checker_refuses_two_runs() {
     let two = vec![
-        (0, Action::Call(End::Ran)),
-        (0, Action::Response(End::Ran)),
-        (1, Action::Call(End::Ran)),
-        (1, Action::Response(End::Ran)),
+        (0, Action::Call(Outcome::Ran)),
+        (0, Action::Response(Outcome::Ran)),
+        (1, Action::Call(Outcome::Ran)),
+        (1, Action::Response(Outcome::Ran)),
     ];
     assert!(!WGLChecker::<OneCall>::is_linearizable(History::from_actions(two)));
 }
--- a/core/tests/fold.rs
+++ b/core/tests/fold.rs
@@ -52,7 +52,7 @@
     serde_json::to_vec(&record).unwrap()
 }
 
-fn first() -> Vec<u8> {
+fn first_record() -> Vec<u8> {
     change(1, &[("model/slip", 0), ("version/a", 0)], vec![model("a"), version("a", 1)])
 }
 
@@ -61,7 +61,7 @@
 #[test]
 fn one_of_two_racing_changes_wins() {
     let mut fold = ConfigFold::default();
-    assert_eq!(fold.apply(Offset(1), &first()), Some(Verdict::Accepted));
+    assert_eq!(fold.apply(Offset(1), &first_record()), Some(Verdict::Accepted));
     let price = |id, cost| change(id, &[("version/a", 1)], vec![version("a", cost)]);
     assert_eq!(fold.apply(Offset(2), &price(2, 5)), Some(Verdict::Accepted));
     match fold.apply(Offset(3), &price(3, 6)) {
@@ -76,13 +76,13 @@
 #[test]
 fn stale_change_cannot_undo_a_withdrawal() {
     let mut fold = ConfigFold::default();
-    fold.apply(Offset(1), &first());
+    fold.apply(Offset(1), &first_record());
     fold.apply(Offset(2), &withdraw(2, "a"));
     let stale = change(3, &[("version/a", 1)], vec![version("a", 9)]);
     assert!(matches!(fold.apply(Offset(3), &stale), Some(Verdict::Rejected { .. })));
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().withdrawn_at, Some(Offset(2)));
-    let knowing = change(4, &[("version/a", 2)], vec![version("a", 9)]);
-    assert_eq!(fold.apply(Offset(4), &knowing), Some(Verdict::Accepted));
+    let current = change(4, &[("version/a", 2)], vec![version("a", 9)]);
+    assert_eq!(fold.apply(Offset(4), &current), Some(Verdict::Accepted));
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().withdrawn_at, None);
 }
 
@@ -119,7 +119,7 @@
 #[test]
 fn all_ways_lead_to_one_state() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let mut records = vec![first()];
+        let mut records = vec![first_record()];
         records.extend(bytes.iter().take(40).zip(2..).map(|(byte, at)| record(*byte, at)));
         let mut straight = ConfigFold::default();
         for (raw, offset) in records.iter().zip(1..) {
@@ -149,7 +149,7 @@
     bolero::check!().for_each(|bytes: &[u8]| {
         let mut fold = ConfigFold::default();
         fold.apply(Offset(1), bytes);
-        assert_eq!(fold.apply(Offset(2), &first()), Some(Verdict::Accepted));
+        assert_eq!(fold.apply(Offset(2), &first_record()), Some(Verdict::Accepted));
     });
 }
 
@@ -185,7 +185,7 @@
 fn what_racing_operators_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
         let mut fold = ConfigFold::default();
-        fold.apply(Offset(1), &first());
+        fold.apply(Offset(1), &first_record());
         let (mut log, mut actions) = (1, Vec::new());
         // For each operator: the revision it expects, and the offset of its record once appended.
         let mut operators: Vec<Option<(u64, Option<u64>)>> = vec![None; 3];
--- a/core/tests/membership.rs
+++ b/core/tests/membership.rs
@@ -34,7 +34,7 @@
     fleet(hosts).into_iter().enumerate().map(pooled).collect()
 }
 
-fn of(own: usize, entries: &[Member], sides: &[PooledSide]) -> BTreeSet<HostId> {
+fn sides_of(own: usize, entries: &[Member], sides: &[PooledSide]) -> BTreeSet<HostId> {
     let own = format!("entry-{own}").parse().unwrap();
     sides_of_entry(&own, entries, sides, FAN_IN, PER_POOL)
 }
@@ -44,18 +44,18 @@
 #[test]
 fn every_side_has_entries_and_every_entry_all_pools() {
     let (entries, sides) = (entries(24), sides(306));
-    let taken: Vec<_> = (0..24).map(|n| of(n, &entries, &sides)).collect();
+    let connected: Vec<_> = (0..24).map(|n| sides_of(n, &entries, &sides)).collect();
     for side in &sides {
-        let fan_in = taken.iter().filter(|t| t.contains(&side.member.host)).count();
+        let fan_in = connected.iter().filter(|t| t.contains(&side.member.host)).count();
         assert!(fan_in >= FAN_IN, "{} has {fan_in}", side.member.host);
     }
-    for taken in &taken {
+    for connected in &connected {
         let of_pool = |pool: usize| {
             let pool = format!("pool-{pool}");
-            sides.iter().filter(|s| s.pool == pool && taken.contains(&s.member.host)).count()
+            sides.iter().filter(|s| s.pool == pool && connected.contains(&s.member.host)).count()
         };
         assert!((0..POOLS).all(|pool| of_pool(pool) >= PER_POOL));
-        assert!(taken.len() <= 65, "{}", taken.len());
+        assert!(connected.len() <= 65, "{}", connected.len());
     }
 }
 
@@ -64,17 +64,17 @@
 fn connections_move_little() {
     let (all_entries, all_sides) = (entries(24), sides(306));
     for own in 0..6 {
-        let before = of(own, &all_entries, &all_sides);
+        let before = sides_of(own, &all_entries, &all_sides);
         for gone in [0, 17, 299] {
             let mut left = all_sides.clone();
             let gone = left.remove(gone).member.host;
-            let mut lost: BTreeSet<_> = &before - &of(own, &all_entries, &left);
+            let mut lost: BTreeSet<_> = &before - &sides_of(own, &all_entries, &left);
             lost.remove(&gone);
             assert!(lost.is_empty(), "{lost:?}");
         }
         let mut left = all_entries.clone();
         left.remove(23);
-        let after = of(own, &left, &all_sides);
+        let after = sides_of(own, &left, &all_sides);
         assert!((&before - &after).len() <= 2, "{:?}", &before - &after);
         assert!((&after - &before).len() <= 8, "{:?}", &after - &before);
     }
