--- a/core/tests/membership.rs
+++ b/core/tests/membership.rs
@@ -39,8 +39,8 @@
     sides_of_entry(&own, entries, sides, FAN_IN, PER_POOL)
 }
 
-/// With 24 entries and 306 sides, every side has connections, every entry reaches every pool, and
-/// no entry has more than 65 connections.
+/// At the target size of 24 entries and 306 sides, every side has connections, every entry reaches
+/// every pool, and no entry has more than 65 connections.
 #[test]
 fn every_side_has_entries_and_every_entry_all_pools() {
     let (entries, sides) = (entries(24), sides(306));
