--- a/standins/src/platform/caller.rs
+++ b/standins/src/platform/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that see the very bytes.
+//! Callers that send raw bytes and receive responses as they arrive.
 
 use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,22 +6,22 @@
 
 use super::http::{Head, read_body, read_head};
 
-/// Longest wait for anything in a test.
+/// Maximum time that a read waits for bytes.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a caller got.
+/// A response as a caller received it.
 #[derive(Clone, Debug)]
 pub struct Got {
-    /// The answer's head; empty if the connection ended without one.
+    /// Head of the response; empty if the connection was closed without one.
     pub head: Head,
-    /// The body, as far as it came.
+    /// The body; empty if it is incomplete.
     pub body: Vec<u8>,
-    /// Whether the answer was complete.
+    /// Whether the response was complete.
     pub is_whole: bool,
 }
 
 impl Got {
-    /// Returns the status; 0 if there was no answer.
+    /// Returns the status; 0 if there was no response.
     pub fn status(&self) -> u16 {
         self.head.status()
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// A caller's connection.
+/// A connection of a caller.
 #[derive(Debug)]
 pub struct Conn {
     out: TcpStream,
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// If nobody listens.
+    /// If the connection is refused.
     pub fn open(addr: SocketAddr) -> io::Result<Self> {
         let out = TcpStream::connect(addr)?;
         out.set_nodelay(true)?;
@@ -56,17 +56,17 @@
     ///
     /// # Errors
     ///
-    /// If the connection has ended.
+    /// If the connection is closed.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.out.write_all(bytes)
     }
 
-    /// Reads the head of an answer; empty if the connection ended without one.
+    /// Reads the head of a response; empty if the connection was closed without one.
     pub fn read_head(&mut self) -> Head {
         read_head(&mut self.stream).ok().flatten().unwrap_or_default()
     }
 
-    /// Reads an answer.
+    /// Reads a response.
     pub fn read_response(&mut self) -> Got {
         let head = self.read_head();
         match read_body(&mut self.stream, &head, true) {
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Reads some bytes of a body; none if the connection has ended.
+    /// Reads the next available bytes of a body; none if the connection is closed or the read times out.
     pub fn read_some(&mut self) -> Vec<u8> {
         let mut buf = [0; 4096];
         let n = self.stream.read(&mut buf).unwrap_or(0);
         buf[..n].to_vec()
     }
 
-    /// Says whether the other end has closed, and waits for it; one that only says nothing has not.
+    /// Waits until the peer closes the connection; returns `false` if bytes arrive or the read times out instead.
     pub fn wait_closed(&mut self) -> bool {
         match self.stream.read(&mut [0]) {
             Ok(n) => n == 0,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Sends a request on a connection of its own and reads the answer.
+/// Sends a request on a new connection and reads the response.
 pub fn request(addr: SocketAddr, bytes: &[u8]) -> Got {
     let no_response = Got { head: Head::default(), body: Vec::new(), is_whole: false };
     let Ok(mut conn) = Conn::open(addr) else { return no_response };
@@ -101,7 +101,7 @@
     }
 }
 
-/// Gets a page.
+/// Sends a GET request and reads the response.
 pub fn get(addr: SocketAddr, path: &str) -> Got {
     request(addr, format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").as_bytes())
 }
--- a/standins/src/platform/engine.rs
+++ b/standins/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! A backend server of the platform: a model engine or a plain one, that does what a test plans.
+//! Test double of a backend server, a model engine or a plain service: it responds as the test's plan says.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -12,22 +12,22 @@
 /// A request as it arrived.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Id of the engine.
+    /// Id of the engine that received it.
     pub server: String,
-    /// Its head.
+    /// Head of the request.
     pub head: Head,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Whether the engine began to run it.
+    /// Whether the engine started to run it.
     pub was_run: bool,
-    /// Whether its connection was closed while the engine was at work.
+    /// Whether its connection was closed while the engine was processing it.
     pub caller_closed: bool,
     /// When it arrived.
     pub at: Instant,
 }
 
 impl Arrival {
-    /// Returns the id of the caller's attempt.
+    /// Returns the value of its `Attempt-Id` header.
     pub fn id(&self) -> &str {
         self.head.get("attempt-id").unwrap_or_default()
     }
@@ -36,40 +36,41 @@
 /// What an engine does with a request.
 #[derive(Clone, Debug)]
 pub enum Plan {
-    /// Answers with this status and body, signed.
+    /// Responds with this status and body, and the usual headers of an engine.
     Answer(u16, Vec<u8>),
-    /// Answers so after a time.
+    /// Responds so after a delay.
     Delayed(Duration, u16, Vec<u8>),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     RawBytes(Vec<u8>),
-    /// Runs it and crashes after a time, whoever waits: all its connections break, and nobody listens any more.
+    /// Runs it and crashes after a delay, even if the caller has disconnected: all connections break, and the engine
+    /// stops listening.
     Crash(Duration),
-    /// Says that it did not run it.
+    /// Responds with this status that the request was not run.
     NotRun(u16),
-    /// Says with 503 that it did not run it, with this delay as `Retry-After`.
+    /// Responds with 503 that the request was not run, with this delay as `Retry-After`.
     RetryAfter(Duration),
     /// Runs it and resets the connection.
     Reset,
-    /// Runs it and says nothing until the connection closes.
+    /// Runs it and sends no response until the caller closes the connection.
     Silent,
     /// Streams events.
     Stream(StreamPlan),
 }
 
-/// A streamed answer.
+/// A streamed response.
 #[derive(Clone, Debug)]
 pub struct StreamPlan {
-    /// Events in all.
+    /// Total number of events.
     pub events: u64,
-    /// Pause before each.
+    /// Delay before each event.
     pub pause: Duration,
-    /// The model's opinion, if it gives one.
+    /// Confidence that the model reports, if any.
     pub confidence: Option<u8>,
-    /// Breaks off after this many events, within the next.
+    /// Resets the connection after this many events, within the next one.
     pub cut_after: Option<u64>,
-    /// Goes silent after this many events.
+    /// Stops sending after this many events, with the connection open.
     pub silent_after: Option<u64>,
-    /// Whether the body's end is framed.
+    /// Whether the body is chunked; otherwise the end of the connection ends it.
     pub is_framed: bool,
 }
 
@@ -86,23 +87,23 @@
     }
 }
 
-/// What an engine is.
+/// Description of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Its id.
+    /// Id of the engine.
     pub id: String,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: String,
-    /// Version of its software.
+    /// Software version.
     pub version: String,
-    /// Models that it has.
+    /// Models that it serves.
     pub models: Vec<String>,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: String,
 }
 
 impl EngineSpec {
-    /// Makes an engine of a service: one of `models` has three of them.
+    /// Describes an engine of a service; an engine of the service `models` serves three models.
     pub fn new(id: &str, service: &str, version: &str, domain: &str) -> Self {
         let models: &[&str] = if service == "models" { &["s", "m", "l"] } else { &[] };
         Self {
@@ -115,12 +116,12 @@
     }
 }
 
-/// An engine that has just started.
+/// Cold period of an engine that has just started.
 #[derive(Clone, Copy, Debug)]
 struct Cold {
     since: Instant,
     until: Instant,
-    /// Requests within a second above which it crashes.
+    /// Number of requests within a second above which it crashes.
     max_per_second: usize,
 }
 
@@ -141,12 +142,12 @@
 
 type Planner = dyn Fn(&Arrival) -> Plan + Send + Sync;
 
-/// An engine that runs in this process. Clones share it.
+/// An engine that runs in this process. Clones share its state.
 #[derive(Clone)]
 pub struct Engine {
-    /// What it is.
+    /// Description of the engine.
     pub spec: EngineSpec,
-    /// Where it listens.
+    /// Address in its record: its own, or that of a proxy before it.
     pub addr: SocketAddr,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     running: Arc<AtomicUsize>,
@@ -157,7 +158,7 @@
     sockets: Arc<Sockets>,
 }
 
-/// What a crash closes.
+/// Sockets that a crash closes.
 #[derive(Debug)]
 struct Sockets {
     addr: SocketAddr,
@@ -167,14 +168,14 @@
 }
 
 impl Sockets {
-    /// Keeps a connection for the crash, under a number; `false` if that has come already.
+    /// Registers a connection, to be closed by a crash; returns `false` if the engine has crashed already.
     fn track(&self, number: u64, stream: &TcpStream) -> bool {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.extend(stream.try_clone().map(|stream| (number, stream)));
         !self.is_down.load(Ordering::SeqCst)
     }
 
-    /// Lets go of a connection: it is closed when nobody holds it any more.
+    /// Removes a connection, which is then closed with its last handle.
     fn untrack(&self, number: u64) {
         self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
     }
@@ -182,7 +183,7 @@
     fn close(&self) {
         self.is_down.store(true, Ordering::SeqCst);
         let listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).take();
-        // Wakes the thread that accepts, which then drops its own handle.
+        // Unblocks the accepting thread, which then drops its own handle.
         listener.map(|l| socket2::SockRef::from(&l).shutdown(Shutdown::Both));
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.drain().for_each(|(_, stream)| {
@@ -211,11 +212,11 @@
         Self::start_at(any, spec, Arc::new(Mutex::new(Arc::new(plan))))
     }
 
-    /// Starts an engine that crashed once more, as another one at the same address.
+    /// Starts a crashed engine again at the same address, under a new id.
     ///
     /// # Panics
     ///
-    /// If its port is taken.
+    /// If its port is in use.
     pub fn restart_as(&self, id: &str) -> Self {
         let spec = EngineSpec { id: id.to_owned(), ..self.spec.clone() };
         Self::start_at(self.listen_addr(), spec, self.plan.clone())
@@ -261,29 +262,29 @@
         engine
     }
 
-    /// Says whether it has crashed.
+    /// Returns whether it has crashed.
     pub fn is_down(&self) -> bool {
         self.sockets.is_down.load(Ordering::SeqCst)
     }
 
-    /// Breaks all its connections and listens no more.
+    /// Closes all connections and stops listening.
     pub fn crash(&self) {
         self.sockets.close();
     }
 
-    /// Plans something else from now on.
+    /// Replaces the plan for all later requests.
     pub fn set_plan(&self, plan: impl Fn(&Arrival) -> Plan + Send + Sync + 'static) {
         *self.plan.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(plan);
     }
 
-    /// Makes it cold for a time, in which it crashes if more requests than it `bears` come within a second.
+    /// Makes it cold for `duration`: it crashes if more than `max_per_second` requests arrive within a second.
     pub fn set_cold(&self, duration: Duration, max_per_second: usize) {
         let since = Instant::now();
         let cold = Cold { since, until: since + duration, max_per_second };
         *self.cold.lock().unwrap_or_else(PoisonError::into_inner) = Some(cold);
     }
 
-    /// Sets or clears the limit that it reports in its answers.
+    /// Sets or clears the rate limit that it reports in its responses.
     pub fn set_limit(&self, per_second: Option<f64>) {
         let limit =
             per_second.map(|per_second| ReportedLimit { per_second, since: Instant::now() });
@@ -294,7 +295,7 @@
         *self.limit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the arrival times of requests for it since its limit was set, relative to that time.
+    /// Returns the arrival times of requests addressed to it since its limit was set, relative to that time.
     pub fn arrivals_under_limit(&self) -> Vec<Duration> {
         let Some(limit) = self.limit() else { return Vec::new() };
         let is_addressed =
@@ -320,7 +321,7 @@
         (arrivals.iter().map(within).max().unwrap_or(0), allowed as usize)
     }
 
-    /// Announces in all answers from now on that it is leaving.
+    /// Announces in all later responses that it is leaving.
     pub fn announce_leaving(&self) {
         self.is_leaving.store(true, Ordering::SeqCst);
     }
@@ -330,7 +331,7 @@
         cold.filter(|cold| cold.until > Instant::now())
     }
 
-    /// Returns the most requests for it that arrived within any second while it was last cold.
+    /// Returns the maximum number of requests addressed to it within any second of its last cold period.
     pub fn max_per_second_while_cold(&self) -> usize {
         let cold = *self.cold.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(cold) = cold else { return 0 };
@@ -379,7 +380,7 @@
         }
     }
 
-    /// Answers a request; `false` if the connection is to be closed.
+    /// Responds to a request; returns `false` if the connection must be closed.
     fn answer(&self, out: &TcpStream, mut arrival: Arrival) -> bool {
         let expected = arrival.head.get("expect-instance").map(str::to_owned);
         let plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner).clone();
@@ -521,7 +522,7 @@
     out.write_all(&chunk)
 }
 
-/// Waits, and fails as soon as the other end has closed.
+/// Waits for `duration`; fails as soon as the peer closes the connection.
 fn wait_unless_closed(out: &TcpStream, duration: Duration) -> std::io::Result<()> {
     out.set_read_timeout(Some(duration.max(Duration::from_millis(1))))?;
     let mut buf = [0; 1];
@@ -530,10 +531,10 @@
     if is_closed { Err(std::io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
 }
 
-/// Makes the connection end with a reset once it is dropped.
+/// Makes the connection end with a TCP reset once it is dropped.
 pub(crate) fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
-    // Both ends of the test then see a reset; if the option fails they see a plain end.
+    // The peer then gets a reset; if the option cannot be set, it gets a normal close.
     socket.set_linger(Some(Duration::ZERO)).ok();
     stream.shutdown(std::net::Shutdown::Read).ok();
 }
--- a/standins/src/platform/fleet.rs
+++ b/standins/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes, before a store and engines that run here.
+//! Gateways as child processes, with a store and engines that run in the test process.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,12 +14,12 @@
 use crate::fleet::Process;
 use crate::tcp_proxy::TcpProxy;
 
-/// Longest wait for anything in a test.
+/// Maximum time to wait for a condition in a test.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Least port that a gateway gets: those below are for services that are known by them.
+/// Lowest port that a gateway gets; lower ports may belong to well-known services.
 const MIN_PORT: u16 = 10_000;
 
-/// First port that the system gives away where it does not say.
+/// First ephemeral port to assume if the system's range cannot be read.
 const DEFAULT_FIRST_EPHEMERAL_PORT: u16 = 32_768;
 
 const POLL: Duration = Duration::from_millis(5);
@@ -27,32 +27,32 @@
 /// A route of a test's configuration.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name and path, `/NAME/`.
+    /// Name, which is also its path: `/NAME/`.
     pub name: &'static str,
-    /// Service.
+    /// Service that it routes to.
     pub service: &'static str,
     /// `idempotent`, `non_idempotent` or `stream`.
     pub kind: &'static str,
-    /// Anything else, over the defaults.
+    /// Fields that replace or extend the defaults.
     pub overrides: Value,
 }
 
 /// A configuration as an operator writes it.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Its routes.
+    /// Routes.
     pub routes: Vec<Route>,
-    /// Customers and their keys.
+    /// Customers and their API keys.
     pub keys: Vec<(&'static str, Vec<&'static str>)>,
-    /// Limits, over the defaults.
+    /// Limits that replace or extend the defaults.
     pub limits: Value,
-    /// Routes beside those, to make it long; each takes about 200 bytes.
+    /// Number of unused routes, which make the configuration larger; each takes about 200 bytes.
     pub idle_routes: usize,
-    /// What it says of services.
+    /// Settings of services.
     pub services: Value,
-    /// Anything else that it says of each customer, over the defaults.
+    /// Fields that replace or extend those of each customer.
     pub customers: Value,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl Config {
-    /// Writes it as an operator does.
+    /// Returns it as the JSON text that an operator writes.
     pub fn text(&self) -> String {
         let mut routes: Vec<_> = self.routes.iter().map(route_json).collect();
         routes.extend((0..self.idle_routes).map(idle_route_json));
@@ -132,53 +132,53 @@
 /// A running gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    /// The process.
+    /// Process of the gateway.
     pub process: Process,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Address of the readiness check of the load balancer.
     pub ready: SocketAddr,
-    /// Where metrics are.
+    /// Address of the metrics.
     pub metrics: SocketAddr,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
 }
 
-/// A store, engines, and gateways before them.
+/// A store, engines, and gateways that use them.
 #[derive(Debug)]
 pub struct PlatformFleet {
     /// The store.
     pub store: Store,
-    /// The engines, in the order in which they were added.
+    /// Engines, in the order in which they were added.
     pub engines: Vec<Engine>,
-    /// Engines that crashed and were started anew, as they were before.
+    /// Crashed engines that were replaced, with the requests that they received.
     pub crashed: Vec<Engine>,
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    /// What earlier processes of gateways logged, by their numbers.
+    /// Log lines of earlier gateway processes, with the index of the gateway.
     pub earlier_lines: Vec<(usize, Vec<String>)>,
-    /// Ways to the engines, by id, if the fleet has any.
+    /// Proxies before the engines, by engine id; empty unless the fleet has proxies.
     pub engine_proxies: HashMap<String, TcpProxy>,
-    /// The way to the store, if the fleet has any.
+    /// Proxy before the store, if the fleet has proxies.
     pub store_proxy: Option<TcpProxy>,
     program: PathBuf,
     folder: PathBuf,
-    /// Bounds that differ from the defaults.
+    /// `bounds` settings that differ from the defaults.
     pub bounds: Value,
-    /// Regions of failure domains, as settings files name them.
+    /// Region of each failure domain, as in the settings files.
     pub regions: Value,
-    /// Address of all its hosts that no other fleet of any test has.
+    /// Loopback address of its gateways, which no other fleet uses.
     ip: Ipv4Addr,
-    /// Ports of its gateways there, for what they tell each other.
+    /// Peer ports of its gateways at that address.
     pub ports: Vec<u16>,
 }
 
 impl PlatformFleet {
-    /// Begins a fleet with a store and nothing else; `program` is the gateway's.
+    /// Creates a fleet with only a store; `program` is the path of the gateway's executable.
     ///
     /// # Panics
     ///
-    /// If no folder can be made for its settings.
+    /// If the folder for settings cannot be created.
     pub fn new(program: &str) -> Self {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let n = COUNT.fetch_add(1, Ordering::SeqCst);
@@ -201,14 +201,15 @@
         }
     }
 
-    /// Lays ways to the store and to each engine that is added from now on, which can be disturbed.
+    /// Adds a proxy that can inject faults before the store, and before each engine that is added later.
     ///
     /// # Panics
     ///
-    /// If no port can be opened.
+    /// If no port can be bound.
     #[must_use]
     pub fn with_proxies(mut self) -> Self {
-        self.store_proxy = Some(TcpProxy::start(self.store.addr).expect("a way to the store"));
+        self.store_proxy =
+            Some(TcpProxy::start(self.store.addr).expect("a proxy before the store"));
         self
     }
 
@@ -227,7 +228,7 @@
         self.engine_with_version(id, service, "v1", plan)
     }
 
-    /// Starts an engine of a version and registers it.
+    /// Starts an engine with a software version and registers it.
     pub fn engine_with_version(
         &mut self,
         id: &str,
@@ -249,7 +250,8 @@
         self.engine_from_spec(EngineSpec::new(id, service, "v1", domain), None, plan)
     }
 
-    /// Starts an engine that is cold for a time, in which it bears so many requests within a second, and registers it.
+    /// Starts an engine that is cold for a duration and crashes above a number of requests within a second of it, and
+    /// registers it.
     pub fn cold_engine(
         &mut self,
         id: &str,
@@ -264,7 +266,8 @@
         )
     }
 
-    /// Starts an engine, cold for a time if `cold` says so, and registers it.
+    /// Starts an engine and registers it; `cold` is the duration of its cold period and the maximum number of requests
+    /// within a second of it.
     pub fn engine_from_spec(
         &mut self,
         spec: EngineSpec,
@@ -276,7 +279,7 @@
         cold.iter()
             .for_each(|(duration, max_per_second)| engine.set_cold(*duration, *max_per_second));
         if self.store_proxy.is_some() {
-            let proxy = TcpProxy::start(engine.addr).expect("a way to the engine");
+            let proxy = TcpProxy::start(engine.addr).expect("a proxy before the engine");
             engine.addr = proxy.addr;
             self.engine_proxies.insert(id, proxy);
         }
@@ -285,13 +288,13 @@
         engine
     }
 
-    /// Orders a failure domain to be emptied, or takes that back.
+    /// Orders the evacuation of a failure domain, or cancels the order.
     pub fn order_evacuation(&self, domain: &str, is_ordered: bool) {
         let key = format!("evacuate/{domain}");
         self.store.put("keyed.op", &key, is_ordered.then_some("{}"));
     }
 
-    /// Starts the engines anew that have crashed, each as another one at its address.
+    /// Replaces each crashed engine by a new one at the same address, under a new id.
     pub fn replace_crashed(&mut self) {
         let (down, up) = std::mem::take(&mut self.engines).into_iter().partition(Engine::is_down);
         self.engines = up;
@@ -306,24 +309,23 @@
         }
     }
 
-    /// Writes an engine's record.
+    /// Writes the record of an engine to the store.
     pub fn register(&self, engine: &Engine, state: &str) {
         self.store.put("keyed.servers", &engine.spec.id, Some(&engine.record(state)));
     }
 
-    /// Removes an engine's record.
+    /// Removes the record of an engine from the store.
     pub fn unregister(&self, engine: &Engine) {
         self.store.put("keyed.servers", &engine.spec.id, None);
     }
 
-    /// Starts a gateway and waits until it listens; returns its number.
+    /// Starts a gateway and waits until it listens; returns its index.
     pub fn start(&mut self) -> usize {
         let store = self.store_proxy.as_ref().map_or(self.store.addr, |proxy| proxy.addr);
         self.start_with_store(store)
     }
 
-    /// Starts a gateway that finds the store at an address, and waits until it listens; returns its
-    /// number.
+    /// Starts a gateway that uses the store at `store`, and waits until it listens; returns its index.
     ///
     /// # Panics
     ///
@@ -339,14 +341,14 @@
         n
     }
 
-    /// Starts a gateway and waits until it is ready; returns its number.
+    /// Starts a gateway and waits until it is ready; returns its index.
     pub fn start_ready(&mut self) -> usize {
         let n = self.start();
         self.wait_ready(n);
         n
     }
 
-    /// Starts a gateway anew after its end.
+    /// Restarts a gateway whose process has ended.
     pub fn restart(&mut self, n: usize) {
         let settings = self.gateways[n].settings.clone();
         self.earlier_lines.push((n, self.gateways[n].process.lines()));
@@ -395,7 +397,7 @@
         }
     }
 
-    /// Returns what all processes of gateways have logged, each line with its gateway's number, by their times.
+    /// Returns the log lines of all gateway processes, each with the index of its gateway, sorted by time.
     pub fn lines(&self) -> Vec<String> {
         let present = self.gateways.iter().enumerate().map(|(n, g)| (n, g.process.lines()));
         let all = self.earlier_lines.iter().cloned().chain(present);
@@ -406,7 +408,7 @@
         lines
     }
 
-    /// Sends a request to a gateway: method, path, id, other header lines, body.
+    /// Sends a request to the gateway with index `n`; `id` is its `Attempt-Id`, and `headers` are further header lines.
     pub fn send(
         &self,
         n: usize,
@@ -424,7 +426,7 @@
         self.crashed.iter().chain(&self.engines).flat_map(Engine::arrivals).collect()
     }
 
-    /// Returns the requests of an id that engines ran.
+    /// Returns the requests with an `Attempt-Id` that engines ran.
     pub fn runs(&self, id: &str) -> Vec<Arrival> {
         self.arrivals().into_iter().filter(|a| a.was_run && a.id() == id).collect()
     }
@@ -436,7 +438,8 @@
     }
 }
 
-/// Writes a request of the customer `ani` that waits ten seconds.
+/// Returns the text of a request. Unless `headers` sets them, it has the key of the customer `ani` and a deadline of
+/// ten seconds.
 pub fn message(method: &str, path: &str, id: &str, headers: &str, body: &str) -> String {
     let key = if headers.contains("Credential:") { "" } else { "Credential: key-ani\r\n" };
     let deadline = if headers.contains("Deadline-Ms:") { "" } else { "Deadline-Ms: 10000\r\n" };
@@ -447,7 +450,7 @@
     )
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 ///
 /// # Panics
 ///
@@ -458,32 +461,33 @@
 
 /// Returns a loopback address for a fleet of this process.
 ///
-/// A gateway that comes back has the port that it had, and meanwhile nobody else may take it: on an address of its
-/// own, nobody else asks for ports.
+/// A restarted gateway uses the same port, which no other process may bind in the meantime. At an address that only
+/// this fleet uses, no other process binds ports.
 fn fleet_address(fleet: u32) -> Ipv4Addr {
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 64 + high % 128, low, 1 + (fleet % 250) as u8)
 }
 
-/// Returns the first port that the system gives to who asks for any.
+/// Returns the first port of the system's ephemeral range.
 fn first_ephemeral_port() -> u16 {
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let first = range.ok().and_then(|text| text.split_whitespace().next()?.parse().ok());
     first.unwrap_or(DEFAULT_FIRST_EPHEMERAL_PORT)
 }
 
-/// Returns a port of a fleet's own address that nobody else is given.
+/// Returns a port below the ephemeral range that no other gateway of the fleet uses.
 ///
-/// It is not tried out here. The pages of another gateway at the address ask for any port, and may be given one that was
-/// let go; and a process that another test starts at that moment holds a socket of the trial until it runs its own
-/// program. Either way a gateway ended at its start with "Address already in use".
+/// It does not test the port with a bind. The system could assign a port that is bound and released here to the metrics
+/// listener of another gateway, which binds port 0. A process that another test forks at that moment would also keep
+/// the test socket until it runs its own program. In both cases a gateway failed to start with "Address already in
+/// use".
 fn unused_port(used: &[u16]) -> u16 {
     let ports = std::iter::repeat_with(|| fastrand::u16(MIN_PORT..first_ephemeral_port()));
     let mut free = ports.filter(|port| !used.contains(port));
     free.next().expect("an endless choice")
 }
 
-/// Says whether something holds before long.
+/// Waits until a condition holds; returns `false` if it does not hold in time.
 pub fn eventually(holds: impl Fn() -> bool) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < TIMEOUT {
--- a/standins/src/platform/http.rs
+++ b/standins/src/platform/http.rs
@@ -1,38 +1,38 @@
-//! Just enough of HTTP/1.1 to read and write messages as bytes.
+//! A minimal HTTP/1.1 parser for messages that tests read and write as bytes.
 
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// Headers in a head at most.
+/// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 100;
 
-/// The head of a request or an answer.
+/// The head of a request or a response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Head {
     /// The first line.
     pub line: String,
-    /// Names in lowercase, and values.
+    /// Header names in lowercase, and their values.
     pub headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// Returns a header's value.
+    /// Returns the value of a header.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Returns a part of the first line, by its number.
+    /// Returns the `n`th space-separated part of the first line, counted from 0; empty if there is none.
     pub fn line_part(&self, n: usize) -> &str {
         self.line.split(' ').nth(n).unwrap_or_default()
     }
 
-    /// Returns an answer's status; 0 if there is none.
+    /// Returns the status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.line_part(1).parse().unwrap_or(0)
     }
 }
 
-/// Reads a head; `None` if the connection ended before one began.
+/// Reads a head; `None` if the connection was closed before the first line.
 pub(crate) fn read_head(stream: &mut BufReader<TcpStream>) -> io::Result<Option<Head>> {
     let mut head = Head::default();
     loop {
@@ -56,7 +56,8 @@
     }
 }
 
-/// Reads a body as its head frames it; one without a frame ends with the connection if `to_end`.
+/// Reads a body with the framing that its head declares. Without framing, reads until the connection is closed if
+/// `to_end` is set, and otherwise nothing.
 pub(crate) fn read_body(
     stream: &mut BufReader<TcpStream>,
     head: &Head,
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The users' platform: its store, its engines, its callers, and gateways as processes before them.
+//! Test doubles of the platform: its store, its engines and its callers, with gateways as child processes.
 //!
-//! Blocking threads and raw sockets, so that a test sees and sends the very bytes.
+//! They use blocking threads and raw sockets, so that a test controls each byte on the wire.
 
 mod caller;
 mod engine;
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: a log of topics, some of which keep the newest record of each key.
+//! Test double of the platform's store: an append-only log per topic, with the latest record of each key.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::{BufReader, Write};
@@ -10,28 +10,28 @@
 
 use super::http::{Head, read_body, read_head};
 
-/// Kilobytes that a read returns where it does not say.
+/// Maximum kilobytes that a read returns if the request sets no limit.
 const DEFAULT_READ_KB: u64 = 1_024;
 
-/// Splits the target of a call into its path and its query.
+/// Splits the target of a request into its path and its query parameters.
 fn split_target(head: &Head) -> (&str, HashMap<&str, &str>) {
     let (path, query) = head.line_part(1).split_once('?').unwrap_or((head.line_part(1), ""));
     (path, query.split('&').filter_map(|pair| pair.split_once('=')).collect())
 }
 
-/// How the store misbehaves.
+/// Fault that the store injects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It answers 503 and does nothing.
+    /// Responds with 503 to each request and does nothing else.
     Busy,
-    /// Appends are done and not answered; reads go on.
+    /// Performs appends, but closes the connection without a response; reads work.
     LosesAppends,
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// It resets connections.
+    /// Resets the connection of each request.
     Resets,
-    /// It takes calls and never answers.
+    /// Accepts requests and sends no response.
     Silent,
 }
 
@@ -46,21 +46,21 @@
 struct State {
     topics: HashMap<String, Topic>,
     fault: StoreFault,
-    /// Topics that are not answered for.
+    /// Topics for which each request gets a 503.
     busy: HashSet<String>,
     calls: Vec<String>,
-    /// How often it has come back from a copy.
+    /// Number of restores from a snapshot.
     era: u32,
 }
 
-/// A copy of all that a store has.
+/// A snapshot of all topics of a store.
 #[derive(Clone, Debug)]
 pub struct StoreSnapshot(HashMap<String, Topic>);
 
-/// A store that runs in this process. Clones share it.
+/// A store that runs in this process. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
@@ -72,7 +72,7 @@
     ///
     /// # Panics
     ///
-    /// If no port can be opened.
+    /// If no port can be bound.
     pub fn start() -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let addr = listener.local_addr().expect("an address");
@@ -91,13 +91,13 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets how it misbehaves from now on.
+    /// Sets the fault for all later requests.
     pub fn set_fault(&self, fault: StoreFault) {
         self.lock().fault = fault;
         self.state.1.notify_all();
     }
 
-    /// Sets whether it answers calls on a topic with 503 and does nothing.
+    /// Sets whether requests for a topic get a 503 and have no effect.
     pub fn set_busy(&self, topic: &str, is_busy: bool) {
         let mut state = self.lock();
         match is_busy {
@@ -106,27 +106,27 @@
         };
     }
 
-    /// Writes a record as the operator or an engine would; without a value the key is dropped.
+    /// Appends a record as the operator or an engine would; without a value it deletes the key.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         self.lock().append(topic, vec![encode_record(key, value.unwrap_or_default())]);
         self.state.1.notify_all();
     }
 
-    /// Writes records of one key, which come all at once however busy this host is.
+    /// Appends records of one key atomically, so that a read returns all of them even on a loaded machine.
     pub fn put_all(&self, topic: &str, key: &str, values: &[String]) {
         let records = values.iter().map(|value| encode_record(key, value)).collect();
         self.lock().append(topic, records);
         self.state.1.notify_all();
     }
 
-    /// Returns the newest value of a key.
+    /// Returns the latest value of a key.
     pub fn newest(&self, topic: &str, key: &str) -> Option<String> {
         let state = self.lock();
         let (value, _) = state.topics.get(topic)?.newest.get(key)?;
         Some(String::from_utf8_lossy(value).into_owned())
     }
 
-    /// Returns the values that all records of a key had, the oldest first.
+    /// Returns the values of all records of a key, oldest first.
     pub fn values(&self, topic: &str, key: &str) -> Vec<String> {
         let state = self.lock();
         let records = state.topics.get(topic).map(|t| t.records.as_slice()).unwrap_or_default();
@@ -134,7 +134,7 @@
         of_key.map(|(_, value)| String::from_utf8_lossy(value).into_owned()).collect()
     }
 
-    /// Forgets the records of a topic; the newest of each key stays.
+    /// Removes the records of a topic from its log; the latest value of each key stays.
     pub fn drop_records(&self, topic: &str) {
         let mut state = self.lock();
         let topic = state.topics.entry(topic.to_owned()).or_default();
@@ -142,12 +142,12 @@
         topic.records.clear();
     }
 
-    /// Makes a copy of what it has.
+    /// Returns a snapshot of all topics.
     pub fn snapshot(&self) -> StoreSnapshot {
         StoreSnapshot(self.lock().topics.clone())
     }
 
-    /// Comes back from a copy: what was written since is gone, and its offsets are given out again.
+    /// Restores a snapshot: later records are lost, and their offsets are assigned again.
     pub fn restore(&self, snapshot: &StoreSnapshot) {
         let mut state = self.lock();
         state.topics = snapshot.0.clone();
@@ -162,7 +162,7 @@
         state.topics.get(topic).map(|t| t.newest.keys().cloned().collect()).unwrap_or_default()
     }
 
-    /// Returns the calls so far, as method and target.
+    /// Returns all requests so far, each as its method and target.
     pub fn calls(&self) -> Vec<String> {
         self.lock().calls.clone()
     }
@@ -289,7 +289,7 @@
         self.append(topic, records)
     }
 
-    /// Returns records of about `max` bytes in all, but one at least.
+    /// Returns records of up to `max` bytes in total, but at least one; `None` if there are none from this offset.
     fn read(&self, name: &str, from: u64, max: usize) -> Option<Reply> {
         let topic = self.topics.get(name)?;
         if from < topic.first || from > topic.end() {
@@ -315,7 +315,7 @@
     }
 
     fn page(&self, name: &str, after: Option<&str>) -> Reply {
-        // Small pages, so that reading on is tried, too.
+        // Small pages, so that tests cover pagination.
         const PAGE: usize = 3;
         let empty = Topic::default();
         let topic = self.topics.get(name).unwrap_or(&empty);
@@ -341,7 +341,7 @@
     }
 }
 
-/// Reads what was escaped in a query.
+/// Decodes percent-encoding in a query parameter.
 fn percent_decoded(text: &str) -> String {
     let mut bytes = Vec::new();
     let mut rest = text.as_bytes();
@@ -384,7 +384,7 @@
     text
 }
 
-/// Closes a connection so that the other end sees a reset.
+/// Sets a connection to end with a TCP reset when it is dropped.
 fn reset(stream: &TcpStream) {
     super::engine::reset_on_close(stream);
 }
