--- a/src/bin/redwingfold-ctl.rs
+++ b/src/bin/redwingfold-ctl.rs
@@ -1,4 +1,4 @@
-//! The operator's tool.
+//! Command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/src/bin/redwingfold-entry.rs
+++ b/src/bin/redwingfold-entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon.
+//! The entry daemon, which receives requests from callers.
 
 use redwingfold::settings::EntrySettings;
 use redwingfold::{daemon_main, run_entry};
--- a/src/bin/redwingfold-load.rs
+++ b/src/bin/redwingfold-load.rs
@@ -1,4 +1,4 @@
-//! The load tool.
+//! The load generator.
 
 use std::process::ExitCode;
 
--- a/src/bin/redwingfold-side.rs
+++ b/src/bin/redwingfold-side.rs
@@ -1,4 +1,4 @@
-//! The side daemon.
+//! The side daemon, which runs on the host of the backend servers.
 
 use redwingfold::settings::SideSettings;
 use redwingfold::{daemon_main, run_side};
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,10 +1,10 @@
-//! The present, as the core wants it.
+//! Clocks and timers, in the units of `redwingfold-core`.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use redwingfold_core::Millis;
 
-/// A clock that never goes back, for spans and deadlines within this process.
+/// A monotonic clock, for durations and deadlines within this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -17,23 +17,23 @@
 }
 
 impl Clock {
-    /// Returns the time since the clock was made.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Millis {
         Millis(self.origin.elapsed().as_millis() as u64)
     }
 }
 
-/// Returns the time since 1970, for records that other hosts read.
+/// Returns the time since the Unix epoch, for records that other hosts read.
 pub fn unix_time() -> Millis {
     Millis(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64))
 }
 
-/// Converts a span for timers.
+/// Converts milliseconds to a [`Duration`].
 pub fn to_duration(millis: Millis) -> Duration {
     Duration::from_millis(millis.0)
 }
 
-/// Waits for a future, at most for a span; `None` if the span ended first.
+/// Runs a future with a timeout. Returns `None` if the timeout expires first.
 pub async fn with_timeout<T>(limit: Millis, future: impl Future<Output = T>) -> Option<T> {
     let timed_out = async {
         smol::Timer::after(to_duration(limit)).await;
@@ -42,8 +42,8 @@
     smol::future::or(async { Some(future.await) }, timed_out).await
 }
 
-/// Returns a span between half of `millis` and all of it, so that daemons which began together do
-/// not stay in step.
+/// Returns a random duration between half of `millis` and all of it, so that daemons that start at
+/// the same time do not repeat their work at the same time.
 pub fn jittered(millis: Millis) -> Duration {
     let half = millis.0 / 2;
     Duration::from_millis(half + fastrand::u64(0..=half.max(1)))
--- a/src/ctl/args.rs
+++ b/src/ctl/args.rs
@@ -1,125 +1,127 @@
-//! The command line.
+//! Command line of `redwingfold-ctl`.
 
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand};
 use redwingfold_core::{ObjectKey, Offset, RequestId, VersionName};
 
-/// The operator's tool of redwingfold.
+/// Command-line tool for operators of redwingfold.
 #[derive(Debug, Parser)]
 #[command(name = "redwingfold-ctl", version)]
 pub struct Args {
-    /// Settings file, JSON.
+    /// Settings file (JSON).
     #[arg(long, short, global = true, default_value = "redwingfold-ctl.json")]
     pub settings: PathBuf,
     /// Print JSON instead of tables.
     #[arg(long, global = true)]
     pub json: bool,
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// Commands of `redwingfold-ctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// List changes: who, when, why, and what became of them.
+    /// List changes to the configuration: author, time, reason and verdict.
     Audit {
-        /// Changes to list, the newest.
+        /// Number of changes to list, newest last.
         #[arg(long, default_value_t = 50)]
         limit: usize,
     },
     /// Add up the billing records by customer and version.
     Bills,
-    /// Check objects in files against what is in force.
+    /// Validate the objects in files, together with the configuration in force.
     Check {
-        /// Files or folders of JSON objects.
+        /// JSON files with objects, or directories of such files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Show what each selector matches.
+        /// Show the objects that each selector matches.
         #[arg(long)]
         explain: bool,
-        /// Check the files by themselves, without the log service.
+        /// Validate the files on their own, without the log service.
         #[arg(long)]
         offline: bool,
     },
-    /// Print completions for a shell.
+    /// Print shell completions.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
     /// Show what publishing files would change.
     Diff {
-        /// Files or folders of JSON objects.
+        /// JSON files with objects, or directories of such files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Show what was decided about a request, and from what.
+    /// Show the routing decisions for a request, and their inputs.
     Explain {
-        /// The request's id, as its answer carried it.
+        /// Request ID, as returned with the response.
         request: RequestId,
     },
-    /// Print the SHA-256 of a customer's key, as it goes into the configuration.
+    /// Print the SHA-256 hash of a customer's key, for use in the configuration.
     Hash {
         /// The key.
         key: String,
     },
-    /// Make the fleet's authority, and a certificate for each name.
+    /// Issue a certificate for each name, and create the fleet's certificate authority if needed.
     Keys {
-        /// Folder for the files.
+        /// Directory for the files.
         #[arg(long)]
         out: PathBuf,
-        /// Names of hosts and of operators' desks.
+        /// Names of hosts, and of operators' machines.
         #[arg(required = true)]
         names: Vec<String>,
     },
-    /// Publish the objects of files.
+    /// Publish the objects in files.
     Publish(Publish),
     /// Show the objects in force.
     Show {
-        /// Kind, or kind/name.
+        /// Kind or kind/name of the objects; all objects by default.
         selector: Option<String>,
     },
-    /// Show what each daemon has in force, and what is loaded where.
+    /// Show the configuration in force on each daemon, and the versions loaded on each backend
+    /// server.
     Status,
-    /// Take a version out of service, now.
+    /// Withdraw a version from service immediately.
     Withdraw(Withdraw),
 }
 
-/// Publish the objects of files.
+/// Publish the objects in files.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Publish {
-    /// Files or folders of JSON objects.
+    /// JSON files with objects, or directories of such files.
     pub files: Vec<PathBuf>,
-    /// Who publishes.
+    /// Author of the change.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub author: String,
-    /// Why.
+    /// Reason for the change, for the audit log.
     #[arg(long, short)]
     pub reason: String,
-    /// Offset that you have looked at: the change is refused if its objects have moved since.
+    /// Offset of the configuration that the change is based on. The change is rejected if one of
+    /// its objects has a newer revision.
     #[arg(long)]
     pub at: Option<Offset>,
     /// Objects to remove, as kind/name.
     #[arg(long)]
     pub delete: Vec<ObjectKey>,
-    /// Publish although a selector matches nothing.
+    /// Publish even if a selector matches nothing.
     #[arg(long)]
     pub allow_empty: bool,
 }
 
-/// Take a version out of service.
+/// Withdraw a version from service.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Withdraw {
-    /// The version.
+    /// Version to withdraw.
     pub version: VersionName,
-    /// Who withdraws it.
+    /// Author of the withdrawal.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub author: String,
-    /// Why.
+    /// Reason for the withdrawal, for the audit log.
     #[arg(long, short)]
     pub reason: String,
-    /// Cut its streams under way; without this they run to their end.
+    /// Cancel its streams in flight. By default, they run to their end.
     #[arg(long)]
     pub cut: bool,
 }
--- a/src/ctl/audit.rs
+++ b/src/ctl/audit.rs
@@ -1,4 +1,4 @@
-//! Who changed what, when and why.
+//! The `audit` command: lists changes to the configuration with author, time and reason.
 
 use redwingfold_core::{AuditEntry, Verdict};
 
--- a/src/ctl/bills.rs
+++ b/src/ctl/bills.rs
@@ -1,4 +1,4 @@
-//! Adding up the billing records, as their consumers do.
+//! The `bills` command: adds up the billing records, with the same rules as their consumers.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 const MAX_PAGE_RECORDS: usize = 500;
 
-/// Adds up the retained billing records by customer and version.
+/// Adds up the billing records that the log retains, by customer and version.
 pub(crate) async fn bills(ctl: &Ctl) -> eyre::Result<Exit> {
     let mut fold = BillFold::default();
     let mut from = Offset(1);
--- a/src/ctl/check.rs
+++ b/src/ctl/check.rs
@@ -1,4 +1,4 @@
-//! Checking objects before they are published.
+//! The `check` command: validates objects before they are published.
 
 use std::path::PathBuf;
 
@@ -10,14 +10,14 @@
 use super::objects::read_objects;
 use super::table::{print_json, print_table};
 
-/// What a check found: the code of the closed table, and where.
+/// A problem found by a check: its error code, and a message that says where it is.
 #[derive(Clone, Debug)]
 pub(crate) struct Finding {
     pub(crate) kind: ErrorKind,
     pub(crate) message: String,
 }
 
-/// Returns what is wrong with a configuration.
+/// Returns the problems in a configuration, including selectors that match nothing.
 pub(crate) fn find_problems(config: &Config) -> Vec<Finding> {
     let objects = config.problems().into_iter();
     let objects = objects.map(|message| Finding { kind: ErrorKind::BadObject, message });
@@ -29,7 +29,8 @@
     objects.chain(empty).collect()
 }
 
-/// Checks the objects of files, as if they were published now.
+/// Validates the objects in files as if they were published now. Without `ctl`, they are validated
+/// on their own.
 pub(crate) async fn check_files(
     ctl: Option<&Ctl>,
     files: &[PathBuf],
--- a/src/ctl/context.rs
+++ b/src/ctl/context.rs
@@ -1,4 +1,4 @@
-//! What the commands share.
+//! State common to the commands, and calls to the daemons.
 
 use redwingfold_core::Config;
 use redwingfold_http::Client;
@@ -15,7 +15,7 @@
 
 const CALL_TIMEOUT: redwingfold_core::Millis = redwingfold_core::Millis(2_000);
 
-/// What the commands share.
+/// State common to the commands.
 pub(crate) struct Ctl {
     pub(crate) json: bool,
     pub(crate) store: ConfigStore,
@@ -24,7 +24,7 @@
     tls: TlsConfigs,
 }
 
-/// What a daemon said, or why it said nothing.
+/// A host with its reply, or with the reason why there is none.
 pub(crate) type HostReply = (HostRecord, Result<Reply, String>);
 
 impl Ctl {
@@ -39,13 +39,13 @@
         })
     }
 
-    /// Reads the configuration in force from the log.
+    /// Reads the log to its end and returns the configuration in force.
     pub(crate) async fn config(&self) -> eyre::Result<std::sync::Arc<Config>> {
         read_all(&self.store, &self.log).await.map_err(|e| eyre::eyre!("{e}"))?;
         Ok(self.store.current())
     }
 
-    /// Asks every daemon of the host list, all at once.
+    /// Calls all daemons in the host list for which `is_wanted` holds, concurrently.
     pub(crate) async fn call_hosts(
         &self,
         request: &Call,
@@ -83,12 +83,12 @@
     call(&conn, request, CALL_TIMEOUT).await.map_err(|e| e.to_string())
 }
 
-/// Reads a reply that is JSON; an empty one is null.
+/// Decodes a JSON reply. An empty one is decoded as null.
 pub(crate) fn decode_json_reply(reply: &Result<Reply, String>) -> Result<Value, String> {
     match reply {
         Ok(Reply::Json(json)) if json.is_empty() => Ok(Value::Null),
         Ok(Reply::Json(json)) => serde_json::from_slice(json).map_err(|e| e.to_string()),
-        Ok(other) => Err(format!("answers {other:?}")),
+        Ok(other) => Err(format!("unexpected reply {other:?}")),
         Err(reason) => Err(reason.clone()),
     }
 }
--- a/src/ctl/explain.rs
+++ b/src/ctl/explain.rs
@@ -1,4 +1,4 @@
-//! What was decided about a request, and from what.
+//! The `explain` command: shows the routing decisions for a request, and their inputs.
 
 use redwingfold_core::RequestId;
 use serde_json::Value;
@@ -8,7 +8,7 @@
 use super::table::{print_json, print_table};
 use crate::wire::Call;
 
-/// Asks the entries for a request's decision.
+/// Calls all entries and shows the decision trace of a request.
 pub(crate) async fn explain(ctl: &Ctl, request: RequestId) -> eyre::Result<Exit> {
     let replies = ctl.call_hosts(&Call::Explain(request), |host| !host.is_side()).await?;
     let unanswered = replies.iter().filter(|(_, reply)| reply.is_err()).count();
@@ -17,7 +17,7 @@
         _ => None,
     });
     let Some((host, decision)) = found else {
-        eprintln!("no entry remembers {request}; {unanswered} did not answer");
+        eprintln!("no entry has a decision for {request}; {unanswered} entries did not answer");
         return Ok(if unanswered > 0 { Exit::Unknown } else { Exit::Found });
     };
     if ctl.json {
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's tool.
+//! `redwingfold-ctl`, the command-line tool for operators.
 
 mod args;
 mod audit;
@@ -17,16 +17,16 @@
 use clap::CommandFactory;
 use context::Ctl;
 
-/// How a command ended, as the process's exit code.
+/// Outcome of a command, with its exit code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Ok = 0,
-    /// The change was rejected; somebody was faster, or it does not make sense.
+    /// The change was rejected: it is not valid, or another operator has changed the same object.
     Rejected = 3,
-    /// A service or a daemon cannot be reached, so that the outcome is not known.
+    /// A service or daemon is unreachable, so the outcome is unknown.
     Unknown = 4,
-    /// The check found something.
+    /// The check found problems, or no entry has a decision for the request.
     Found = 5,
 }
 
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// If the settings or files cannot be read; the message says which and why.
+/// If the settings or other files cannot be read. The message names the file and the reason.
 pub async fn run(args: Args) -> eyre::Result<Exit> {
     match &args.command {
         Command::Completions { shell } => {
--- a/src/ctl/objects.rs
+++ b/src/ctl/objects.rs
@@ -1,4 +1,4 @@
-//! Reading objects from files.
+//! Reads configuration objects from files.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -7,12 +7,13 @@
 use redwingfold_core::{Object, ObjectKey};
 use sha2::{Digest, Sha256};
 
-/// Returns the SHA-256 of a customer's key.
+/// Returns the SHA-256 hash of a customer's key, in hexadecimal.
 pub(crate) fn key_sha256(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Reads the objects of files, and of the JSON files in folders; each file holds a list.
+/// Reads the objects in files, and in the `*.json` files of directories. Each file contains a list
+/// of objects. An object that occurs twice is an error.
 pub(crate) fn read_objects(paths: &[PathBuf]) -> eyre::Result<Vec<Object>> {
     let mut files = Vec::new();
     for path in paths {
@@ -32,7 +33,11 @@
         for object in read_file(&file)? {
             let key = object.key();
             if let Some(first_file) = file_of_key.insert(key.clone(), file.clone()) {
-                eyre::bail!("{}: {key} stands in {} too", file.display(), first_file.display());
+                eyre::bail!(
+                    "{}: {key} is already defined in {}",
+                    file.display(),
+                    first_file.display()
+                );
             }
             objects.push(object);
         }
--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -1,4 +1,5 @@
-//! Publishing changes, and reading their verdict back.
+//! The `diff`, `publish` and `withdraw` commands: append changes to the log and read their verdicts
+//! back.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -21,10 +22,11 @@
 use crate::platform::{LogError, stream};
 use crate::wire::{Call, Reply};
 
-/// Tries to append a record and read it back.
+/// Most attempts to append a record and read it back.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// Newest records that daemons are given directly; one that lacks more reads them from the log.
+/// Number of newest records that are sent to the daemons directly. A daemon that lacks older ones
+/// reads them from the log.
 const MAX_PUSHED_RECORDS: usize = 32;
 
 const RETRY_DELAY: Millis = Millis(500);
@@ -66,7 +68,7 @@
     text.lines().map(|line| format!("  {prefix}{line}")).collect::<Vec<_>>().join("\n")
 }
 
-/// Publishes the objects of files.
+/// Publishes the objects in files.
 pub(crate) async fn publish(ctl: &Ctl, args: &Publish) -> eyre::Result<Exit> {
     let config = ctl.config().await?;
     let put = changed_objects(&config, &read_objects(&args.files)?);
@@ -92,7 +94,7 @@
     if let Some(at) = args.at
         && let Some((key, current)) = expects.iter().find(|(_, revision)| **revision > at)
     {
-        eprintln!("revision_moved: {key} is at revision {current}, you looked at offset {at}");
+        eprintln!("revision_moved: {key} is at revision {current}, newer than offset {at}");
         return Ok(Exit::Rejected);
     }
     let record = Record::Change(Change {
@@ -111,7 +113,7 @@
     config.objects.get(key).map_or(Offset(0), |stored| stored.revision)
 }
 
-/// Takes a version out of service.
+/// Withdraws a version from service.
 pub(crate) async fn withdraw(ctl: &Ctl, args: &Withdraw) -> eyre::Result<Exit> {
     let record = Record::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
@@ -127,11 +129,11 @@
     submit(ctl, &record).await
 }
 
-/// Appends a record and reports its verdict.
+/// Appends a record and prints its verdict.
 ///
-/// A record is accepted only once it has been read back with its verdict: the answer to the append
-/// can be lost, and another operator can be faster. Appending again is safe, because a second copy
-/// of an id has no effect.
+/// The verdict is known only after the record has been read back: the response to the append can be
+/// lost, and another operator may have changed the same object first. Retrying the append is safe,
+/// because a second record with the same id has no effect.
 async fn submit(ctl: &Ctl, record: &Record) -> eyre::Result<Exit> {
     let json = serde_json::to_vec(record)?;
     let mut last_error = String::new();
@@ -157,15 +159,18 @@
         }
         Timer::after(to_duration(pause)).await;
     }
-    eprintln!("unknown: {last_error}; change {} may take effect yet: see audit", record.id());
+    eprintln!(
+        "unknown: {last_error}; change {} may still take effect: check with audit",
+        record.id()
+    );
     Ok(Exit::Unknown)
 }
 
-/// Gives the newest records to every daemon that can be reached.
+/// Sends the newest records to every reachable daemon.
 ///
-/// The log service can go away right after it took the record, before any daemon has read it: a
-/// withdrawal would then be accepted and in force nowhere. Here it needs no more than one daemon
-/// in reach, since daemons tell each other.
+/// The log service can become unavailable right after it accepted the record, before any daemon has
+/// read it. A withdrawal would then be accepted but in force nowhere. Sending it to one reachable
+/// daemon is enough, as daemons forward records to each other.
 async fn push_newest_records(ctl: &Ctl) {
     let Catchup::Records(mut records) = ctl.store.after(Offset(0)) else { return };
     records.drain(..records.len().saturating_sub(MAX_PUSHED_RECORDS));
@@ -179,7 +184,7 @@
                 eprintln!("in force on {reached} of {} daemons so far", replies.len());
             }
         }
-        Err(e) => eprintln!("daemons not told directly: {e}"),
+        Err(e) => eprintln!("the change was not sent to the daemons directly: {e}"),
     }
 }
 
--- a/src/ctl/show.rs
+++ b/src/ctl/show.rs
@@ -1,10 +1,10 @@
-//! Showing the objects in force.
+//! The `show` command: shows the objects in force.
 
 use super::Exit;
 use super::context::Ctl;
 use super::table::{print_json, print_table};
 
-/// Shows the objects of a kind, or one object, or all.
+/// Shows all objects, the objects of one kind, or one object.
 pub(crate) async fn show(ctl: &Ctl, selector: Option<&str>) -> eyre::Result<Exit> {
     let config = ctl.config().await?;
     let is_selected = |key: &redwingfold_core::ObjectKey| match selector {
@@ -14,7 +14,9 @@
     let found: Vec<_> = config.objects.iter().filter(|(key, _)| is_selected(key)).collect();
     let is_single = selector.is_some_and(|text| text.contains('/'));
     match found.as_slice() {
-        [] if selector.is_some() => eyre::bail!("no object is {}", selector.unwrap_or_default()),
+        [] if selector.is_some() => {
+            eyre::bail!("no object matches {}", selector.unwrap_or_default())
+        }
         [(_, stored)] if is_single => print_json(stored)?,
         _ if ctl.json => {
             let objects: Vec<_> = found.iter().map(|(_, stored)| stored).collect();
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -1,4 +1,5 @@
-//! What each daemon has in force, and what is loaded where.
+//! The `status` command: shows the configuration in force on each daemon, and the versions loaded
+//! on each backend server.
 
 use serde_json::{Value, json};
 
@@ -7,7 +8,7 @@
 use super::table::{print_json, print_table};
 use crate::wire::Call;
 
-/// Asks every daemon for its state.
+/// Calls all daemons for their state.
 pub(crate) async fn status(ctl: &Ctl) -> eyre::Result<Exit> {
     let replies = ctl.call_hosts(&Call::Status, |_| true).await?;
     let any_unanswered = replies.iter().any(|(_, reply)| reply.is_err());
--- a/src/ctl/table.rs
+++ b/src/ctl/table.rs
@@ -1,9 +1,9 @@
-//! Tables for people.
+//! Output as tables or JSON.
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
 
-/// Prints rows under a head.
+/// Prints a table with a header row.
 pub(crate) fn print_table(header: &[&str], rows: Vec<Vec<String>>) {
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header(header.to_vec());
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,5 @@
-//! What every daemon has: who it is, the configuration, and the platform's services.
+//! State common to the entry and side daemons: identity, configuration, and clients for the
+//! platform's services.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -16,7 +17,7 @@
 use crate::wire::{Hello, PROTOCOL, Role};
 use redwingfold_telemetry::Telemetry;
 
-/// What every daemon has.
+/// State common to the entry and side daemons.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) host: HostId,
@@ -35,14 +36,14 @@
     pub(crate) traffic: PeerTraffic,
 }
 
-/// Bytes of UDP payload on the connections to peers.
+/// Bytes of UDP payload sent and received on the connections to peers.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTraffic {
     pub(crate) sent: AtomicU64,
     pub(crate) received: AtomicU64,
 }
 
-/// The newest host list, and a signal when it changes.
+/// The newest host list, and an event that signals changes to it.
 #[derive(Debug, Default)]
 pub(crate) struct HostView {
     current: ArcSwap<Vec<HostRecord>>,
@@ -54,7 +55,8 @@
         self.current.load_full()
     }
 
-    /// Returns a future that ends at the next change; take it before looking at the present.
+    /// Returns a future that completes at the next change. Call this before [`Self::current`]: a
+    /// change between the two calls would otherwise be missed.
     pub(crate) fn changed(&self) -> EventListener {
         self.changed_event.listen()
     }
@@ -108,14 +110,14 @@
         }
     }
 
-    /// Says whether this daemon reads the log for others in its failure domain.
+    /// Returns whether this daemon reads the log for the others in its failure domain.
     pub(crate) fn is_reader(&self) -> bool {
         let members: Vec<_> = self.hosts.current().iter().map(HostRecord::member).collect();
         let own = Member { host: self.host.clone(), domain: self.domain.clone() };
         is_log_reader(&own, &members, self.log_settings.readers_per_domain)
     }
 
-    /// Follows the host list for ever. An outage leaves the last list in force.
+    /// Polls the host list forever. If a read fails, the last list stays in use.
     pub(crate) async fn poll_hosts(&self) {
         loop {
             match fetch_hosts(&self.http, self.host_list.address).await {
--- a/src/daemon_main.rs
+++ b/src/daemon_main.rs
@@ -1,4 +1,4 @@
-//! What the daemons' mains share: their command line, and the check of their settings.
+//! Entry point of the daemons: command line, and validation of the settings.
 
 use std::path::PathBuf;
 
@@ -15,22 +15,22 @@
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// Settings file, JSON.
+    /// Settings file (JSON).
     #[arg(long, short, required_unless_present = "example")]
     settings: Option<PathBuf>,
-    /// Check the settings and the certificates, and exit.
+    /// Validate the settings and the certificates, then exit.
     #[arg(long)]
     check: bool,
-    /// Print settings with every key set, and exit.
+    /// Print example settings with every key set, then exit.
     #[arg(long)]
     example: bool,
 }
 
-/// Runs a daemon by its command line until it is told to stop.
+/// Parses the command line and runs a daemon until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// What is wrong with the settings, or could not be started.
+/// If the settings or certificates are invalid, or the daemon fails to start.
 pub fn daemon_main<S, Fut>(
     example: S,
     tls: impl Fn(&S) -> &TlsSettings,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! redwingfold: a model-aware router for versions and cascades of models that run in-house.
 //!
-//! The programs are thin mains over this library: [`run_entry`] answers callers, [`run_side`]
-//! has the last word before a backend server, [`ctl`] is the operator's tool and [`load`] the load
-//! and experiment tool. Decisions are made in `redwingfold-core`, which does no input or output.
+//! The binaries are thin wrappers around this library. [`run_entry`] is the daemon that receives
+//! requests from callers and routes them. [`run_side`] is the daemon on the host of the backend
+//! servers: it queues requests and forwards them. [`ctl`] is the operator's tool, and [`load`] is
+//! the load generator. Decisions are made in `redwingfold-core`, which does no I/O.
 
 mod billing;
 mod clock;
--- a/src/load/args.rs
+++ b/src/load/args.rs
@@ -1,4 +1,4 @@
-//! The load tool's command line.
+//! Command line of the load generator.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,69 +12,69 @@
 use super::driver::{Load, Pace, RequestShape, run_load, send_request};
 use super::summary::Summary;
 
-/// The load tool of redwingfold.
+/// Load generator of redwingfold.
 #[derive(Debug, Parser)]
 #[command(name = "redwingfold-load", version)]
 pub struct LoadArgs {
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: LoadCommand,
 }
 
-/// The commands.
+/// Commands of the load generator.
 #[derive(Debug, Subcommand)]
 pub enum LoadCommand {
-    /// Send a load and print what became of it, as JSON.
+    /// Generate load and print a summary of the responses as JSON.
     Run {
-        /// What requests look like.
+        /// Shape of the requests.
         #[command(flatten)]
         request: RequestArgs,
-        /// Callers, each sending its next request when the last has ended.
+        /// Number of concurrent callers; each sends its next request when its last one has ended.
         #[arg(long, default_value_t = 1)]
         callers: usize,
-        /// Requests a second at random times, in place of callers.
+        /// Requests per second at random times, instead of callers (open loop).
         #[arg(long)]
         rate: Option<f64>,
-        /// Seconds.
+        /// Duration of the load in seconds.
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
-        /// Seed of the times.
+        /// Seed of the random times and of the request numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Send one request and print the answer.
+    /// Send one request and print its result as JSON.
     Send {
-        /// What the request looks like.
+        /// Shape of the request.
         #[command(flatten)]
         request: RequestArgs,
     },
 }
 
-/// What requests look like.
+/// Shape of the requests.
 #[derive(Clone, Debug, clap::Args)]
 pub struct RequestArgs {
-    /// Address of an entry.
+    /// Address of an entry, or of an engine.
     #[arg(long)]
     pub to: SocketAddr,
-    /// File with the customer's key.
+    /// File that contains the customer's key.
     #[arg(long)]
     pub key_file: Option<PathBuf>,
-    /// Model, version or cascade.
+    /// Name of a model, version or cascade.
     #[arg(long)]
     pub model: String,
-    /// Characters of the prompt.
+    /// Length of the prompt in characters.
     #[arg(long, default_value_t = 200)]
     pub prompt_chars: usize,
-    /// Different beginnings of prompts.
+    /// Number of distinct prompt prefixes.
     #[arg(long, default_value_t = 16)]
     pub prefixes: usize,
-    /// Tokens of an answer.
+    /// Largest number of tokens of a response.
     #[arg(long, default_value_t = 32)]
     pub tokens: u64,
-    /// Stream the answers.
+    /// Request streamed responses.
     #[arg(long)]
     pub stream: bool,
-    /// Session of all requests.
+    /// Session of the requests.
     #[arg(long)]
     pub session: Option<String>,
 }
@@ -101,7 +101,7 @@
     }
 }
 
-/// Runs a command; says whether every answer came whole.
+/// Runs a command. Returns whether every response was complete.
 ///
 /// # Errors
 ///
--- a/src/load/driver.rs
+++ b/src/load/driver.rs
@@ -1,4 +1,4 @@
-//! Sending requests, closed loop or at a rate.
+//! Sends requests, in a closed loop or at a given rate.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,29 +13,30 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// What requests look like.
+/// Shape of the requests.
 #[derive(Clone, Debug)]
 pub struct RequestShape {
-    /// Name in `model`.
+    /// Value of `model` in the body.
     pub model: String,
-    /// Customer's key; none is sent to an engine.
+    /// Customer's key. `None` for requests that go to an engine directly.
     pub key: Option<String>,
-    /// Characters of the prompt.
+    /// Length of the prompt in characters.
     pub prompt_chars: usize,
-    /// Different beginnings of prompts, which requests share.
+    /// Number of distinct prompt prefixes, each shared by many requests.
     pub prefixes: usize,
-    /// Tokens of an answer.
+    /// Largest number of tokens of a response.
     pub tokens: u64,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     pub stream: bool,
-    /// More headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
 }
 
 impl RequestShape {
     /// Returns the body of the `n`th request.
     pub fn body(&self, n: u64) -> String {
-        // Not in turn: with four engines in turn too, each would see a quarter of the beginnings.
+        // A hash in place of round robin: with four engines that are also chosen by round robin,
+        // each would get only a quarter of the prefixes.
         let random = xxhash_rust::xxh3::xxh3_64(&n.to_be_bytes()) as usize;
         let prefix = format!("prefix {} ", random % self.prefixes.max(1));
         let mut prompt = prefix.repeat(self.prompt_chars / prefix.len() + 1);
@@ -50,52 +51,54 @@
     }
 }
 
-/// How requests are paced.
+/// When requests are sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Pace {
-    /// So many callers, each sending its next request when the last has ended.
+    /// Closed loop: this many callers, each of which sends its next request when its last has
+    /// ended.
     Callers(usize),
-    /// So many requests a second at random times, whatever becomes of them.
+    /// Open loop: this many requests per second at random times, whether or not earlier ones have
+    /// ended.
     Rate(f64),
 }
 
-/// A load on one address.
+/// A load that is sent to one address.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Where to.
+    /// Address that receives the requests.
     pub addr: SocketAddr,
-    /// What.
+    /// Shape of the requests.
     pub shape: RequestShape,
-    /// How fast.
+    /// When requests are sent.
     pub pace: Pace,
-    /// How long.
+    /// Time during which requests are sent.
     pub duration: Duration,
-    /// Seed of the times.
+    /// Seed of the random times and of the request numbers.
     pub seed: u64,
 }
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// When it was sent, since the start of the load.
+    /// Time from the start of the load until the request was sent.
     pub sent_at: Duration,
-    /// HTTP status; 0 if no answer came.
+    /// HTTP status, or 0 if no response was received.
     pub status: u16,
-    /// Time to the first byte of the body.
+    /// Time to the first byte of the body. For a response that is not streamed, time to its end.
     pub time_to_first_byte: Duration,
-    /// Time to the end.
+    /// Time to the end of the response, or until the request failed.
     pub total_time: Duration,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     pub tokens: u64,
-    /// Whether the answer came whole.
+    /// Whether a successful response was received in full.
     pub is_complete: bool,
-    /// Version that answered.
+    /// Model version that produced the response.
     pub version: String,
-    /// Longest pause between two reads of a streamed answer.
+    /// Longest pause between two reads of a streamed response.
     pub longest_gap: Duration,
 }
 
-/// Sends one request.
+/// Sends the `n`th request and measures the response.
 pub async fn send_request(
     client: &Client,
     addr: SocketAddr,
@@ -184,7 +187,7 @@
     Some(())
 }
 
-/// Drives a load and returns what became of each request.
+/// Sends a load and returns the result of each request.
 pub async fn run_load(load: &Load) -> Vec<Sample> {
     let load = Arc::new(load.clone());
     let client = Client::default();
@@ -219,7 +222,7 @@
         let n = next.fetch_add(1, Ordering::Relaxed);
         let sample = send_request(&client, load.addr, &load.shape, n).await;
         if sample.status == 0 {
-            // A refused connection answers at once: without a pause the loop would spin on it.
+            // A refused connection fails immediately. Without a pause, the loop would spin.
             Timer::after(Duration::from_millis(20)).await;
         }
         samples.push(Sample { sent_at, ..sample });
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! The load tool: sends requests to an entry, or to an engine for comparison, and measures.
+//! Load generator: sends requests to an entry, or directly to an engine for comparison, and
+//! measures the responses.
 
 mod args;
 mod driver;
--- a/src/load/proc_usage.rs
+++ b/src/load/proc_usage.rs
@@ -1,32 +1,33 @@
-//! What a process has used, by the kernel's own accounts.
+//! CPU time and memory of a process, from `/proc`.
 
 use std::time::Duration;
 
 use eyre::{Context, OptionExt};
 use serde::Serialize;
 
-/// Clock ticks a second in `/proc`, as on every Linux of this decade.
+/// Clock ticks per second of the CPU times in `/proc` (`USER_HZ`), 100 on current Linux systems.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ProcUsage {
-    /// Processor time since its start.
+    /// CPU time since the start of the process.
     pub cpu: Duration,
-    /// Resident memory in bytes.
+    /// Resident set size in bytes.
     pub resident: u64,
 }
 
-/// Reads a process's use of processor and memory.
+/// Reads the resource usage of a process.
 ///
 /// # Errors
 ///
-/// If there is no such process.
+/// If the process does not exist or its files in `/proc` cannot be read.
 pub fn proc_usage(pid: u32) -> eyre::Result<ProcUsage> {
     let path = format!("/proc/{pid}/stat");
     let stat = std::fs::read_to_string(&path).wrap_err(path)?;
-    // The second field is the program's name in parentheses, which may hold anything.
-    let (_, rest) = stat.rsplit_once(')').ok_or_eyre("no name in stat")?;
+    // The second field is the program's name in parentheses, which may contain spaces and
+    // parentheses.
+    let (_, rest) = stat.rsplit_once(')').ok_or_eyre("no program name in /proc stat")?;
     let fields: Vec<_> = rest.split_whitespace().collect();
     let number = |i: usize| fields.get(i).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
     let cpu = Duration::from_millis((number(11) + number(12)) * 1000 / TICKS_PER_SECOND);
--- a/src/load/summary.rs
+++ b/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! Summing samples up.
+//! Aggregates the results of a load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 
 use super::driver::Sample;
 
-/// Longest time that is told apart, in microseconds.
+/// Longest time that the histogram records, in microseconds. Longer times count as this one.
 const MAX_RECORDED_US: u64 = 600_000_000;
 
 /// Quantiles of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Quantiles {
-    /// Half are faster.
+    /// Median.
     pub p50: f64,
-    /// 95 of 100 are faster.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 of 100 are faster.
+    /// 99th percentile.
     pub p99: f64,
-    /// The slowest.
+    /// Maximum.
     pub max: f64,
 }
 
@@ -37,31 +37,31 @@
     }
 }
 
-/// What became of a load.
+/// Aggregated results of a load.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Answers that came whole.
+    /// Number of complete responses.
     pub whole: usize,
-    /// Answers by HTTP status; 0 is none.
+    /// Number of responses by HTTP status. 0 stands for requests without a response.
     pub statuses: BTreeMap<u16, usize>,
-    /// Whole answers by version.
+    /// Number of complete responses by model version.
     pub versions: BTreeMap<String, usize>,
-    /// Whole answers a second.
+    /// Complete responses per second.
     pub per_second: f64,
-    /// Tokens of whole answers a second.
+    /// Tokens of complete responses per second.
     pub tokens_per_second: f64,
-    /// Time to the first byte of whole answers, in milliseconds.
+    /// Time to the first byte of complete responses, in milliseconds.
     pub first: Quantiles,
-    /// Time to the end of whole answers, in milliseconds.
+    /// Time to the end of complete responses, in milliseconds.
     pub took: Quantiles,
-    /// Longest pause within each whole streamed answer, in milliseconds.
+    /// Longest pause within each complete streamed response, in milliseconds.
     pub longest_gap: Quantiles,
 }
 
 impl Summary {
-    /// Sums samples up.
+    /// Aggregates samples.
     pub fn of(samples: &[Sample]) -> Self {
         let complete: Vec<_> = samples.iter().filter(|s| s.is_complete).collect();
         let ends = samples.iter().map(|s| s.sent_at + s.total_time);
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -1,14 +1,14 @@
-//! Stopping on a signal.
+//! Shutdown on SIGTERM or SIGINT.
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use smol::channel::{Receiver, bounded};
 
-/// Returns a channel that gets a message at the first SIGTERM or SIGINT.
+/// Returns a channel that receives a message on SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// If the signals cannot be caught.
+/// If the signal handlers cannot be installed.
 pub fn stop_on_signal() -> std::io::Result<Receiver<()>> {
     let (tx, rx) = bounded(1);
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -14,20 +14,20 @@
 
 use crate::settings::TlsSettings;
 
-/// The name in every certificate of a fleet; hosts are replaced at any time, so that addresses and
-/// host names would be the wrong thing to certify.
+/// Server name in every certificate of a fleet. All hosts share one name, as their addresses and
+/// host names change when hosts are replaced.
 pub(crate) const FLEET_SERVER_NAME: &str = "redwingfold.fleet";
 
 const ALPN: &[u8] = b"redwingfold/1";
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_CONCURRENT_STREAMS: u32 = 4096;
 
-/// Configurations of both ends of a connection.
+/// QUIC configurations of both ends of a connection.
 #[derive(Clone, Debug)]
 pub struct TlsConfigs {
-    /// For connections that this process opens.
+    /// Configuration of connections that this process opens.
     pub client: ClientConfig,
-    /// For connections that it accepts.
+    /// Configuration of connections that it accepts.
     pub server: ServerConfig,
 }
 
@@ -35,15 +35,15 @@
     let certs = CertificateDer::pem_file_iter(path)
         .and_then(|items| items.collect::<Result<Vec<_>, _>>())
         .map_err(|e| eyre::eyre!("{}: {e:?}", path.display()))?;
-    eyre::ensure!(!certs.is_empty(), "{}: holds no certificate", path.display());
+    eyre::ensure!(!certs.is_empty(), "{}: the file contains no certificate", path.display());
     Ok(certs)
 }
 
-/// Reads the certificates that the settings name.
+/// Loads the certificates and the key that the settings name.
 ///
 /// # Errors
 ///
-/// Names the file that cannot be read or does not fit.
+/// Names the file that cannot be read or is not valid.
 pub fn load_tls_configs(settings: &TlsSettings) -> eyre::Result<TlsConfigs> {
     let certs = read_certs(&settings.cert)?;
     let key = PrivateKeyDer::from_pem_file(&settings.key)
@@ -86,11 +86,12 @@
     Ok(transport)
 }
 
-/// Makes a fleet's authority and one certificate for each name, as PEM files in `dir`.
+/// Issues a certificate and key for each name, as PEM files in `dir`. The fleet's certificate
+/// authority in `dir` is used; it is created first if its files are missing.
 ///
 /// # Errors
 ///
-/// If a file exists already or cannot be written.
+/// If a certificate's file already exists or cannot be written, or a name is not valid.
 pub fn issue_certificates(dir: &Path, names: &[String]) -> eyre::Result<Vec<std::path::PathBuf>> {
     use rcgen::{
         BasicConstraints, CertificateParams, DistinguishedName, DnType, ExtendedKeyUsagePurpose,
@@ -123,7 +124,7 @@
         }
     };
     for name in names {
-        eyre::ensure!(name != "fleet", "the name fleet is the authority's");
+        eyre::ensure!(name != "fleet", "the name fleet is reserved for the certificate authority");
         let host: redwingfold_core::HostId = name.parse()?;
         let mut params = CertificateParams::new(vec![FLEET_SERVER_NAME.to_owned()])?;
         params.distinguished_name = DistinguishedName::new();
@@ -148,6 +149,6 @@
         .open(path)
         .wrap_err_with(|| path.display().to_string())?;
     file.write_all(text.as_bytes())?;
-    path.file_name().ok_or_eyre("no file name")?;
+    path.file_name().ok_or_eyre("the path has no file name")?;
     Ok(())
 }
