--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -5,8 +5,8 @@
 use std::path::PathBuf;
 
 use redwingfold_core::{
-    Change, Config, Millis, Object, ObjectKey, Offset, Record, RequestId, StreamsOnWithdrawal,
-    Verdict, Withdrawal,
+    Change, Config, ConfigRecord, Millis, Object, ObjectKey, Offset, RequestId,
+    StreamsOnWithdrawal, Verdict, Withdrawal,
 };
 use serde_json::json;
 use smol::Timer;
@@ -76,7 +76,7 @@
         println!("nothing changes at offset {}", config.offset);
         return Ok(Exit::Ok);
     }
-    let next = config.with(&put, &args.delete);
+    let next = config.with_change(&put, &args.delete);
     let found = find_problems(&next);
     let blocking = found
         .iter()
@@ -97,7 +97,7 @@
         eprintln!("revision_moved: {key} is at revision {current}, newer than offset {at}");
         return Ok(Exit::Rejected);
     }
-    let record = Record::Change(Change {
+    let record = ConfigRecord::Change(Change {
         id: RequestId(fastrand::u128(..)),
         author: args.author.clone(),
         reason: args.reason.clone(),
@@ -115,7 +115,7 @@
 
 /// Withdraws a version from service.
 pub(crate) async fn withdraw(ctl: &Ctl, args: &Withdraw) -> eyre::Result<Exit> {
-    let record = Record::Withdraw(Withdrawal {
+    let record = ConfigRecord::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
         author: args.author.clone(),
         reason: args.reason.clone(),
@@ -134,7 +134,7 @@
 /// The verdict is known only after the record has been read back: the response to the append can be
 /// lost, and another operator may have changed the same object first. Retrying the append is safe,
 /// because a second record with the same id has no effect.
-async fn submit(ctl: &Ctl, record: &Record) -> eyre::Result<Exit> {
+async fn submit(ctl: &Ctl, record: &ConfigRecord) -> eyre::Result<Exit> {
     let json = serde_json::to_vec(record)?;
     let mut last_error = String::new();
     for _ in 0..MAX_ATTEMPTS {
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -135,7 +135,7 @@
             &split_key,
             quality,
         );
-        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.why));
+        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.detail));
         let is_version = self.req.model_name.parse().is_ok_and(|v| config.version(&v).is_some());
         let offset = config.offset;
         match session {
