--- a/src/load/driver.rs
+++ b/src/load/driver.rs
@@ -146,16 +146,16 @@
     }
     req.set_body(shape.body(n));
     if !shape.stream {
-        let answer = client
+        let response = client
             .send(addr, req, CallTimeout::Total(REQUEST_TIMEOUT), MAX_RESPONSE_BYTES)
             .await
             .ok()?;
         sample.time_to_first_byte = started_at.elapsed();
-        sample.status = answer.status;
-        let value: Value = answer.json().ok()?;
+        sample.status = response.status;
+        let value: Value = response.json().ok()?;
         sample.tokens = value["usage"]["completion_tokens"].as_u64().unwrap_or(0);
         sample.version = value["model"].as_str().unwrap_or_default().to_owned();
-        sample.is_complete = answer.status == 200;
+        sample.is_complete = response.status == 200;
         return Some(());
     }
     let mut res = open_stream(addr, req, REQUEST_TIMEOUT).await.ok()?;
