--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -22,7 +22,7 @@
 use crate::platform::{LogError, stream};
 use crate::wire::{Call, Reply};
 
-/// Most attempts to append a record and read it back.
+/// Maximum number of attempts to append a record and read it back.
 const MAX_ATTEMPTS: u32 = 5;
 
 /// Number of newest records that are sent to the daemons directly. A daemon that lacks older ones
--- a/src/load/args.rs
+++ b/src/load/args.rs
@@ -68,7 +68,7 @@
     /// Number of distinct prompt prefixes.
     #[arg(long, default_value_t = 16)]
     pub prefixes: usize,
-    /// Largest number of tokens of a response.
+    /// Maximum number of tokens of a response.
     #[arg(long, default_value_t = 32)]
     pub tokens: u64,
     /// Request streamed responses.
--- a/src/load/driver.rs
+++ b/src/load/driver.rs
@@ -24,7 +24,7 @@
     pub prompt_chars: usize,
     /// Number of distinct prompt prefixes, each shared by many requests.
     pub prefixes: usize,
-    /// Largest number of tokens of a response.
+    /// Maximum number of tokens of a response.
     pub tokens: u64,
     /// Whether responses are streamed.
     pub stream: bool,
--- a/src/settings/common.rs
+++ b/src/settings/common.rs
@@ -18,7 +18,7 @@
     /// Time that a read waits for a new record at the service (long polling).
     #[serde(default = "log_wait")]
     pub wait_ms: Millis,
-    /// Time between reads by a daemon that receives the configuration from its peers.
+    /// Longest time between reads by a daemon that receives the configuration from its peers.
     #[serde(default = "log_relaxed")]
     pub relaxed_ms: Millis,
     /// Number of daemons per failure domain that read the log for the others.
@@ -103,9 +103,9 @@
     pub interval_ms: Millis,
     /// Time between heartbeats while no requests are in flight.
     pub idle_interval_ms: Millis,
-    /// Missed heartbeats after which new requests go to other peers.
+    /// Consecutive missed heartbeats after which new requests go to other peers.
     pub misses: u32,
-    /// Missed heartbeats after which the connection is closed.
+    /// Consecutive missed heartbeats after which the connection is closed and opened again.
     pub dead_misses: u32,
     /// Limit on the load reports that a daemon sends, in bytes per second.
     pub report_bytes_per_second: u64,
@@ -141,7 +141,7 @@
 pub struct PeerSettings {
     /// Number of entries that connect to each side.
     pub fan_in: usize,
-    /// Least number of sides in each pool that an entry connects to.
+    /// Minimum number of sides in each pool that an entry connects to.
     pub per_pool: usize,
     /// Number of sides from which the holders of sessions are chosen; the same sides for all
     /// entries.
@@ -168,9 +168,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct BatchSettings {
-    /// Time between two batches.
+    /// Longest time between two batches.
     pub every_ms: Millis,
-    /// Most records in a batch.
+    /// Maximum number of records in a batch.
     pub max_records: usize,
     /// Limit on the memory for unconfirmed records, in bytes.
     pub max_bytes: usize,
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -103,9 +103,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct LimitSettings {
-    /// Most open connections from callers.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     pub requests: usize,
     /// Largest body of a request, in bytes.
     pub body_bytes: usize,
@@ -169,11 +169,11 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct RetrySettings {
-    /// Most attempts of one request, including the first.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
     /// Retry budget: retries as a share of requests, in thousandths.
     pub budget_per_mille: u16,
-    /// Most unused retries that the budget accumulates.
+    /// Maximum number of unused retries that the budget accumulates.
     pub budget_max: u32,
 }
 
--- a/src/settings/side.rs
+++ b/src/settings/side.rs
@@ -39,7 +39,7 @@
     /// Orders to the engines about the versions to load.
     #[serde(default)]
     pub orders: OrderSettings,
-    /// Most sessions whose version this side holds for the entries.
+    /// Maximum number of sessions whose version this side holds for the entries.
     #[serde(default = "default_max_pins")]
     pub max_pins: usize,
     /// Metrics.
@@ -109,7 +109,7 @@
     /// For a plain service: name of the service object that it serves.
     #[serde(default)]
     pub service: Option<String>,
-    /// Most requests in flight at this backend server.
+    /// Maximum number of requests in flight at this backend server.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
@@ -147,9 +147,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default)]
 pub struct QueueSettings {
-    /// Most requests in the queue.
+    /// Maximum number of requests in the queue.
     pub max_waiting: usize,
-    /// Most requests of one customer in the queue.
+    /// Maximum number of requests of one customer in the queue.
     pub max_per_customer: usize,
     /// Timeout for the first byte of a response.
     pub first_byte_timeout_ms: Millis,
@@ -161,7 +161,7 @@
     pub drain_ms: Millis,
     /// Largest response, in bytes.
     pub max_answer_bytes: usize,
-    /// Most non-idempotent calls that are remembered, so that none of them runs twice.
+    /// Maximum number of non-idempotent calls that are remembered, so that none of them runs twice.
     pub max_remembered_calls: usize,
     /// Longest wait for a configuration that an entry already uses and that has not reached this
     /// side yet.
