--- a/src/ctl/publish.rs
+++ b/src/ctl/publish.rs
@@ -172,7 +172,7 @@
 /// read it. A withdrawal would then be accepted but in force nowhere. Sending it to one reachable
 /// daemon is enough, as daemons forward records to each other.
 async fn push_newest_records(ctl: &Ctl) {
-    let Catchup::Records(mut records) = ctl.store.after(Offset(0)) else { return };
+    let Catchup::Records(mut records) = ctl.store.catchup_after(Offset(0)) else { return };
     records.drain(..records.len().saturating_sub(MAX_PUSHED_RECORDS));
     let offset = ctl.store.mark().offset;
     match ctl.call_hosts(&Call::Install(records), |_| true).await {
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Connections between the system's processes.
+//! QUIC connections between the processes of a fleet, with failure detection on a control stream.
 
 mod connect;
 mod control;
@@ -7,5 +7,5 @@
 mod tests;
 
 pub(crate) use connect::{Connected, call, connect, dial};
-pub(crate) use control::{CallCount, Link, LinkEvents, run_control};
+pub(crate) use control::{CallGuard, Link, LinkEvents, run_control};
 pub(crate) use serve::{bind, serve};
--- a/tests/promise_allowed.rs
+++ b/tests/promise_allowed.rs
@@ -1,4 +1,4 @@
-//! A request runs only on a model and version that its customer allows.
+//! A request runs only on a model and version that its customer is granted.
 
 mod common;
 
@@ -18,29 +18,32 @@
         .start(&objects())
 }
 
-/// Takes the grant from `haus`; returns the offset of the change.
-fn take_grant(fleet: &Fleet) -> u64 {
+/// Revokes the grant of `haus` and returns the offset of the change.
+fn revoke_grant(fleet: &Fleet) -> u64 {
     fleet.publish(&Objects::default().grant("all", "org=ani", "model=slip"));
     fleet.log.records("config").last().map_or(0, |(offset, _)| *offset)
 }
 
 fn wait_for_offset(fleet: &Fleet, hosts: &[&str], offset: u64) {
     let text = format!("config_in_force offset={offset}");
-    wait_until("they know", || hosts.iter().all(|h| fleet.process(h).count(&text) > 0));
+    wait_until("the hosts have the change in force", || {
+        hosts.iter().all(|h| fleet.process(h).count(&text) > 0)
+    });
 }
 
-/// Returns the runs for `haus` that began within a span of time.
+/// Returns the ids of requests of `haus` whose runs began within a time span, in microseconds since
+/// 1970.
 fn runs_of_haus(fleet: &Fleet, calls: &[Call], span: Range<u64>) -> Vec<String> {
     let of_haus: Vec<_> = calls
         .iter()
-        .filter(|c| c.asked("authorization").is_some_and(|v| v.ends_with("haus")))
+        .filter(|c| c.request_header("authorization").is_some_and(|v| v.ends_with("haus")))
         .filter_map(|c| c.answered.header("x-request-id"))
         .collect();
     let events = fleet.engines.values().flat_map(|e| e.history.events());
-    let late = |e: &Event| {
+    let is_in_span = |e: &Event| {
         e.what == "run" && span.contains(&e.at_us) && of_haus.contains(&e.request.as_str())
     };
-    events.filter(late).map(|e| e.request).collect()
+    events.filter(is_in_span).map(|e| e.request).collect()
 }
 
 fn traffic(fleet: &Fleet) -> Traffic {
@@ -50,22 +53,23 @@
     })
 }
 
-fn check(fleet: &Fleet, calls: &[Call], known: u64) {
-    assert_eq!(runs_of_haus(fleet, calls, known..u64::MAX), Vec::<String>::new());
+fn check(fleet: &Fleet, calls: &[Call], applied_at_us: u64) {
+    assert_eq!(runs_of_haus(fleet, calls, applied_at_us..u64::MAX), Vec::<String>::new());
     let events: Vec<_> = fleet.engines.values().flat_map(|e| e.history.events()).collect();
     assert_eq!(false_not_run(calls, &events), Vec::<String>::new());
     assert_eq!(wrong_answers(calls), Vec::<String>::new());
-    let denied = |c: &&Call| c.answered.error_code().0 == "not_allowed";
-    assert!(calls.iter().any(|c| denied(&c)), "nobody was refused");
-    let of_ani =
-        calls.iter().filter(|c| c.asked("authorization").is_some_and(|v| v.ends_with("ani")));
-    assert!(of_ani.clone().all(|c| c.answered.status == 200), "ani was refused");
+    let is_denied = |c: &&Call| c.answered.error_code().0 == "not_allowed";
+    assert!(calls.iter().any(|c| is_denied(&c)), "no request was refused as not allowed");
+    let of_ani = calls
+        .iter()
+        .filter(|c| c.request_header("authorization").is_some_and(|v| v.ends_with("ani")));
+    assert!(of_ani.clone().all(|c| c.answered.status == 200), "a request of ani was refused");
 }
 
-/// Callers of `haus` are refused after their grant was taken, also by an entry that slept through
-/// the change and wakes with requests in hand: the sides know better and refuse what it sends. The
-/// grant is given back and taken again several times, since the entry may hear of the change before
-/// it comes to its requests.
+/// Requests of `haus` are refused after its grant was revoked, also at an entry that was paused
+/// during the change and resumes with requests in flight: the sides have the newer configuration
+/// and refuse what the entry forwards. The grant is restored and revoked several times, since the
+/// resumed entry may receive the change before it handles its requests.
 #[test]
 fn stale_entry() {
     let fleet = fleet();
@@ -74,12 +78,12 @@
     let mut spans = Vec::new();
     for _ in 0..5 {
         fleet.process("entry-1").freeze();
-        let offset = take_grant(&fleet);
+        let offset = revoke_grant(&fleet);
         wait_for_offset(&fleet, &["entry-0", "gpu-1", "gpu-2"], offset);
-        let known = now_us();
+        let applied_at_us = now_us();
         fleet.process("entry-1").thaw();
         traffic.wait_for(50);
-        spans.push(known..now_us());
+        spans.push(applied_at_us..now_us());
         fleet.publish(&objects());
         fleet.wait_in_force();
         traffic.wait_for(20);
@@ -91,8 +95,9 @@
     check(&fleet, &calls, u64::MAX);
 }
 
-/// The same when the sides slept through the change: an entry that knows it refuses by itself, and
-/// a side that hears of a newer configuration waits for it before it decides.
+/// Requests of `haus` are refused when the sides were paused during the change. The entries have it
+/// and refuse the requests themselves, and a side that is sent a newer offset than its own waits
+/// for that configuration before it decides.
 #[test]
 fn stale_sides() {
     let fleet = fleet();
@@ -100,21 +105,21 @@
     traffic.wait_for(50);
     fleet.process("gpu-1").freeze();
     fleet.process("gpu-2").freeze();
-    let offset = take_grant(&fleet);
+    let offset = revoke_grant(&fleet);
     wait_for_offset(&fleet, &["entry-0", "entry-1"], offset);
-    let known = now_us();
-    // What was sent before the change may still run; it was allowed when it was decided. Those
-    // requests are told apart by when they were sent.
+    let applied_at_us = now_us();
+    // Requests that were sent before the change may still run, as they were allowed when the entry
+    // decided. Only requests that were sent later are checked.
     fleet.process("gpu-1").thaw();
     fleet.process("gpu-2").thaw();
     traffic.wait_for(50);
     let calls = traffic.stop();
-    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > known).collect();
-    check(&fleet, &later, known);
+    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > applied_at_us).collect();
+    check(&fleet, &later, applied_at_us);
 }
 
-/// The same when one entry and both sides slept through the change and wake together: they learn
-/// of it from the log and from each other.
+/// Requests of `haus` are refused when one entry and both sides were paused during the change.
+/// After they resume they get it from the log and from each other.
 #[test]
 fn stale_entry_and_sides_together() {
     let fleet = fleet();
@@ -123,15 +128,15 @@
     for host in ["entry-1", "gpu-1", "gpu-2"] {
         fleet.process(host).freeze();
     }
-    let offset = take_grant(&fleet);
+    let offset = revoke_grant(&fleet);
     wait_for_offset(&fleet, &["entry-0"], offset);
     for host in ["gpu-1", "gpu-2", "entry-1"] {
         fleet.process(host).thaw();
     }
     wait_for_offset(&fleet, &["entry-1", "gpu-1", "gpu-2"], offset);
-    let known = now_us();
+    let applied_at_us = now_us();
     traffic.wait_for(50);
     let calls = traffic.stop();
-    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > known).collect();
-    check(&fleet, &later, known);
+    let later: Vec<_> = calls.into_iter().filter(|c| c.sent_us > applied_at_us).collect();
+    check(&fleet, &later, applied_at_us);
 }
