--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -46,7 +46,7 @@
             ));
         }
     };
-    let runs: Vec<_> = request_arrivals.iter().filter(|a| a.ran).collect();
+    let runs: Vec<_> = request_arrivals.iter().filter(|a| a.was_run).collect();
     let status = request.response.status();
     let is_stream = request.path.starts_with("/draft/") || request.path.starts_with("/sized/");
     require(!request.path.starts_with("/send/") || runs.len() <= 1, "ran more than once");
@@ -75,7 +75,7 @@
         require(head.line.contains(&request.path), "ran with another path");
         // Another engine that has the address now refuses it.
         let is_intended = head.get("expect-instance") == Some(&arrival.server);
-        require(is_intended || !arrival.ran, "not meant for its engine");
+        require(is_intended || !arrival.was_run, "not meant for its engine");
     }
     broken
 }
--- a/soak/src/deadly.rs
+++ b/soak/src/deadly.rs
@@ -42,13 +42,13 @@
 
 /// After the last fault, and the time in which all must learn, hardly any of its sends may reach an engine.
 pub(crate) fn check_refused(testbed: &mut Testbed, seed: u64) -> Option<String> {
-    let crashes = testbed.fleet.arrivals().iter().filter(|a| a.ran && is_deadly(a)).count();
+    let crashes = testbed.fleet.arrivals().iter().filter(|a| a.was_run && is_deadly(a)).count();
     let mut rng = fastrand::Rng::with_seed(seed);
     let (started_at, mut arrivals_before) = (Instant::now(), None);
     while started_at.elapsed() < 2 * PROPAGATION_TIMEOUT {
         let gateways: Vec<_> = testbed.fleet.gateways.iter().map(|g| g.callers).collect();
         send(&mut rng, &gateways);
-        testbed.fleet.revive();
+        testbed.fleet.replace_crashed();
         if started_at.elapsed() >= PROPAGATION_TIMEOUT && arrivals_before.is_none() {
             arrivals_before = Some(count_arrivals(testbed));
         }
--- a/soak/src/domains.rs
+++ b/soak/src/domains.rs
@@ -87,9 +87,9 @@
         self.is_evacuated = !self.is_evacuated;
         if !self.is_evacuated {
             domain_engines(testbed)
-                .for_each(|engine| engine.cool(COLD_DURATION, COLD_MAX_REQUESTS_PER_S));
+                .for_each(|engine| engine.set_cold(COLD_DURATION, COLD_MAX_REQUESTS_PER_S));
         }
-        testbed.fleet.empty(TEST_DOMAIN, self.is_evacuated);
+        testbed.fleet.order_evacuation(TEST_DOMAIN, self.is_evacuated);
         if !self.is_evacuated {
             // Each engine says so with its next heartbeat.
             let is_present =
@@ -107,13 +107,13 @@
         let fleet = &testbed.fleet;
         let engines = fleet.engines.iter().chain(&fleet.crashed);
         let most = engines
-            .map(|e| (e, e.most_while_cold()))
+            .map(|e| (e, e.max_per_second_while_cold()))
             .filter(|(_, most)| *most > COLD_MAX_REQUESTS_PER_S);
         let mut broken: Vec<_> =
             most.map(|(e, most)| format!("cold engine {} got {most}", e.spec.id)).collect();
         fleet.store.set_fault(StoreFault::None);
-        fleet.empty(TEST_DOMAIN, true);
-        fleet.empty(MARKER_DOMAIN, true);
+        fleet.order_evacuation(TEST_DOMAIN, true);
+        fleet.order_evacuation(MARKER_DOMAIN, true);
         let line = format!("event=domain_emptied domain={MARKER_DOMAIN}");
         for gateway in &fleet.gateways {
             broken.extend(
@@ -137,8 +137,8 @@
                 arrivals_after - arrivals_before
             ));
         }
-        fleet.empty(TEST_DOMAIN, false);
-        fleet.empty(MARKER_DOMAIN, false);
+        fleet.order_evacuation(TEST_DOMAIN, false);
+        fleet.order_evacuation(MARKER_DOMAIN, false);
         broken
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -112,13 +112,13 @@
 fn engine_proxy(testbed: &Testbed, n: usize) -> Option<&TcpProxy> {
     let engines = &testbed.fleet.engines;
     let engine = engines.get(n % engines.len().max(1))?;
-    testbed.fleet.engine_ways.get(&engine.spec.id)
+    testbed.fleet.engine_proxies.get(&engine.spec.id)
 }
 
 /// Lets all bytes through again.
 pub(crate) fn clear_link_faults(testbed: &Testbed) {
-    testbed.fleet.engine_ways.values().for_each(|proxy| proxy.set_fault(LinkFault::None));
-    testbed.fleet.store_way.iter().for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
+    testbed.fleet.engine_proxies.values().for_each(|proxy| proxy.set_fault(LinkFault::None));
+    testbed.fleet.store_proxy.iter().for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
 }
 
 /// Length of a freeze.
@@ -180,18 +180,18 @@
         Fault::Store(fault) => testbed.fleet.store.set_fault(fault),
         Fault::StoreWay(fault) => {
             let fault = if fault == LinkFault::None { testbed.normal_store_link } else { fault };
-            testbed.fleet.store_way.iter().for_each(|proxy| proxy.set_fault(fault));
+            testbed.fleet.store_proxy.iter().for_each(|proxy| proxy.set_fault(fault));
         }
         Fault::EngineWay(n, fault) => {
             engine_proxy(testbed, n).into_iter().for_each(|proxy| proxy.set_fault(fault));
         }
         Fault::LostConnections(n) => {
-            let proxies = engine_proxy(testbed, n).into_iter().chain(&testbed.fleet.store_way);
+            let proxies = engine_proxy(testbed, n).into_iter().chain(&testbed.fleet.store_proxy);
             proxies.for_each(TcpProxy::silence_connections);
         }
         Fault::StoreForgets => {
-            testbed.fleet.store.forget("keyed.op");
-            testbed.fleet.store.forget("keyed.servers");
+            testbed.fleet.store.drop_records("keyed.op");
+            testbed.fleet.store.drop_records("keyed.servers");
         }
     }
     Ok(())
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -120,7 +120,7 @@
         let mut domains = Domains::new(settings.seed);
         for scheduled in scheduled {
             std::thread::sleep(scheduled.delay);
-            testbed.fleet.revive();
+            testbed.fleet.replace_crashed();
             if settings.restores {
                 outcome.faults.extend(restores.step(&testbed));
             }
@@ -144,7 +144,7 @@
     testbed.fleet.store.set_fault(StoreFault::None);
     testbed.engine_faults.per_mille.store(0, Ordering::SeqCst);
     clear_link_faults(&testbed);
-    testbed.fleet.revive();
+    testbed.fleet.replace_crashed();
     if settings.restores {
         testbed.rewrite_lost_data();
     }
@@ -238,7 +238,7 @@
         return no_response;
     };
     match conn.write(text.as_bytes()) {
-        Ok(()) => conn.answer(),
+        Ok(()) => conn.read_response(),
         Err(_) => no_response,
     }
 }
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -52,7 +52,7 @@
 fn plan_plain(arrival: &Arrival, engine_faults: &EngineFaults, salt: u64) -> Plan {
     let body = format!("answer to {}", arrival.id()).into_bytes();
     if draw_per_mille(arrival.id(), salt) >= engine_faults.per_mille.load(Ordering::SeqCst) {
-        return Plan::Later(
+        return Plan::Delayed(
             Duration::from_millis(u64::from(draw_per_mille(arrival.id(), 7) % 40)),
             200,
             body,
@@ -62,9 +62,9 @@
         0 => Plan::Reset,
         1 => engine_faults.refusal(),
         2 => Plan::Answer(500, b"failure".to_vec()),
-        3 => Plan::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong".to_vec()),
-        4 => Plan::Later(Duration::from_millis(700), 200, body),
-        _ => Plan::Bytes(
+        3 => Plan::RawBytes(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong".to_vec()),
+        4 => Plan::Delayed(Duration::from_millis(700), 200, body),
+        _ => Plan::RawBytes(
             b"HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nResponse-Stamp: s\r\n\
               Content-Length: 5\r\n\r\nother"
                 .to_vec(),
@@ -114,7 +114,7 @@
 impl Testbed {
     /// Starts gateways and engines.
     pub(crate) fn start(settings: &Settings) -> Self {
-        let fleet = PlatformFleet::new(&settings.program.display().to_string()).with_ways();
+        let fleet = PlatformFleet::new(&settings.program.display().to_string()).with_proxies();
         let idle_routes = settings.idle_routes;
         let normal_store_link =
             if idle_routes > 0 { LinkFault::Rate(SLOW_STORE_BYTES_PER_S) } else { LinkFault::None };
@@ -132,7 +132,7 @@
             fleet.bounds = json!({"cold_over": 1.5, "cold_slack": 5});
         }
         for (route, timeout) in [(0, 3_000), (1, 3_000), (2, 8_000), (3, 8_000)] {
-            let more = config.routes[route].more.as_object_mut();
+            let more = config.routes[route].overrides.as_object_mut();
             more.map(|more| more.insert("timeout_ms".to_owned(), timeout.into()));
         }
         fleet.publish(&config);
@@ -156,7 +156,11 @@
             testbed.fleet.start();
         });
         (0..settings.gateways).for_each(|n| testbed.fleet.wait_ready(n));
-        testbed.fleet.store_way.iter().for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
+        testbed
+            .fleet
+            .store_proxy
+            .iter()
+            .for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
         testbed
     }
 
@@ -186,7 +190,7 @@
             _ => plan_model(arrival, &engine_faults, salt),
         };
         let id = format!("i-{}", self.last_engine_number);
-        self.fleet.engine_as(EngineSpec::new(&id, service, version, domain), cold, plan)
+        self.fleet.engine_from_spec(EngineSpec::new(&id, service, version, domain), cold, plan)
     }
 
     /// The operator and the engines write again what a store has lost.
--- a/soak/tests/checkers.rs
+++ b/soak/tests/checkers.rs
@@ -29,8 +29,8 @@
         server: "i-1".to_owned(),
         head: head(&format!("POST {path} HTTP/1.1"), &headers),
         body: Vec::new(),
-        ran: true,
-        left: false,
+        was_run: true,
+        caller_closed: false,
         at: std::time::Instant::now(),
     }
 }
--- a/standins/src/platform/engine.rs
+++ b/standins/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! A backend server of the platform: a model engine or a plain one, that does what a test plans.
+//! Test double of a backend server, a model engine or a plain service: it responds as the test's plan says.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -12,22 +12,22 @@
 /// A request as it arrived.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Id of the engine.
+    /// Id of the engine that received it.
     pub server: String,
-    /// Its head.
+    /// Head of the request.
     pub head: Head,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Whether the engine began to run it.
-    pub ran: bool,
-    /// Whether its connection was closed while the engine was at work.
-    pub left: bool,
+    /// Whether the engine started to run it.
+    pub was_run: bool,
+    /// Whether its connection was closed while the engine was processing it.
+    pub caller_closed: bool,
     /// When it arrived.
     pub at: Instant,
 }
 
 impl Arrival {
-    /// Returns the id of the caller's attempt.
+    /// Returns the value of its `Attempt-Id` header.
     pub fn id(&self) -> &str {
         self.head.get("attempt-id").unwrap_or_default()
     }
@@ -36,40 +36,41 @@
 /// What an engine does with a request.
 #[derive(Clone, Debug)]
 pub enum Plan {
-    /// Answers with this status and body, signed.
+    /// Responds with this status and body, and the usual headers of an engine.
     Answer(u16, Vec<u8>),
-    /// Answers so after a time.
-    Later(Duration, u16, Vec<u8>),
-    /// Writes these bytes and closes.
-    Bytes(Vec<u8>),
-    /// Runs it and crashes after a time, whoever waits: all its connections break, and nobody listens any more.
+    /// Responds so after a delay.
+    Delayed(Duration, u16, Vec<u8>),
+    /// Writes these bytes and closes the connection.
+    RawBytes(Vec<u8>),
+    /// Runs it and crashes after a delay, even if the caller has disconnected: all connections break, and the engine
+    /// stops listening.
     Crash(Duration),
-    /// Says that it did not run it.
+    /// Responds with this status that the request was not run.
     NotRun(u16),
-    /// Says with 503 that it did not run it, with this delay as `Retry-After`.
+    /// Responds with 503 that the request was not run, with this delay as `Retry-After`.
     RetryAfter(Duration),
     /// Runs it and resets the connection.
     Reset,
-    /// Runs it and says nothing until the connection closes.
+    /// Runs it and sends no response until the caller closes the connection.
     Silent,
     /// Streams events.
     Stream(StreamPlan),
 }
 
-/// A streamed answer.
+/// A streamed response.
 #[derive(Clone, Debug)]
 pub struct StreamPlan {
-    /// Events in all.
+    /// Total number of events.
     pub events: u64,
-    /// Pause before each.
+    /// Delay before each event.
     pub pause: Duration,
-    /// The model's opinion, if it gives one.
+    /// Confidence that the model reports, if any.
     pub confidence: Option<u8>,
-    /// Breaks off after this many events, within the next.
+    /// Resets the connection after this many events, within the next one.
     pub cut_after: Option<u64>,
-    /// Goes silent after this many events.
+    /// Stops sending after this many events, with the connection open.
     pub silent_after: Option<u64>,
-    /// Whether the body's end is framed.
+    /// Whether the body is chunked; otherwise the end of the connection ends it.
     pub is_framed: bool,
 }
 
@@ -86,23 +87,23 @@
     }
 }
 
-/// What an engine is.
+/// Description of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Its id.
+    /// Id of the engine.
     pub id: String,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: String,
-    /// Version of its software.
+    /// Software version.
     pub version: String,
-    /// Models that it has.
+    /// Models that it serves.
     pub models: Vec<String>,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: String,
 }
 
 impl EngineSpec {
-    /// Makes an engine of a service: one of `models` has three of them.
+    /// Describes an engine of a service; an engine of the service `models` serves three models.
     pub fn new(id: &str, service: &str, version: &str, domain: &str) -> Self {
         let models: &[&str] = if service == "models" { &["s", "m", "l"] } else { &[] };
         Self {
@@ -115,13 +116,13 @@
     }
 }
 
-/// An engine that has just started.
+/// Cold period of an engine that has just started.
 #[derive(Clone, Copy, Debug)]
 struct Cold {
     since: Instant,
     until: Instant,
-    /// Requests within a second above which it crashes.
-    bears: usize,
+    /// Number of requests within a second above which it crashes.
+    max_per_second: usize,
 }
 
 /// A rate limit that an engine reports.
@@ -141,12 +142,12 @@
 
 type Planner = dyn Fn(&Arrival) -> Plan + Send + Sync;
 
-/// An engine that runs in this process. Clones share it.
+/// An engine that runs in this process. Clones share its state.
 #[derive(Clone)]
 pub struct Engine {
-    /// What it is.
+    /// Description of the engine.
     pub spec: EngineSpec,
-    /// Where it listens.
+    /// Address in its record: its own, or that of a proxy before it.
     pub addr: SocketAddr,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     running: Arc<AtomicUsize>,
@@ -157,7 +158,7 @@
     sockets: Arc<Sockets>,
 }
 
-/// What a crash closes.
+/// Sockets that a crash closes.
 #[derive(Debug)]
 struct Sockets {
     addr: SocketAddr,
@@ -167,22 +168,22 @@
 }
 
 impl Sockets {
-    /// Keeps a connection for the crash, under a number; `false` if that has come already.
-    fn keep(&self, number: u64, stream: &TcpStream) -> bool {
+    /// Registers a connection, to be closed by a crash; returns `false` if the engine has crashed already.
+    fn track(&self, number: u64, stream: &TcpStream) -> bool {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.extend(stream.try_clone().map(|stream| (number, stream)));
         !self.is_down.load(Ordering::SeqCst)
     }
 
-    /// Lets go of a connection: it is closed when nobody holds it any more.
-    fn let_go(&self, number: u64) {
+    /// Removes a connection, which is then closed with its last handle.
+    fn untrack(&self, number: u64) {
         self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
     }
 
     fn close(&self) {
         self.is_down.store(true, Ordering::SeqCst);
         let listener = self.listener.lock().unwrap_or_else(PoisonError::into_inner).take();
-        // Wakes the thread that accepts, which then drops its own handle.
+        // Unblocks the accepting thread, which then drops its own handle.
         listener.map(|l| socket2::SockRef::from(&l).shutdown(Shutdown::Both));
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.drain().for_each(|(_, stream)| {
@@ -211,17 +212,17 @@
         Self::start_at(any, spec, Arc::new(Mutex::new(Arc::new(plan))))
     }
 
-    /// Starts an engine that crashed once more, as another one at the same address.
+    /// Starts a crashed engine again at the same address, under a new id.
     ///
     /// # Panics
     ///
-    /// If its port is taken.
-    pub fn successor(&self, id: &str) -> Self {
+    /// If its port is in use.
+    pub fn restart_as(&self, id: &str) -> Self {
         let spec = EngineSpec { id: id.to_owned(), ..self.spec.clone() };
-        Self::start_at(self.own_addr(), spec, self.plan.clone())
+        Self::start_at(self.listen_addr(), spec, self.plan.clone())
     }
 
-    fn own_addr(&self) -> SocketAddr {
+    fn listen_addr(&self) -> SocketAddr {
         self.sockets.addr
     }
 
@@ -248,42 +249,42 @@
         let serving = engine.clone();
         std::thread::spawn(move || {
             for (number, stream) in (0..).zip(listener.incoming().map_while(Result::ok)) {
-                if !serving.sockets.keep(number, &stream) {
+                if !serving.sockets.track(number, &stream) {
                     return;
                 }
                 let engine = serving.clone();
                 std::thread::spawn(move || {
                     engine.serve(stream);
-                    engine.sockets.let_go(number);
+                    engine.sockets.untrack(number);
                 });
             }
         });
         engine
     }
 
-    /// Says whether it has crashed.
+    /// Returns whether it has crashed.
     pub fn is_down(&self) -> bool {
         self.sockets.is_down.load(Ordering::SeqCst)
     }
 
-    /// Breaks all its connections and listens no more.
+    /// Closes all connections and stops listening.
     pub fn crash(&self) {
         self.sockets.close();
     }
 
-    /// Plans something else from now on.
+    /// Replaces the plan for all later requests.
     pub fn set_plan(&self, plan: impl Fn(&Arrival) -> Plan + Send + Sync + 'static) {
         *self.plan.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(plan);
     }
 
-    /// Makes it cold for a time, in which it crashes if more requests than it `bears` come within a second.
-    pub fn cool(&self, span: Duration, bears: usize) {
+    /// Makes it cold for `duration`: it crashes if more than `max_per_second` requests arrive within a second.
+    pub fn set_cold(&self, duration: Duration, max_per_second: usize) {
         let since = Instant::now();
-        let cold = Cold { since, until: since + span, bears };
+        let cold = Cold { since, until: since + duration, max_per_second };
         *self.cold.lock().unwrap_or_else(PoisonError::into_inner) = Some(cold);
     }
 
-    /// Sets or clears the limit that it reports in its answers.
+    /// Sets or clears the rate limit that it reports in its responses.
     pub fn set_limit(&self, per_second: Option<f64>) {
         let limit =
             per_second.map(|per_second| ReportedLimit { per_second, since: Instant::now() });
@@ -294,19 +295,19 @@
         *self.limit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the arrival times of requests for it since its limit was set, relative to that time.
+    /// Returns the arrival times of requests addressed to it since its limit was set, relative to that time.
     pub fn arrivals_under_limit(&self) -> Vec<Duration> {
         let Some(limit) = self.limit() else { return Vec::new() };
-        let is_meant =
+        let is_addressed =
             |a: &Arrival| a.head.get("expect-instance").is_none_or(|id| id == self.spec.id);
         let arrivals = self.arrivals();
-        let meant = arrivals.iter().filter(|a| is_meant(a) && a.at >= limit.since);
-        meant.map(|a| a.at - limit.since).collect()
+        let addressed = arrivals.iter().filter(|a| is_addressed(a) && a.at >= limit.since);
+        addressed.map(|a| a.at - limit.since).collect()
     }
 
     /// Returns the maximum number of requests that it got within any window after the grace period of its limit, and
     /// the maximum that the limit allows.
-    pub fn most_under_limit(&self) -> (usize, usize) {
+    pub fn max_in_window_under_limit(&self) -> (usize, usize) {
         let Some(limit) = self.limit() else { return (0, 0) };
         let arrivals: Vec<_> = self
             .arrivals_under_limit()
@@ -320,7 +321,7 @@
         (arrivals.iter().map(within).max().unwrap_or(0), allowed as usize)
     }
 
-    /// Announces in all answers from now on that it is leaving.
+    /// Announces in all later responses that it is leaving.
     pub fn announce_leaving(&self) {
         self.is_leaving.store(true, Ordering::SeqCst);
     }
@@ -330,16 +331,16 @@
         cold.filter(|cold| cold.until > Instant::now())
     }
 
-    /// Returns the most requests for it that arrived within any second while it was last cold.
-    pub fn most_while_cold(&self) -> usize {
+    /// Returns the maximum number of requests addressed to it within any second of its last cold period.
+    pub fn max_per_second_while_cold(&self) -> usize {
         let cold = *self.cold.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(cold) = cold else { return 0 };
-        let is_meant = |a: &Arrival| {
+        let is_addressed = |a: &Arrival| {
             a.head.get("expect-instance").is_none_or(|id| id == self.spec.id)
                 && (cold.since..cold.until).contains(&a.at)
         };
         let arrivals = self.arrivals();
-        let arrivals: Vec<_> = arrivals.iter().filter(|a| is_meant(a)).map(|a| a.at).collect();
+        let arrivals: Vec<_> = arrivals.iter().filter(|a| is_addressed(a)).map(|a| a.at).collect();
         let within = |first: &Instant| {
             arrivals.iter().filter(|at| *at >= first && **at < *first + SECOND).count()
         };
@@ -372,14 +373,14 @@
         while let Ok(Some(head)) = read_head(&mut stream) {
             let Ok(body) = read_body(&mut stream, &head, false) else { return };
             let (server, at) = (self.spec.id.clone(), Instant::now());
-            let arrival = Arrival { server, head, body, ran: false, left: false, at };
+            let arrival = Arrival { server, head, body, was_run: false, caller_closed: false, at };
             if !self.answer(&out, arrival) {
                 return;
             }
         }
     }
 
-    /// Answers a request; `false` if the connection is to be closed.
+    /// Responds to a request; returns `false` if the connection must be closed.
     fn answer(&self, out: &TcpStream, mut arrival: Arrival) -> bool {
         let expected = arrival.head.get("expect-instance").map(str::to_owned);
         let plan = self.plan.lock().unwrap_or_else(PoisonError::into_inner).clone();
@@ -387,45 +388,45 @@
             Some(id) if id != self.spec.id => Plan::NotRun(421),
             _ => plan(&arrival),
         };
-        arrival.ran = !matches!(plan, Plan::NotRun(_) | Plan::RetryAfter(_));
+        arrival.was_run = !matches!(plan, Plan::NotRun(_) | Plan::RetryAfter(_));
         let index = {
             let mut arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
             arrivals.push(arrival.clone());
             arrivals.len() - 1
         };
         self.running.fetch_add(1, Ordering::SeqCst);
-        if self.cold().is_some_and(|cold| self.most_while_cold() > cold.bears) {
+        if self.cold().is_some_and(|cold| self.max_per_second_while_cold() > cold.max_per_second) {
             self.crash();
         }
-        let kept = self.carry_out(out, &arrival, plan);
+        let keep_open = self.execute(out, &arrival, plan);
         self.running.fetch_sub(1, Ordering::SeqCst);
-        if kept.is_err() {
+        if keep_open.is_err() {
             let mut arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
-            arrivals[index].left = true;
+            arrivals[index].caller_closed = true;
         }
-        kept.unwrap_or(false)
+        keep_open.unwrap_or(false)
     }
 
-    fn carry_out(&self, out: &TcpStream, arrival: &Arrival, plan: Plan) -> std::io::Result<bool> {
+    fn execute(&self, out: &TcpStream, arrival: &Arrival, plan: Plan) -> std::io::Result<bool> {
         let mut writer = out;
         match plan {
             Plan::Answer(status, body) => {
-                writer.write_all(&self.whole(arrival, status, "", &body))?;
+                writer.write_all(&self.response_bytes(arrival, status, "", &body))?;
             }
-            Plan::Later(pause, status, body) => {
-                wait_or_gone(out, pause)?;
-                writer.write_all(&self.whole(arrival, status, "", &body))?;
+            Plan::Delayed(pause, status, body) => {
+                wait_unless_closed(out, pause)?;
+                writer.write_all(&self.response_bytes(arrival, status, "", &body))?;
             }
             Plan::NotRun(status) => {
                 let not_run = if status == 421 { "" } else { "Not-Executed: 1\r\n" };
-                writer.write_all(&self.whole(arrival, status, not_run, b""))?;
+                writer.write_all(&self.response_bytes(arrival, status, not_run, b""))?;
             }
             Plan::RetryAfter(delay) => {
-                let more =
+                let extra_headers =
                     format!("Not-Executed: 1\r\nRetry-After: {:.3}\r\n", delay.as_secs_f64());
-                writer.write_all(&self.whole(arrival, 503, &more, b""))?;
+                writer.write_all(&self.response_bytes(arrival, 503, &extra_headers, b""))?;
             }
-            Plan::Bytes(bytes) => {
+            Plan::RawBytes(bytes) => {
                 writer.write_all(&bytes)?;
                 return Ok(false);
             }
@@ -435,16 +436,16 @@
                 return Ok(false);
             }
             Plan::Reset => {
-                linger_zero(out);
+                reset_on_close(out);
                 return Ok(false);
             }
-            Plan::Silent => wait_or_gone(out, Duration::from_secs(60))?,
+            Plan::Silent => wait_unless_closed(out, Duration::from_secs(60))?,
             Plan::Stream(plan) => return self.stream(out, arrival, &plan),
         }
         Ok(true)
     }
 
-    fn head(&self, arrival: &Arrival, status: u16, more: &str) -> String {
+    fn head(&self, arrival: &Arrival, status: u16, extra_headers: &str) -> String {
         let running = self.running.load(Ordering::SeqCst);
         let cold = self.cold().map_or_else(String::new, |cold| {
             format!("Cold-Ms: {}\r\n", (cold.until - Instant::now()).as_millis())
@@ -456,14 +457,20 @@
         let leaving = if is_leaving { "Server-Leaving: 1\r\n" } else { "" };
         format!(
             "HTTP/1.1 {status} Any\r\nAttempt-Id: {}\r\nResponse-Stamp: by-{}\r\n\
-             Instance-Load: {running},0,8\r\n{cold}{limit}{leaving}{more}",
+             Instance-Load: {running},0,8\r\n{cold}{limit}{leaving}{extra_headers}",
             arrival.id(),
             self.spec.id,
         )
     }
 
-    fn whole(&self, arrival: &Arrival, status: u16, more: &str, body: &[u8]) -> Vec<u8> {
-        let mut bytes = self.head(arrival, status, more).into_bytes();
+    fn response_bytes(
+        &self,
+        arrival: &Arrival,
+        status: u16,
+        extra_headers: &str,
+        body: &[u8],
+    ) -> Vec<u8> {
+        let mut bytes = self.head(arrival, status, extra_headers).into_bytes();
         bytes.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
         bytes.extend_from_slice(body);
         bytes
@@ -475,28 +482,28 @@
         arrival: &Arrival,
         plan: &StreamPlan,
     ) -> std::io::Result<bool> {
-        let mut more = String::from("Content-Type: text/event-stream\r\n");
+        let mut extra_headers = String::from("Content-Type: text/event-stream\r\n");
         if let Some(confidence) = plan.confidence {
-            more.push_str(&format!("Confidence: {confidence}\r\n"));
+            extra_headers.push_str(&format!("Confidence: {confidence}\r\n"));
         }
-        more.push_str(if plan.is_framed { "Transfer-Encoding: chunked\r\n" } else { "" });
+        extra_headers.push_str(if plan.is_framed { "Transfer-Encoding: chunked\r\n" } else { "" });
         let mut writer = out;
-        writer.write_all(self.head(arrival, 200, &more).as_bytes())?;
+        writer.write_all(self.head(arrival, 200, &extra_headers).as_bytes())?;
         writer.write_all(b"\r\n")?;
         let last = arrival.head.get("last-event-id").and_then(|id| id.parse::<u64>().ok());
         let from = last.map_or(0, |id| id + 1);
         for id in from..plan.events {
-            wait_or_gone(out, plan.pause)?;
+            wait_unless_closed(out, plan.pause)?;
             if plan.silent_after == Some(id) {
-                wait_or_gone(out, Duration::from_secs(60))?;
+                wait_unless_closed(out, Duration::from_secs(60))?;
             }
             let event = format!("id: {id}\ndata: piece {id}\n\n");
             if plan.cut_after == Some(id) {
-                write_piece(writer, &event.as_bytes()[..6], plan.is_framed)?;
-                linger_zero(out);
+                write_part(writer, &event.as_bytes()[..6], plan.is_framed)?;
+                reset_on_close(out);
                 return Ok(false);
             }
-            write_piece(writer, event.as_bytes(), plan.is_framed)?;
+            write_part(writer, event.as_bytes(), plan.is_framed)?;
         }
         if plan.is_framed {
             writer.write_all(b"0\r\n\r\n")?;
@@ -505,7 +512,7 @@
     }
 }
 
-fn write_piece(mut out: &TcpStream, bytes: &[u8], is_framed: bool) -> std::io::Result<()> {
+fn write_part(mut out: &TcpStream, bytes: &[u8], is_framed: bool) -> std::io::Result<()> {
     if !is_framed {
         return out.write_all(bytes);
     }
@@ -515,19 +522,19 @@
     out.write_all(&chunk)
 }
 
-/// Waits, and fails as soon as the other end has closed.
-fn wait_or_gone(out: &TcpStream, span: Duration) -> std::io::Result<()> {
-    out.set_read_timeout(Some(span.max(Duration::from_millis(1))))?;
+/// Waits for `duration`; fails as soon as the peer closes the connection.
+fn wait_unless_closed(out: &TcpStream, duration: Duration) -> std::io::Result<()> {
+    out.set_read_timeout(Some(duration.max(Duration::from_millis(1))))?;
     let mut buf = [0; 1];
-    let gone = matches!(out.peek(&mut buf), Ok(0));
+    let is_closed = matches!(out.peek(&mut buf), Ok(0));
     out.set_read_timeout(None)?;
-    if gone { Err(std::io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
+    if is_closed { Err(std::io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
 }
 
-/// Makes the connection end with a reset once it is dropped.
-pub(crate) fn linger_zero(stream: &TcpStream) {
+/// Makes the connection end with a TCP reset once it is dropped.
+pub(crate) fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
-    // Both ends of the test then see a reset; if the option fails they see a plain end.
+    // The peer then gets a reset; if the option cannot be set, it gets a normal close.
     socket.set_linger(Some(Duration::ZERO)).ok();
     stream.shutdown(std::net::Shutdown::Read).ok();
 }
