--- a/core/src/serving/evacuations.rs
+++ b/core/src/serving/evacuations.rs
@@ -79,7 +79,7 @@
 
     /// Merges the complete list of a store that was restored from an older copy: orders that it
     /// lacks end only after a grace period.
-    pub fn replace_by_copy(
+    pub fn replace_by_restored(
         &mut self,
         orders: &[FailureDomain],
         now: Millis,
--- a/core/src/serving/placement.rs
+++ b/core/src/serving/placement.rs
@@ -15,11 +15,11 @@
     /// Estimated number of waiting requests.
     pub waiting: f64,
     /// Estimated prefill time of the prompts that it has yet to read, including those that other gateways reported.
-    pub unread: Millis,
+    pub prefill_wait: Millis,
     /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether it is excluded for its failures while others are available.
-    pub is_out: bool,
+    pub is_ejected: bool,
 }
 
 /// Prefill work of a request.
@@ -63,7 +63,7 @@
 impl Place {
     fn cost(&self, policy: &PlacementPolicy) -> f64 {
         let waiting = self.waiting + (self.running - f64::from(self.slots)).max(0.0);
-        self.unread.0 as f64 + self.running * policy.running_ms + waiting * policy.waiting_ms
+        self.prefill_wait.0 as f64 + self.running * policy.running_ms + waiting * policy.waiting_ms
     }
 }
 
@@ -81,8 +81,8 @@
 /// ```
 /// use redwingfold_core::{Millis, Place, PlacementPolicy, Work, place};
 /// let idle = Place {
-///     id: "a".into(), running: 0.0, waiting: 0.0, unread: Millis(0), slots: 8,
-///     is_out: false,
+///     id: "a".into(), running: 0.0, waiting: 0.0, prefill_wait: Millis(0), slots: 8,
+///     is_ejected: false,
 /// };
 /// let busy = Place { id: "b".into(), running: 7.0, ..idle.clone() };
 /// let both = [idle, busy];
@@ -95,7 +95,7 @@
     policy: &PlacementPolicy,
     mut draw: impl FnMut(usize) -> usize,
 ) -> Option<&'a Place> {
-    let healthy: Vec<_> = places.iter().filter(|p| !p.is_out).collect();
+    let healthy: Vec<_> = places.iter().filter(|p| !p.is_ejected).collect();
     let pool = if healthy.is_empty() { places.iter().collect() } else { healthy };
     let mut costs: Vec<f64> = pool.iter().map(|p| p.cost(policy)).collect();
     if let Some(prompt) = work.shared_prompt {
@@ -117,15 +117,15 @@
 /// use redwingfold_core::{Millis, Place, is_in_first_half, lead_servers};
 /// let place = |n: usize| Place {
 ///     id: format!("s{n}").as_str().into(),
-///     running: 0.0, waiting: 0.0, unread: Millis(0), slots: 8, is_out: n == 3,
+///     running: 0.0, waiting: 0.0, prefill_wait: Millis(0), slots: 8, is_ejected: n == 3,
 /// };
 /// let lead = lead_servers((0..40).map(place).collect(), 4);
 /// assert_eq!(lead.iter().filter(|p| is_in_first_half(&p.id)).count(), 2);
-/// assert!(lead.iter().all(|p| !p.is_out));
+/// assert!(lead.iter().all(|p| !p.is_ejected));
 /// ```
 pub fn lead_servers(places: Vec<Place>, count: usize) -> Vec<Place> {
     let (mut first, mut second): (Vec<_>, Vec<_>) =
-        places.into_iter().filter(|p| !p.is_out).partition(|p| is_in_first_half(&p.id));
+        places.into_iter().filter(|p| !p.is_ejected).partition(|p| is_in_first_half(&p.id));
     first.sort_by_key(|p| lead_rank(&p.id));
     second.sort_by_key(|p| lead_rank(&p.id));
     let of_second = (count / 2).max(count.saturating_sub(first.len())).min(second.len());
--- a/core/tests/evacuations.rs
+++ b/core/tests/evacuations.rs
@@ -62,7 +62,7 @@
                 }
             }
             Some((known, _)) if known < era => {
-                self.orders.replace_by_copy(&topic.orders_in_force(), now);
+                self.orders.replace_by_restored(&topic.orders_in_force(), now);
             }
             _ => {
                 self.orders.replace(&topic.orders_in_force(), now);
@@ -190,7 +190,7 @@
     lost.add_order(&domain(1), Millis(0));
     let mut written_again = lost.clone();
     for evacuations in [&mut lost, &mut written_again] {
-        assert!(evacuations.replace_by_copy(&[], Millis(1_000)).is_empty());
+        assert!(evacuations.replace_by_restored(&[], Millis(1_000)).is_empty());
         assert!(evacuations.expire(Millis(5_000)).is_empty());
     }
     written_again.add_order(&domain(1), Millis(5_000));
@@ -205,7 +205,7 @@
 fn copy_that_is_passed_on_ends_no_order() {
     let mut evacuations = Evacuations::default();
     evacuations.add_order(&domain(1), Millis(0));
-    evacuations.replace_by_copy(&[], Millis(1_000));
+    evacuations.replace_by_restored(&[], Millis(1_000));
     assert!(evacuations.replace(&[], Millis(1_200)).is_empty());
     assert!(evacuations.is_emptied(&domain(1)));
     assert_eq!(evacuations.replace(&[], Millis(12_000)), [EvacuationChange::Returned(domain(1))]);
@@ -218,7 +218,7 @@
     let mut evacuations = Evacuations::default();
     evacuations.add_order(&domain(1), Millis(0));
     evacuations.end_order(&domain(1), Millis(1_000));
-    evacuations.replace_by_copy(&[domain(1)], Millis(2_000));
+    evacuations.replace_by_restored(&[domain(1)], Millis(2_000));
     assert!(evacuations.is_emptied(&domain(1)));
 }
 
--- a/core/tests/load_trial.rs
+++ b/core/tests/load_trial.rs
@@ -65,8 +65,9 @@
         let order = RolloutOrder { target: "v2".parse().unwrap(), window: Millis(WINDOW) };
         let server = |arm: &str, n: usize| {
             let id = format!("{seed}-{arm}-{n}").as_str().into();
-            let (running, waiting, unread) = (0.0, 0.0, Millis(0));
-            let place = Place { id, running, waiting, unread, slots: SLOTS, is_out: false };
+            let (running, waiting, prefill_wait) = (0.0, 0.0, Millis(0));
+            let place =
+                Place { id, running, waiting, prefill_wait, slots: SLOTS, is_ejected: false };
             Server { place, ends: Vec::new() }
         };
         let mut servers =
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -290,9 +290,9 @@
             id: format!("s{i}").as_str().into(),
             running: 0.0,
             waiting: 0.0,
-            unread: Millis(0),
+            prefill_wait: Millis(0),
             slots: 64,
-            is_out: false,
+            is_ejected: false,
         })
         .collect()
 }
@@ -313,7 +313,7 @@
             for (place, free) in places.iter_mut().zip(&free_at) {
                 let backlog_ms = free.saturating_sub(now);
                 match by_time {
-                    true => place.unread = Millis(backlog_ms),
+                    true => place.prefill_wait = Millis(backlog_ms),
                     false => place.running = f64::from(u8::from(backlog_ms > 0)),
                 }
             }
@@ -350,7 +350,7 @@
     assert_eq!(moved, on_removed);
     let mut loaded = places(12);
     let at = loaded.iter().position(|p| p.id == chosen[0]).unwrap();
-    loaded[at].unread = Millis(2_000);
+    loaded[at].prefill_wait = Millis(2_000);
     assert_ne!(choose(&loaded, 0), chosen[0]);
 }
 
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -18,7 +18,7 @@
     pub fn replace_evacuations(&self, orders: &[FailureDomain], copy: StoreCopy) {
         let changes = self.with_evacuations(|e, now| match copy {
             StoreCopy::Current => e.replace(orders, now),
-            StoreCopy::Older => e.replace_by_copy(orders, now),
+            StoreCopy::Older => e.replace_by_restored(orders, now),
         });
         self.log_evacuations(&changes);
     }
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -165,9 +165,9 @@
             id: server.id.clone(),
             running: reported.max(f64::from(load.in_flight)),
             waiting: f64::from(waiting),
-            unread: load.prefill_wait.after(tables.peers.backlog(hash, now)),
+            prefill_wait: load.prefill_wait.after(tables.peers.backlog(hash, now)),
             slots: server.slots,
-            is_out: load.health.is_ejected(now) || tables.unreached.is_excluded(hash, now),
+            is_ejected: load.health.is_ejected(now) || tables.unreached.is_excluded(hash, now),
         }
     }
 
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -143,7 +143,7 @@
         let places = pool.lead_count.map_or(places.clone(), |count| lead_servers(places, count));
         let found = place(&places, self.prefill_work(self.size), policy, |n| fastrand::usize(..n))?;
         let server = pool.available.into_iter().find(|s| s.id == found.id)?;
-        Some(ServerChoice::Server(Box::new(server.clone()), found.unread))
+        Some(ServerChoice::Server(Box::new(server.clone()), found.prefill_wait))
     }
 
     /// Returns the servers of the version selected for this request.
@@ -304,8 +304,8 @@
 /// Readmits all excluded servers if their share exceeds `max_share`. When most servers look bad, the fault is more likely
 /// on the network path, and the few remaining servers could not handle the load.
 fn limit_excluded_share(places: &mut [Place], max_share: f64) {
-    let out = places.iter().filter(|p| p.is_out).count();
+    let out = places.iter().filter(|p| p.is_ejected).count();
     if out as f64 > places.len() as f64 * max_share {
-        places.iter_mut().for_each(|p| p.is_out = false);
+        places.iter_mut().for_each(|p| p.is_ejected = false);
     }
 }
