--- a/core/src/serving/idle_timeout.rs
+++ b/core/src/serving/idle_timeout.rs
@@ -44,9 +44,8 @@
     }
 
     /// Records an answer and the longest pause before or within it.
-    pub fn record_answer(&mut self, longest_silence: Millis) {
-        let wanted =
-            Millis(longest_silence.0.saturating_mul(MARGIN)).max(Millis(self.current.0 / 2));
+    pub fn record_answer(&mut self, longest_idle: Millis) {
+        let wanted = Millis(longest_idle.0.saturating_mul(MARGIN)).max(Millis(self.current.0 / 2));
         self.current = wanted.clamp(self.min, self.max);
     }
 }
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -128,7 +128,7 @@
         let answered = self.wait_for_head(connection.send(req), server, expected).await;
         let (head, body) = match answered {
             Some(Ok(res)) => res.into_parts(),
-            Some(Err(CallError::Silent(why) | CallError::Unknown(why))) => {
+            Some(Err(CallError::TimedOut(why) | CallError::Unknown(why))) => {
                 self.record_broken_run(server, sent_at).await;
                 return AttemptOutcome::Lost(why);
             }
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -6,7 +6,7 @@
 
 impl Gateway {
     /// Applies the operator's order to evacuate a failure domain, or its withdrawal.
-    pub fn order_evacuation(&self, domain: &FailureDomain, is_ordered: bool) {
+    pub fn set_evacuation(&self, domain: &FailureDomain, is_ordered: bool) {
         let change = self.with_evacuations(|e, now| match is_ordered {
             true => e.add_order(domain, now),
             false => e.end_order(domain, now),
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -215,7 +215,7 @@
     let announced = body.size_hint().lower() as usize;
     match announced {
         n if n > limits.body_bytes => return Err(too_large()),
-        n if gw.held_bytes.get() + n > gw.settings.max_request_body_bytes => {
+        n if gw.request_body_bytes.get() + n > gw.settings.max_request_body_bytes => {
             return Err(RequestError::new(
                 ErrorKind::TooManyOpen,
                 "request bodies fill their memory",
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -101,7 +101,7 @@
         // the largest model kept the engines full for ten seconds.
         let size = is_chosen_here.then_some(0);
         gw.in_flight.set(gw.in_flight.get() + 1);
-        gw.held_bytes.set(gw.held_bytes.get() + parts.body.len());
+        gw.request_body_bytes.set(gw.request_body_bytes.get() + parts.body.len());
         gw.count_request(&service);
         Self {
             gw,
--- a/gateway/src/request_log.rs
+++ b/gateway/src/request_log.rs
@@ -102,7 +102,7 @@
         self.refresh_session();
         let gw = &self.gw;
         gw.in_flight.set(gw.in_flight.get().saturating_sub(1));
-        gw.held_bytes.set(gw.held_bytes.get().saturating_sub(self.body.len()));
+        gw.request_body_bytes.set(gw.request_body_bytes.get().saturating_sub(self.body.len()));
         let took = gw.now().since(self.received_at);
         let server = self.server.as_ref().map_or("", |s| s.id.as_str());
         let version = self.server.as_ref().map_or("", |s| s.version.as_str());
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -58,8 +58,7 @@
             AnswerSignal::EventGap(gap) => Some(gap.0.max(1) as f64),
         };
         let is_event_gap = matches!(sample.signal, AnswerSignal::EventGap(_));
-        let usual =
-            versions.usual_times.entry((route, sample.size_index, is_event_gap)).or_default();
+        let usual = versions.baselines.entry((route, sample.size_index, is_event_gap)).or_default();
         let ratio = time.and_then(|time| match arm {
             Some(Arm::Current) => usual.ratio(time, sample.load),
             Some(Arm::Target) | None => usual.ratio_of_other_version(time, sample.load),
@@ -67,7 +66,7 @@
         if let (Some(Arm::Current), Some(time)) = (arm, time) {
             usual.record(time, sample.load);
         }
-        let recent = &mut versions.recent_factors[usize::from(is_event_gap)];
+        let recent = &mut versions.slowdowns[usize::from(is_event_gap)];
         let ratio = match arm {
             Some(Arm::Current) => ratio.inspect(|ratio| recent.record(*ratio, now)),
             Some(Arm::Target) | None => ratio.map(|ratio| ratio / recent.factor()),
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -52,10 +52,10 @@
     peer_reports: HashMap<String, (RolloutReport, Millis)>,
     /// Usual times of the current version by route hash and model index; `true` for gaps between events, `false` for
     /// times to the first byte.
-    usual_times: HashMap<(u32, usize, bool), BaselineLatency>,
+    baselines: HashMap<(u32, usize, bool), BaselineLatency>,
     /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between
     /// events.
-    recent_factors: [CurrentSlowdown; 2],
+    slowdowns: [CurrentSlowdown; 2],
 }
 
 /// The versions of all services, and their rollouts.
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -281,12 +281,12 @@
         };
         let (evacuations, regions) =
             (self.gw.evacuations.borrow(), self.gw.domain_regions.borrow());
-        let customer_homes = self.customer.as_ref().map(|customer| &customer.allowed_regions);
-        let homes: Vec<_> =
-            customer_homes.into_iter().chain([&self.route.allowed_regions]).collect();
-        let is_anywhere = homes.iter().all(|homes| homes.is_anywhere());
+        let customer_regions = self.customer.as_ref().map(|customer| &customer.allowed_regions);
+        let allowed_regions: Vec<_> =
+            customer_regions.into_iter().chain([&self.route.allowed_regions]).collect();
+        let is_anywhere = allowed_regions.iter().all(|allowed| allowed.is_anywhere());
         let may_run_in = |domain: &FailureDomain| {
-            is_anywhere || homes.iter().all(|homes| homes.allows(regions.of(domain)))
+            is_anywhere || allowed_regions.iter().all(|allowed| allowed.allows(regions.of(domain)))
         };
         let is_eligible = |s: &&BackendServer| {
             s.service == self.service
--- a/gateway/src/server_probe.rs
+++ b/gateway/src/server_probe.rs
@@ -41,7 +41,7 @@
     /// Waits until the server has been probed.
     async fn wait_for_probe(&self, id: &BackendId) {
         loop {
-            let probed = self.server_checked.listen();
+            let probed = self.server_probed.listen();
             if !self.interrupted_runs.borrow().awaits_probe(id) {
                 return;
             }
@@ -88,7 +88,7 @@
             gw.record_server_end(&server.id);
         }
         gw.interrupted_runs.borrow_mut().record_probe(&server.id);
-        gw.server_checked.notify(usize::MAX);
+        gw.server_probed.notify(usize::MAX);
         if is_refused {
             return;
         }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -23,7 +23,7 @@
     /// No connection was established, so the server has not received the request.
     Unreachable(io::Error),
     /// The server may have received the request, and sent nothing for the maximum silence.
-    Silent(String),
+    TimedOut(String),
     /// The server may have received the request, but there is no complete response.
     Unknown(String),
 }
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(e) => write!(f, "unreachable: {e}"),
-            Self::Silent(why) | Self::Unknown(why) => write!(f, "answer unknown: {why}"),
+            Self::TimedOut(why) | Self::Unknown(why) => write!(f, "answer unknown: {why}"),
         }
     }
 }
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError::Silent`] if nothing was received for `silence`, else [`CallError::Unknown`]: the server may have
+    /// [`CallError::TimedOut`] if nothing was received for `silence`, else [`CallError::Unknown`]: the server may have
     /// received the request.
     pub async fn send_and_read(
         &mut self,
@@ -106,7 +106,7 @@
         silence: Millis,
     ) -> Result<ResponseReader, CallError> {
         let began = Clock.now();
-        let silent = || Err(CallError::Silent(format!("no answer in {silence} ms")));
+        let silent = || Err(CallError::TimedOut(format!("no answer in {silence} ms")));
         let res = within(silence, self.send(req)).await.unwrap_or_else(silent)?;
         let (head, body) = res.into_parts();
         let content_length = body.size_hint().exact();
@@ -156,7 +156,7 @@
     }
 
     /// Returns the longest time without any bytes, before or within the response.
-    pub fn longest_silence(&self) -> Millis {
+    pub fn longest_idle(&self) -> Millis {
         self.longest
     }
 
@@ -164,7 +164,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError::Silent`] if nothing was received for the maximum silence; [`CallError::Unknown`] if the body broke off or
+    /// [`CallError::TimedOut`] if nothing was received for the maximum silence; [`CallError::Unknown`] if the body broke off or
     /// is too long.
     pub async fn read_until(&mut self, len: usize) -> Result<&[u8], CallError> {
         while self.buf.len() < len && self.read_frame().await? {}
@@ -185,7 +185,7 @@
         let began = Clock.now();
         let Some(frame) = within(self.silence, self.body.frame()).await else {
             let why = format!("silent for {} ms after {}", self.silence, self.progress());
-            return Err(CallError::Silent(why));
+            return Err(CallError::TimedOut(why));
         };
         self.longest = self.longest.max(Clock.now().since(began));
         match frame {
--- a/soak/src/domains.rs
+++ b/soak/src/domains.rs
@@ -89,7 +89,7 @@
             domain_engines(testbed)
                 .for_each(|engine| engine.set_cold(COLD_DURATION, COLD_MAX_REQUESTS_PER_S));
         }
-        testbed.fleet.order_evacuation(TEST_DOMAIN, self.is_evacuated);
+        testbed.fleet.set_evacuation(TEST_DOMAIN, self.is_evacuated);
         if !self.is_evacuated {
             // Each engine says so with its next heartbeat.
             let is_present =
@@ -112,8 +112,8 @@
         let mut broken: Vec<_> =
             most.map(|(e, most)| format!("cold engine {} got {most}", e.spec.id)).collect();
         fleet.store.set_fault(StoreFault::None);
-        fleet.order_evacuation(TEST_DOMAIN, true);
-        fleet.order_evacuation(MARKER_DOMAIN, true);
+        fleet.set_evacuation(TEST_DOMAIN, true);
+        fleet.set_evacuation(MARKER_DOMAIN, true);
         let line = format!("event=domain_emptied domain={MARKER_DOMAIN}");
         for gateway in &fleet.gateways {
             broken.extend(
@@ -137,8 +137,8 @@
                 arrivals_after - arrivals_before
             ));
         }
-        fleet.order_evacuation(TEST_DOMAIN, false);
-        fleet.order_evacuation(MARKER_DOMAIN, false);
+        fleet.set_evacuation(TEST_DOMAIN, false);
+        fleet.set_evacuation(MARKER_DOMAIN, false);
         broken
     }
 }
--- a/standins/src/platform/fleet.rs
+++ b/standins/src/platform/fleet.rs
@@ -289,7 +289,7 @@
     }
 
     /// Orders the evacuation of a failure domain, or cancels the order.
-    pub fn order_evacuation(&self, domain: &str, is_ordered: bool) {
+    pub fn set_evacuation(&self, domain: &str, is_ordered: bool) {
         let key = format!("evacuate/{domain}");
         self.store.put("keyed.op", &key, is_ordered.then_some("{}"));
     }
