--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -111,7 +111,7 @@
         Self { polled_at: now, max_step, request_silence: Millis(0), server_silence: Millis(0) }
     }
 
-    /// Polls the watch; `heard_at` is the time of the last data from the server on any request.
+    /// Polls the watch; `last_data_at` is the time of the last data from the server on any request.
     ///
     /// Failure: the process itself was stopped for seconds, and the data that servers sent in that time waits unread in
     /// its sockets. By the clock, all servers sent nothing, and each request would be sent again. So the time between
@@ -124,11 +124,11 @@
     /// watch.poll(Millis(9_000), Millis(0));
     /// assert_eq!(watch.waited(), Millis(750));
     /// ```
-    pub fn poll(&mut self, now: Millis, heard_at: Millis) {
+    pub fn poll(&mut self, now: Millis, last_data_at: Millis) {
         let step = now.since(self.polled_at).min(self.max_step);
         self.request_silence = self.request_silence.after(step);
         self.server_silence =
-            if heard_at > self.polled_at { Millis(0) } else { self.server_silence.after(step) };
+            if last_data_at > self.polled_at { Millis(0) } else { self.server_silence.after(step) };
         self.polled_at = now;
     }
 
--- a/core/tests/silence.rs
+++ b/core/tests/silence.rs
@@ -88,10 +88,10 @@
 #[test]
 fn hanging_server_is_given_up_under_pressure() {
     let policy = SilencePolicy::default();
-    let given_up = |heard_at: fn(u64) -> u64| {
+    let given_up = |last_data_at: fn(u64) -> u64| {
         let mut watch = SilenceWatch::new(Millis(0), POLL);
         (1..50).map(|look| look * POLL.0).find(|now| {
-            watch.poll(Millis(*now), Millis(heard_at(*now)));
+            watch.poll(Millis(*now), Millis(last_data_at(*now)));
             watch.is_over(&policy, Awaited::Head(Millis(50)), TARGET_LATENCY, 1.0)
         })
     };
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -93,32 +93,32 @@
     }
 
     /// Sends a request and returns a reader for the response, whose body may have up to `max` bytes and pause for up to
-    /// `silence`.
+    /// `idle_timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError::TimedOut`] if nothing was received for `silence`, else [`CallError::Unknown`]: the server may have
+    /// [`CallError::TimedOut`] if nothing was received for `idle_timeout`, else [`CallError::Unknown`]: the server may have
     /// received the request.
     pub async fn send_and_read(
         &mut self,
         req: Request<Full<Bytes>>,
         max: usize,
-        silence: Millis,
+        idle_timeout: Millis,
     ) -> Result<ResponseReader, CallError> {
         let began = Clock.now();
-        let silent = || Err(CallError::TimedOut(format!("no answer in {silence} ms")));
-        let res = within(silence, self.send(req)).await.unwrap_or_else(silent)?;
+        let timed_out = || Err(CallError::TimedOut(format!("no answer in {idle_timeout} ms")));
+        let res = within(idle_timeout, self.send(req)).await.unwrap_or_else(timed_out)?;
         let (head, body) = res.into_parts();
         let content_length = body.size_hint().exact();
-        let longest = Clock.now().since(began);
+        let longest_idle = Clock.now().since(began);
         Ok(ResponseReader {
             head,
             body,
             buf: BytesMut::new(),
             content_length,
             max,
-            silence,
-            longest,
+            idle_timeout,
+            longest_idle,
         })
     }
 }
@@ -134,9 +134,9 @@
     /// Length of the body, if the head declares it.
     content_length: Option<u64>,
     max: usize,
-    silence: Millis,
+    idle_timeout: Millis,
     /// The longest time without any bytes so far.
-    longest: Millis,
+    longest_idle: Millis,
 }
 
 impl ResponseReader {
@@ -157,7 +157,7 @@
 
     /// Returns the longest time without any bytes, before or within the response.
     pub fn longest_idle(&self) -> Millis {
-        self.longest
+        self.longest_idle
     }
 
     /// Reads until `len` bytes are buffered or the body ends, and returns the buffered bytes.
@@ -183,11 +183,11 @@
 
     async fn read_frame(&mut self) -> Result<bool, CallError> {
         let began = Clock.now();
-        let Some(frame) = within(self.silence, self.body.frame()).await else {
-            let why = format!("silent for {} ms after {}", self.silence, self.progress());
+        let Some(frame) = within(self.idle_timeout, self.body.frame()).await else {
+            let why = format!("silent for {} ms after {}", self.idle_timeout, self.progress());
             return Err(CallError::TimedOut(why));
         };
-        self.longest = self.longest.max(Clock.now().since(began));
+        self.longest_idle = self.longest_idle.max(Clock.now().since(began));
         match frame {
             None => Ok(false),
             Some(Err(e)) => {
