--- a/core/src/serving/canary.rs
+++ b/core/src/serving/canary.rs
@@ -314,9 +314,9 @@
     ///
     /// Most requests of a session reach a gateway that has not served the session before. So no
     /// session moves in the first half of the window, and in the second half the draw alone decides
-    /// which sessions move. The gateways that keep the session's entry must be asked whether it has
-    /// moved where this gateway has used up its exposure budget, takes the order to be younger than
-    /// others may, or has just started and doesn't know the age of the order. After a rollback,
+    /// which sessions move. The gateways that keep the session's entry must be queried whether it has
+    /// moved if this gateway has used up its exposure budget, may have recorded a lower age of the
+    /// order than others, or has just started and has no age of the order. After a rollback,
     /// sessions return to the version in service.
     pub fn choose_arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
         let is_half_over = self.is_past(SESSION_MOVES_FROM, now);
--- a/core/src/serving/cold.rs
+++ b/core/src/serving/cold.rs
@@ -18,8 +18,8 @@
     pub peak_factor: f64,
     /// Requests within a second in addition to that.
     pub peak_slack: f64,
-    /// Part of the average that is sent, as gateways that don't know of each other yet send more in
-    /// total.
+    /// Part of the average that is sent, as gateways that are not on each other's membership list
+    /// yet send more in total.
     pub mean_share: f64,
     /// Part of the most requests within a second that is sent on average: gateways draw their send
     /// times at random, so that some seconds get more than the average.
--- a/core/src/serving/limits.rs
+++ b/core/src/serving/limits.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{Millis, RequestRate};
 
-/// How long a cleared limit is remembered, so that a late, older answer does not restore it.
+/// Time for which the removal of a limit stays on record, so that a late, older answer does not restore the limit.
 const CLEARED_LIMIT_RETENTION: Millis = Millis(10_000);
 
 /// Maximum number of servers recorded; beyond it, the one with the oldest answer is evicted.
--- a/core/src/serving/load.rs
+++ b/core/src/serving/load.rs
@@ -5,7 +5,7 @@
 use super::catalog::ServiceName;
 use crate::ids::Millis;
 
-/// Prefill time per prompt token, learned from the times to the first byte.
+/// Prefill time per prompt token, estimated from the times to the first byte.
 ///
 /// The times include waits and omit cached parts, so a low quantile is tracked: neither a queue nor a cache hit changes
 /// it much.
--- a/core/src/serving/placement.rs
+++ b/core/src/serving/placement.rs
@@ -5,7 +5,7 @@
 use super::catalog::BackendId;
 use crate::ids::Millis;
 
-/// A backend server that could run the request, and its load as far as the gateway has data.
+/// A backend server that could run the request, and its load as estimated by this gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     /// The server.
@@ -14,11 +14,11 @@
     pub running: f64,
     /// Estimated number of waiting requests.
     pub waiting: f64,
-    /// Estimated prefill time of the prompts that it has yet to read, including those that other gateways reported.
+    /// Estimated prefill time of the prompts that it has not processed yet, including those that other gateways sent.
     pub prefill_wait: Millis,
     /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is excluded for its failures while others are available.
+    /// Whether it is ejected for its failures, and therefore used only if all servers are.
     pub is_ejected: bool,
 }
 
--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -104,11 +104,11 @@
     removed: HashMap<BackendId, Millis>,
 }
 
-/// Time for which a removed server is remembered; longer than the age of the copies that the store is restored from,
+/// Time for which the removal of a server stays on record; longer than the age of the copies that the store is restored from,
 /// which is some seconds.
 const REMOVED_RETENTION: Millis = Millis(60_000);
 
-/// Time for which a list from an older copy may still be sent around; by its end all running servers have renewed their
+/// Time for which gateways may still send each other a list from an older copy; by its end all running servers have renewed their
 /// records.
 const RESTORED_LIST_LIFETIME: Millis = Millis(10_000);
 
@@ -255,7 +255,7 @@
     /// ```
     pub fn replace(&mut self, servers: Vec<BackendServer>, now: Millis) -> Vec<BackendId> {
         self.first_list_at.get_or_insert(now);
-        // Another gateway that has just started has only the restored copy, and sends it around.
+        // Another gateway that has just started has only the restored copy, and sends it to its peers.
         let has_left = |server: &BackendServer| {
             let left_at = self.removed.get(&server.id);
             now < self.stale_until && left_at.is_some_and(|at| now.since(*at) < REMOVED_RETENTION)
--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -105,13 +105,13 @@
 }
 
 impl SilenceWatch {
-    /// Starts a watch that is polled at the interval `every`.
+    /// Starts a measurement that is polled at the interval `every`.
     pub fn new(now: Millis, every: Millis) -> Self {
         let max_step = Millis(every.0 * 2);
         Self { polled_at: now, max_step, request_silence: Millis(0), server_silence: Millis(0) }
     }
 
-    /// Polls the watch; `last_data_at` is the time of the last data from the server on any request.
+    /// Adds the time since the last poll; `last_data_at` is the time of the last data from the server on any request.
     ///
     /// Failure: the process itself was stopped for seconds, and the data that servers sent in that time waits unread in
     /// its sockets. By the clock, all servers sent nothing, and each request would be sent again. So the time between
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -84,7 +84,7 @@
     pub(crate) orders: RefCell<OrderSnapshots>,
     /// Runs whose connections broke off, and the servers that ended.
     pub(crate) interrupted_runs: Rc<RefCell<InterruptedRuns>>,
-    /// Notified when a server whose runs broke off was checked.
+    /// Notified when a server whose runs broke off was probed.
     pub(crate) server_probed: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) trial_claims: RefCell<VecDeque<TrialClaim>>,
@@ -140,7 +140,7 @@
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
         let connect_timeout = ConnectTimeout::new(settings.connect_timeout);
-        // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
+        // Many gateways detect the end of a server at once. A random delay keeps their writes of marks from contending.
         let write_delay = settings.quarantine.write_delay;
         let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
         let quarantine = Quarantine::new(QuarantinePolicy { write_delay, ..settings.quarantine });
--- a/gateway/src/metadata.rs
+++ b/gateway/src/metadata.rs
@@ -110,7 +110,7 @@
     pub rate_limit: Option<RequestRate>,
     /// Whether the server announces that it is leaving.
     pub is_leaving: bool,
-    /// Delay before the next request that the server asks for when it refuses one.
+    /// Time until the next request may be sent, from the server's refusal of one.
     pub retry_after: Option<Millis>,
     /// The model's confidence in its answer, from 0 to 100.
     pub confidence: Option<u8>,
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -242,7 +242,7 @@
     }
 
     /// Releases the request's trial if nothing was sent. Otherwise records that the request ended, after which a mark that
-    /// was held back because the request might still complete is written.
+    /// was delayed because the request might still complete is written.
     pub(crate) fn settle_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -49,7 +49,7 @@
     pub(crate) sends: u32,
     /// The version that it was sent to; the target version if any attempt was sent there.
     pub(crate) sent_arm: Option<Arm>,
-    /// Answer of the keepers of its session, if they were asked.
+    /// Reply of the keepers of its session, if a query was sent to them.
     pub(crate) keepers_reply: Option<KeepersReply>,
     /// The version of its first send, and what bound the request to that version, for the log.
     pub(crate) first_send: Option<(VersionName, BindingReason)>,
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -24,7 +24,7 @@
 /// at the same time, so each writes with a matching probability.
 const EXPECTED_WRITERS: usize = 2;
 
-/// Time for which superseded orders are remembered. Copies from which the store is restored are some seconds old.
+/// Time for which superseded orders are kept. Copies from which the store is restored are some seconds old.
 const SUPERSEDED_RETENTION: Millis = Millis(60_000);
 
 /// Versions of one service, and its rollout.
@@ -50,11 +50,11 @@
     route_evidence: HashMap<u32, RouteEvidence>,
     /// Latest report of each other gateway, and when it was received.
     peer_reports: HashMap<String, (RolloutReport, Millis)>,
-    /// Usual times of the current version by route hash and model index; `true` for gaps between events, `false` for
-    /// times to the first byte.
+    /// Baseline latencies of the current version by route hash and model index; `true` for gaps between events, `false`
+    /// for times to the first byte.
     baselines: HashMap<(u32, usize, bool), BaselineLatency>,
-    /// How much slower than usual the current version is at the moment: times to the first byte, then gaps between
-    /// events.
+    /// Factor by which the current version is slower than its baseline at the moment: for times to the first byte, then
+    /// for gaps between events.
     slowdowns: [CurrentSlowdown; 2],
 }
 
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -22,7 +22,7 @@
 pub enum CallError {
     /// No connection was established, so the server has not received the request.
     Unreachable(io::Error),
-    /// The server may have received the request, and sent nothing for the maximum silence.
+    /// The server may have received the request, and sent nothing for the duration of the idle timeout.
     TimedOut(String),
     /// The server may have received the request, but there is no complete response.
     Unknown(String),
@@ -92,13 +92,13 @@
         self.tx.send_request(req).await.map_err(|e| CallError::Unknown(error_chain(&e)))
     }
 
-    /// Sends a request and returns a reader for the response, whose body may have up to `max` bytes and pause for up to
-    /// `idle_timeout`.
+    /// Sends a request and returns a reader for the response, whose body may have up to `max` bytes, with no pause longer
+    /// than `idle_timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError::TimedOut`] if nothing was received for `idle_timeout`, else [`CallError::Unknown`]: the server may have
-    /// received the request.
+    /// [`CallError::TimedOut`] if nothing was received for `idle_timeout`, else [`CallError::Unknown`]. In both cases the
+    /// server may have received the request.
     pub async fn send_and_read(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -164,8 +164,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallError::TimedOut`] if nothing was received for the maximum silence; [`CallError::Unknown`] if the body broke off or
-    /// is too long.
+    /// [`CallError::TimedOut`] if nothing was received for the duration of the idle timeout; [`CallError::Unknown`] if the
+    /// body broke off or is too long.
     pub async fn read_until(&mut self, len: usize) -> Result<&[u8], CallError> {
         while self.buf.len() < len && self.read_frame().await? {}
         Ok(&self.buf)
