--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -104,12 +104,12 @@
     removed: HashMap<BackendId, Millis>,
 }
 
-/// Time for which the removal of a server stays on record; longer than the age of the copies that the store is restored from,
-/// which is some seconds.
+/// Time for which the removal of a server stays on record; longer than the age of the copies that the store is restored
+/// from, which is some seconds.
 const REMOVED_RETENTION: Millis = Millis(60_000);
 
-/// Time for which gateways may still send each other a list from an older copy; by its end all running servers have renewed their
-/// records.
+/// Time for which gateways may still send each other a list from an older copy; by its end all running servers have
+/// renewed their records.
 const RESTORED_LIST_LIFETIME: Millis = Millis(10_000);
 
 /// Tolerance between heartbeats of a cold server about when it is warm, because they are read with varying delay.
