--- a/lab/src/quickstart.rs
+++ b/lab/src/quickstart.rs
@@ -38,7 +38,7 @@
         example_ask("demo-mitglieder", "wortwerk", "Draft an exchange agreement").stream(12);
     let streamed = caller.send_blocking(&draft.session("draft-1"));
     show("streamed", &streamed, &world)?;
-    let is_good = whole.status == 200 && whole.whole && streamed.is_whole_stream();
+    let is_good = whole.status == 200 && whole.whole && streamed.is_complete_stream();
     if once || !is_good {
         return stop(world, is_good);
     }
--- a/standins/src/bin/redwingfold-standins.rs
+++ b/standins/src/bin/redwingfold-standins.rs
@@ -18,11 +18,11 @@
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
     #[command(subcommand)]
-    what: What,
+    standin: Standin,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
+enum Standin {
     /// A model engine.
     Engine {
         /// Versions that are loaded.
@@ -55,8 +55,8 @@
 
 fn main() -> eyre::Result<()> {
     let args = Args::parse();
-    let addr = match args.what {
-        What::Engine { versions, slots, prefill_ms, token_ms, ignore_fencing } => {
+    let addr = match args.standin {
+        Standin::Engine { versions, slots, prefill_ms, token_ms, ignore_fencing } => {
             let settings = EngineSettings {
                 versions,
                 slots,
@@ -66,13 +66,13 @@
                 seed: args.seed,
                 ..EngineSettings::default()
             };
-            keep(Engine::start(args.listen, settings)?, |e| e.addr)
+            leak(Engine::start(args.listen, settings)?, |e| e.addr)
         }
-        What::Hosts => keep(HostList::start(args.listen)?, |s| s.addr),
-        What::Log => keep(LogService::start(args.listen, args.seed)?, |s| s.addr),
-        What::Rating => keep(Rating::start(args.listen)?, |s| s.addr),
-        What::Service => keep(Service::start(args.listen)?, |s| s.addr),
-        What::Weights => keep(WeightStore::start(args.listen)?, |s| s.addr),
+        Standin::Hosts => leak(HostList::start(args.listen)?, |s| s.addr),
+        Standin::Log => leak(LogService::start(args.listen, args.seed)?, |s| s.addr),
+        Standin::Rating => leak(Rating::start(args.listen)?, |s| s.addr),
+        Standin::Service => leak(Service::start(args.listen)?, |s| s.addr),
+        Standin::Weights => leak(WeightStore::start(args.listen)?, |s| s.addr),
     };
     println!("{addr}");
     smol::block_on(async {
@@ -83,7 +83,7 @@
 }
 
 /// Leaves a stand-in running for the life of the process.
-fn keep<T>(standin: T, addr: impl FnOnce(&T) -> SocketAddr) -> SocketAddr {
+fn leak<T>(standin: T, addr: impl FnOnce(&T) -> SocketAddr) -> SocketAddr {
     let addr = addr(&standin);
     std::mem::forget(standin);
     addr
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -79,7 +79,7 @@
     faults: EngineFaults,
     running: usize,
     waiting: usize,
-    reports: VecDeque<(Instant, usize, usize)>,
+    load_samples: VecDeque<(Instant, usize, usize)>,
     cache: VecDeque<String>,
     /// Prefixes that were cached or evicted, with the time from which that is published.
     cache_events: Vec<(Instant, Value)>,
@@ -87,8 +87,8 @@
     queue: BTreeSet<(u8, u64)>,
     next_ticket: u64,
     /// Streams that broke off, by request, for resuming them.
-    broken: BTreeMap<String, (Run, u64)>,
-    fence: u64,
+    interrupted_streams: BTreeMap<String, (Run, u64)>,
+    highest_fence: u64,
     rng: fastrand::Rng,
 }
 
@@ -106,15 +106,15 @@
 const PREFIX_CHARS: usize = 64;
 const DEFAULT_TOKENS: u64 = 8;
 const MAX_CACHE_EVENTS: usize = 1_000;
-const MAX_BROKEN: usize = 100;
+const MAX_INTERRUPTED_STREAMS: usize = 100;
 const DEFAULT_PRIORITY: u8 = 5;
 const QUEUE_POLL: Duration = Duration::from_millis(1);
 
 /// Returns the token at an index of a request's answer: it names version and request, so that a
 /// checker sees a token that belongs to another answer.
-fn token(version: &str, request: &str, prompt: &str, index: u64, bad: bool) -> String {
+fn token(version: &str, request: &str, prompt: &str, index: u64, is_bad: bool) -> String {
     let hash = xxhash_rust::xxh3::xxh3_64(prompt.as_bytes()) as u16;
-    let tail = if bad { BAD_MARK } else { "ok" };
+    let tail = if is_bad { BAD_MARK } else { "ok" };
     let short = &request[..request.len().min(8)];
     format!("{index}:{version}:{short}:{hash:04x}:{tail} ")
 }
@@ -141,13 +141,13 @@
             faults: EngineFaults::default(),
             running: 0,
             waiting: 0,
-            reports: VecDeque::new(),
+            load_samples: VecDeque::new(),
             cache: VecDeque::new(),
             cache_events: Vec::new(),
             queue: BTreeSet::new(),
             next_ticket: 0,
-            broken: BTreeMap::new(),
-            fence: 0,
+            interrupted_streams: BTreeMap::new(),
+            highest_fence: 0,
         }));
         let history = History::default();
         let (inner, events) = (state.clone(), history.clone());
@@ -168,17 +168,18 @@
 }
 
 impl State {
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let lag = self.settings.report_lag;
-        self.reports.push_back((Instant::now(), self.running, self.waiting));
-        while self.reports.len() > 1 && self.reports[1].0.elapsed() >= lag {
-            self.reports.pop_front();
+        self.load_samples.push_back((Instant::now(), self.running, self.waiting));
+        while self.load_samples.len() > 1 && self.load_samples[1].0.elapsed() >= lag {
+            self.load_samples.pop_front();
         }
     }
 
-    fn report(&mut self) -> Value {
-        self.note_load();
-        let (_, running, waiting) = self.reports.front().copied().unwrap_or((Instant::now(), 0, 0));
+    fn load_report(&mut self) -> Value {
+        self.record_load();
+        let (_, running, waiting) =
+            self.load_samples.front().copied().unwrap_or((Instant::now(), 0, 0));
         json!({
             "running": self.faults.lie.unwrap_or(running),
             "waiting": self.faults.lie.map_or(waiting, |_| 0),
@@ -188,7 +189,7 @@
     }
 
     /// Returns whether the prompt's prefix was cached, and caches it.
-    fn cached(&mut self, version: &str, prompt: &str) -> bool {
+    fn cache_prefix(&mut self, version: &str, prompt: &str) -> bool {
         let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let key = format!("{version} {prefix}");
         let hit = match self.cache.iter().position(|k| *k == key) {
@@ -196,19 +197,19 @@
             None => false,
         };
         if !hit {
-            self.cache_event("cached", &key);
+            self.publish_cache_event("cached", &key);
         }
         self.cache.push_back(key);
         while self.cache.len() > self.settings.cache {
             if let Some(old) = self.cache.pop_front() {
-                self.cache_event("evicted", &old);
+                self.publish_cache_event("evicted", &old);
             }
         }
         hit
     }
 
     /// Publishes an event late, or never: its number is used up all the same, so that there is a gap.
-    fn cache_event(&mut self, what: &str, key: &str) {
+    fn publish_cache_event(&mut self, what: &str, key: &str) {
         let number = self.next_ticket;
         self.next_ticket += 1;
         let lost = self.faults.lose_events;
@@ -216,13 +217,13 @@
             let due = Instant::now() + self.settings.report_lag;
             self.cache_events.push((due, json!({"number": number, "what": what, "prefix": key})));
         }
-        let over = self.cache_events.len().saturating_sub(MAX_CACHE_EVENTS);
-        self.cache_events.drain(..over);
+        let excess = self.cache_events.len().saturating_sub(MAX_CACHE_EVENTS);
+        self.cache_events.drain(..excess);
     }
 
-    fn slowed(&self, ms: u64) -> Duration {
-        let crowd = 10 + self.running.saturating_sub(1) as u64;
-        Duration::from_micros(ms * 100 * crowd * (100 + self.faults.slow_percent) / 100)
+    fn scaled_duration(&self, ms: u64) -> Duration {
+        let load_factor = 10 + self.running.saturating_sub(1) as u64;
+        Duration::from_micros(ms * 100 * load_factor * (100 + self.faults.slow_percent) / 100)
     }
 }
 
@@ -230,7 +231,7 @@
 struct Slot {
     state: Arc<Mutex<State>>,
     ticket: (u8, u64),
-    running: bool,
+    is_running: bool,
 }
 
 impl Slot {
@@ -241,13 +242,13 @@
             s.next_ticket += 1;
             s.queue.insert(ticket);
             s.waiting += 1;
-            s.note_load();
+            s.record_load();
             ticket
         };
-        Self { state, ticket, running: false }
+        Self { state, ticket, is_running: false }
     }
 
-    async fn begin(&mut self) {
+    async fn acquire(&mut self) {
         loop {
             {
                 let mut s = lock(&self.state);
@@ -257,8 +258,8 @@
                     s.queue.remove(&self.ticket);
                     s.waiting -= 1;
                     s.running += 1;
-                    s.note_load();
-                    self.running = true;
+                    s.record_load();
+                    self.is_running = true;
                     return;
                 }
             }
@@ -270,13 +271,13 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let mut s = lock(&self.state);
-        if self.running {
+        if self.is_running {
             s.running -= 1;
         } else {
             s.queue.remove(&self.ticket);
             s.waiting -= 1;
         }
-        s.note_load();
+        s.record_load();
     }
 }
 
@@ -292,7 +293,7 @@
         return res;
     }
     match req.url().path() {
-        "/v1/load" => serve::json(&lock(&state).report()),
+        "/v1/load" => serve::json(&lock(&state).load_report()),
         "/v1/cache_events" => cache_events(&req, &state),
         "/v1/resume" => resume(&mut req, state, history).await,
         "/v1/orders" => order(&mut req, &state, &history).await,
@@ -314,16 +315,16 @@
 async fn resume(req: &mut Request, state: Arc<Mutex<State>>, history: History) -> Response {
     let body = serve::body_json(req).await.unwrap_or_default();
     let request = body["request_id"].as_str().unwrap_or_default();
-    let found = lock(&state).broken.get(request).cloned();
-    let Some((run, reached)) = found else {
+    let found = lock(&state).interrupted_streams.get(request).cloned();
+    let Some((run, next_token)) = found else {
         return serve::status(404, "no such stream broke off");
     };
-    let from = body["from_token"].as_u64().unwrap_or(reached).min(reached);
+    let from = body["from_token"].as_u64().unwrap_or(next_token).min(next_token);
     history.add("resume", &run.version, &run.request, from.to_string());
-    stream_answer(run, from, state, history)
+    stream_response(run, from, state, history)
 }
 
-fn stream_answer(run: Run, from: u64, state: Arc<Mutex<State>>, history: History) -> Response {
+fn stream_response(run: Run, from: u64, state: Arc<Mutex<State>>, history: History) -> Response {
     let (tx, body) = channel_body();
     smol::spawn(stream(run, from, tx, state, history)).detach();
     let mut res = Response::new(StatusCode::Ok);
@@ -339,11 +340,11 @@
     let wanted: Vec<_> = wanted.iter().filter_map(|v| v.as_str().map(str::to_owned)).collect();
     let wait = {
         let mut s = lock(state);
-        if s.settings.fencing && fence < s.fence {
+        if s.settings.fencing && fence < s.highest_fence {
             history.add("order_refused", "", &fence.to_string(), body.to_string());
             return serve::status(409, "old fencing number");
         }
-        s.fence = s.fence.max(fence);
+        s.highest_fence = s.highest_fence.max(fence);
         let loads = wanted.iter().any(|v| !s.settings.versions.contains(v));
         Duration::from_millis(if loads { s.settings.load_ms } else { 0 })
     };
@@ -362,7 +363,7 @@
     prompt: String,
     tokens: u64,
     priority: u8,
-    bad: bool,
+    is_bad: bool,
 }
 
 async fn chat(
@@ -396,44 +397,44 @@
         .unwrap_or_default()
         .to_owned();
     let bad_share = faults.bad.get(&version).copied().unwrap_or(0);
-    let bad = lock(&state).rng.u32(0..1000) < bad_share;
+    let is_bad = lock(&state).rng.u32(0..1000) < bad_share;
     let tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
     let priority = body["priority"].as_u64().map_or(DEFAULT_PRIORITY, |p| p.min(9) as u8);
-    let run = Run { version, request, prompt, tokens, priority, bad };
+    let run = Run { version, request, prompt, tokens, priority, is_bad };
     if body["stream"].as_bool() == Some(true) {
-        return stream_answer(run, 0, state, history);
+        return stream_response(run, 0, state, history);
     }
-    let whole = whole(&run, state, &history);
-    let gone = async {
+    let complete_response = complete_response(&run, state, &history);
+    let disconnected = async {
         peer.disconnected().await;
         history.add("cancel", &run.version, &run.request, "");
         serve::status(500, "caller is gone")
     };
-    whole.or(gone).await
+    complete_response.or(disconnected).await
 }
 
 async fn prefill(run: &Run, slot: &mut Slot) {
-    slot.begin().await;
+    slot.acquire().await;
     let wait = {
         let mut s = lock(&slot.state);
-        let hit = s.cached(&run.version, &run.prompt);
+        let hit = s.cache_prefix(&run.version, &run.prompt);
         let chars = if hit { run.prompt.len() as u64 / 10 } else { run.prompt.len() as u64 };
         let per_thousand = s.settings.prefill_ms;
-        s.slowed(per_thousand * (chars / 100).max(1)) / 10
+        s.scaled_duration(per_thousand * (chars / 100).max(1)) / 10
     };
     Timer::after(wait).await;
 }
 
-async fn whole(run: &Run, state: Arc<Mutex<State>>, history: &History) -> Response {
+async fn complete_response(run: &Run, state: Arc<Mutex<State>>, history: &History) -> Response {
     let mut slot = Slot::new(state, run.priority);
     prefill(run, &mut slot).await;
     let mut text = String::new();
     for index in 0..run.tokens {
-        let wait = { lock(&slot.state).slowed_token() };
+        let wait = { lock(&slot.state).token_duration() };
         Timer::after(wait).await;
-        text += &token(&run.version, &run.request, &run.prompt, index, run.bad);
+        text += &token(&run.version, &run.request, &run.prompt, index, run.is_bad);
     }
-    history.add("end", &run.version, &run.request, if run.bad { "bad" } else { "good" });
+    history.add("end", &run.version, &run.request, if run.is_bad { "bad" } else { "good" });
     serve::json(&json!({
         "id": run.request,
         "object": "chat.completion",
@@ -457,30 +458,30 @@
 }
 
 impl State {
-    fn slowed_token(&self) -> Duration {
-        self.slowed(self.settings.token_ms)
+    fn token_duration(&self) -> Duration {
+        self.scaled_duration(self.settings.token_ms)
     }
 }
 
 async fn stream(run: Run, from: u64, tx: BodySender, state: Arc<Mutex<State>>, history: History) {
     let mut slot = Slot::new(state.clone(), run.priority);
-    let sent = async {
+    let sending = async {
         prefill(&run, &mut slot).await;
         for index in from..run.tokens {
             let (wait, die_after) = {
                 let s = lock(&slot.state);
-                (s.slowed_token(), s.faults.die_after)
+                (s.token_duration(), s.faults.die_after)
             };
             if die_after.is_some_and(|n| index >= u64::from(n)) {
                 history.add("die", &run.version, &run.request, "");
                 let mut s = lock(&state);
-                if s.broken.len() < MAX_BROKEN {
-                    s.broken.insert(run.request.clone(), (run.clone(), index));
+                if s.interrupted_streams.len() < MAX_INTERRUPTED_STREAMS {
+                    s.interrupted_streams.insert(run.request.clone(), (run.clone(), index));
                 }
                 return Err(true);
             }
             Timer::after(wait).await;
-            let text = token(&run.version, &run.request, &run.prompt, index, run.bad);
+            let text = token(&run.version, &run.request, &run.prompt, index, run.is_bad);
             let last = index + 1 == run.tokens;
             let mut event = json!({
                 "id": run.request,
@@ -499,13 +500,13 @@
         }
         tx.send(b"data: [DONE]\n\n".to_vec()).await.map_err(|_| false)
     };
-    let gone = async {
+    let disconnected = async {
         tx.closed().await;
         Err(false)
     };
-    match sent.or(gone).await {
+    match sending.or(disconnected).await {
         Ok(()) => {
-            history.add("end", &run.version, &run.request, if run.bad { "bad" } else { "good" })
+            history.add("end", &run.version, &run.request, if run.is_bad { "bad" } else { "good" })
         }
         Err(true) => tx.abort("died").await,
         Err(false) => history.add("cancel", &run.version, &run.request, ""),
--- a/standins/src/fleet/caller.rs
+++ b/standins/src/fleet/caller.rs
@@ -59,7 +59,7 @@
     }
 
     /// Says whether a streamed chat answer came with its end mark.
-    pub fn is_whole_stream(&self) -> bool {
+    pub fn is_complete_stream(&self) -> bool {
         self.whole && self.text().contains("data: [DONE]")
     }
 
@@ -146,20 +146,20 @@
     pub addr: SocketAddr,
 }
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(5);
-const LIMIT: Duration = Duration::from_secs(120);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
 impl Caller {
     /// Sends a request and reads what comes.
     pub async fn send(&self, ask: &Ask) -> Answered {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut answered = Answered::default();
         let late = async {
-            Timer::after(LIMIT).await;
+            Timer::after(RESPONSE_TIMEOUT).await;
             "late".to_owned()
         };
-        answered.error = self.exchange(ask, &mut answered, begun).or(late).await;
-        answered.took = begun.elapsed();
+        answered.error = self.exchange(ask, &mut answered, started_at).or(late).await;
+        answered.took = started_at.elapsed();
         answered
     }
 
@@ -168,7 +168,7 @@
         smol::block_on(self.send(ask))
     }
 
-    async fn exchange(&self, ask: &Ask, answered: &mut Answered, begun: Instant) -> String {
+    async fn exchange(&self, ask: &Ask, answered: &mut Answered, started_at: Instant) -> String {
         let url = match Url::parse(&format!("http://{}{}", self.addr, ask.target)) {
             Ok(url) => url,
             Err(e) => return e.to_string(),
@@ -181,14 +181,15 @@
             req.set_body(ask.body.clone());
             req.insert_header("content-type", "application/json");
         }
-        let mut res = match open_stream(self.addr, req, CONNECT_LIMIT).await {
+        let mut res = match open_stream(self.addr, req, CONNECT_TIMEOUT).await {
             Ok(res) => res,
             Err(e) => return e.to_string(),
         };
         answered.status = u16::from(res.status());
         answered.headers =
             res.iter().map(|(k, v)| (k.as_str().to_lowercase(), v.as_str().to_owned())).collect();
-        let announced = answered.header("content-length").and_then(|v| v.parse::<usize>().ok());
+        let content_length =
+            answered.header("content-length").and_then(|v| v.parse::<usize>().ok());
         let mut reader = res.take_body().into_reader();
         let mut buf = vec![0; 16 * 1024];
         loop {
@@ -196,14 +197,14 @@
                 Ok(0) => break,
                 Ok(n) => {
                     if answered.body.is_empty() {
-                        answered.first_byte = begun.elapsed();
+                        answered.first_byte = started_at.elapsed();
                     }
                     answered.body.extend_from_slice(&buf[..n]);
                 }
                 Err(e) => return e.to_string(),
             }
         }
-        answered.whole = announced.is_none_or(|len| len == answered.body.len());
+        answered.whole = content_length.is_none_or(|len| len == answered.body.len());
         String::new()
     }
 }
--- a/standins/src/fleet/launch.rs
+++ b/standins/src/fleet/launch.rs
@@ -23,10 +23,10 @@
 use crate::weight_store::WeightStore;
 
 /// Longest wait for anything that must come about.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Lines of each daemon's log that a failed test shows.
-const SHOWN_LINES: usize = 40;
+const MAX_SHOWN_LOG_LINES: usize = 40;
 
 const POLL: Duration = Duration::from_millis(5);
 
@@ -36,9 +36,9 @@
 ///
 /// If it does not come to hold in time.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "waited too long: {what}");
+        assert!(started_at.elapsed() < TIMEOUT, "waited too long: {what}");
         std::thread::sleep(POLL);
     }
 }
@@ -68,11 +68,11 @@
     pub services: BTreeMap<String, Service>,
     daemons: BTreeMap<String, Daemon>,
     entries: Vec<String>,
-    log_ways: BTreeMap<String, TcpProxy>,
-    peer_ways: BTreeMap<String, UdpProxy>,
+    log_proxies: BTreeMap<String, TcpProxy>,
+    peer_proxies: BTreeMap<String, UdpProxy>,
     bin_dir: PathBuf,
     dir: PathBuf,
-    overlay: Value,
+    setting_overrides: Value,
 }
 
 /// What a fleet is made of.
@@ -81,7 +81,7 @@
     bin_dir: PathBuf,
     entries: usize,
     sides: Vec<(String, String, Backend)>,
-    overlay: Value,
+    setting_overrides: Value,
 }
 
 #[derive(Clone, Debug)]
@@ -98,8 +98,8 @@
 impl FleetBuilder {
     /// Begins a fleet whose programs are in `bin_dir`.
     pub fn new(bin_dir: &Path) -> Self {
-        let overlay = json!({"entry": {}, "side": {}});
-        Self { bin_dir: bin_dir.to_owned(), entries: 1, sides: Vec::new(), overlay }
+        let setting_overrides = json!({"entry": {}, "side": {}});
+        Self { bin_dir: bin_dir.to_owned(), entries: 1, sides: Vec::new(), setting_overrides }
     }
 
     /// Sets the number of entries; they are called `entry-0` and so on.
@@ -128,7 +128,7 @@
     /// Sets a group of settings of all daemons of a role.
     #[must_use]
     pub fn settings(mut self, role: &str, group: &str, value: Value) -> Self {
-        self.overlay[role][group] = value;
+        self.setting_overrides[role][group] = value;
         self
     }
 
@@ -151,19 +151,19 @@
             services: BTreeMap::new(),
             daemons: BTreeMap::new(),
             entries: (0..self.entries).map(|i| format!("entry-{i}")).collect(),
-            log_ways: BTreeMap::new(),
-            peer_ways: BTreeMap::new(),
+            log_proxies: BTreeMap::new(),
+            peer_proxies: BTreeMap::new(),
             bin_dir: self.bin_dir,
             dir,
-            overlay: self.overlay,
+            setting_overrides: self.setting_overrides,
         };
         let mut names: Vec<_> = fleet.entries.clone();
         names.extend(self.sides.iter().map(|(host, ..)| host.clone()));
         names.push("ctl".to_owned());
         fleet.make_keys(&names);
         for name in &names {
-            let way = TcpProxy::start(fleet.log.addr).expect("way to the log");
-            fleet.log_ways.insert(name.clone(), way);
+            let proxy = TcpProxy::start(fleet.log.addr).expect("way to the log");
+            fleet.log_proxies.insert(name.clone(), proxy);
         }
         fleet.write_ctl_settings();
         for (host, domain, backend) in self.sides {
@@ -233,20 +233,21 @@
         std::fs::write(self.dir.join("ctl.json"), settings.to_string()).expect("ctl settings");
     }
 
-    fn common(&self, host: &str, domain: &str, role: &str) -> Value {
+    fn common_settings(&self, host: &str, domain: &str, role: &str) -> Value {
         let mut settings = json!({
             "host": host,
             "failure_domain": domain,
             "peer_listen": "127.0.0.1:0",
-            "log": {"address": self.log_ways[host].addr},
+            "log": {"address": self.log_proxies[host].addr},
             "host_list": {"address": self.hosts.addr, "every_ms": 200},
             "tls": self.tls(host),
             "batch": {"every_ms": 200},
         });
-        let overlay = self.overlay[role].as_object().cloned().unwrap_or_default();
-        for (group, value) in overlay {
+        let setting_overrides =
+            self.setting_overrides[role].as_object().cloned().unwrap_or_default();
+        for (group, value) in setting_overrides {
             match (settings[&group].as_object_mut(), value) {
-                (Some(held), Value::Object(new)) => held.extend(new),
+                (Some(existing), Value::Object(new)) => existing.extend(new),
                 (_, value) => settings[&group] = value,
             }
         }
@@ -260,7 +261,7 @@
         let program = self.bin_dir.join(format!("redwingfold-{role}"));
         let args = ["--settings", path.to_str().expect("path")];
         let process = Process::start(host, &program, &args).expect("daemon");
-        let line = process.wait_for_line(&format!("event={role}_started"), PATIENCE);
+        let line = process.wait_for_line(&format!("event={role}_started"), TIMEOUT);
         let line = line.unwrap_or_else(|printed| panic!("{printed}"));
         let addr = |key: &str| {
             let value = line.split(' ').find_map(|pair| pair.strip_prefix(key));
@@ -273,7 +274,7 @@
 
     /// Starts a side, or starts it anew after it ended.
     pub fn start_side(&mut self, host: &str, domain: &str) {
-        let mut settings = self.common(host, domain, "side");
+        let mut settings = self.common_settings(host, domain, "side");
         settings["backends"] = match (self.engines.get(host), self.services.get(host)) {
             (Some(e), _) => {
                 json!([{"name": "engine-0", "address": e.addr, "kind": "engine", "slots": 64}])
@@ -292,7 +293,7 @@
 
     /// Starts an entry, or starts it anew after it ended.
     pub fn start_entry(&mut self, host: &str, domain: &str) {
-        let mut settings = self.common(host, domain, "entry");
+        let mut settings = self.common_settings(host, domain, "entry");
         settings["listen"] = json!("127.0.0.1:0");
         if settings["limits"]["drain_accept_ms"].is_null() {
             settings["limits"]["drain_accept_ms"] = json!(100);
@@ -327,7 +328,7 @@
             let domain = std::fs::read_to_string(self.dir.join(format!("{host}.domain")));
             HostEntry {
                 host: host.clone(),
-                address: self.peer_ways.get(host).map_or(daemon.peer, |way| way.addr),
+                address: self.peer_proxies.get(host).map_or(daemon.peer, |proxy| proxy.addr),
                 failure_domain: domain.expect("domain"),
                 role: if daemon.listen.is_some() { "entry" } else { "side" }.to_owned(),
                 state: "live".to_owned(),
@@ -338,20 +339,20 @@
     }
 
     /// Cuts a daemon off from the log service, or connects it again.
-    pub fn cut_log(&self, host: &str, cut: bool) {
-        self.log_ways[host].set_cut(cut);
+    pub fn set_log_cut(&self, host: &str, cut: bool) {
+        self.log_proxies[host].set_cut(cut);
     }
 
     /// Puts something before a daemon that can lose track of its connections, and lists it there.
-    pub fn put_proxy(&mut self, host: &str) {
-        let way = UdpProxy::start(self.daemons[host].peer).expect("proxy");
-        self.peer_ways.insert(host.to_owned(), way);
+    pub fn add_peer_proxy(&mut self, host: &str) {
+        let proxy = UdpProxy::start(self.daemons[host].peer).expect("proxy");
+        self.peer_proxies.insert(host.to_owned(), proxy);
         self.list_hosts(Duration::ZERO);
     }
 
     /// Returns what [`Self::put_proxy`] put before a daemon.
-    pub fn proxy(&self, host: &str) -> &UdpProxy {
-        &self.peer_ways[host]
+    pub fn peer_proxy(&self, host: &str) -> &UdpProxy {
+        &self.peer_proxies[host]
     }
 
     /// Returns a daemon's process.
@@ -419,10 +420,10 @@
     pub fn publish(&self, objects: &Objects) {
         let file = self.write_objects("publish", objects);
         let output = self.ctl(&["publish", &file, "--reason", "test", "--allow-empty"]);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr_text = String::from_utf8_lossy(&output.stderr);
         assert!(
             output.status.success(),
-            "publish: {said} {}",
+            "publish: {stderr_text} {}",
             String::from_utf8_lossy(&output.stdout)
         );
     }
@@ -444,7 +445,7 @@
         if std::thread::panicking() {
             for (host, daemon) in &self.daemons {
                 let lines = daemon.process.lines();
-                let last = &lines[lines.len().saturating_sub(SHOWN_LINES)..];
+                let last = &lines[lines.len().saturating_sub(MAX_SHOWN_LOG_LINES)..];
                 eprintln!("--- {host}\n{}", last.join("\n"));
             }
         }
--- a/standins/src/fleet/process.rs
+++ b/standins/src/fleet/process.rs
@@ -38,8 +38,8 @@
             .stderr(Stdio::piped())
             .spawn()?;
         let lines = Arc::new(Mutex::new(VecDeque::new()));
-        let out = child.stdout.take().map(|out| collect(out, lines.clone()));
-        let err = child.stderr.take().map(|err| collect(err, lines.clone()));
+        let out = child.stdout.take().map(|out| spawn_line_reader(out, lines.clone()));
+        let err = child.stderr.take().map(|err| spawn_line_reader(err, lines.clone()));
         let readers = Mutex::new(out.into_iter().chain(err).collect());
         Ok(Self { name: name.to_owned(), child: Mutex::new(child), lines, readers })
     }
@@ -77,8 +77,8 @@
     /// # Errors
     ///
     /// What was printed, if the line does not come or the process ends.
-    pub fn wait_for_line(&self, text: &str, limit: Duration) -> Result<String, String> {
-        let begun = Instant::now();
+    pub fn wait_for_line(&self, text: &str, timeout: Duration) -> Result<String, String> {
+        let started_at = Instant::now();
         loop {
             let ended = self.has_ended();
             if ended {
@@ -87,7 +87,7 @@
             if let Some(line) = self.lines().into_iter().find(|line| line.contains(text)) {
                 return Ok(line);
             }
-            if ended || begun.elapsed() > limit {
+            if ended || started_at.elapsed() > timeout {
                 let printed = self.lines().join("\n");
                 return Err(format!("{}: no line with {text:?}:\n{printed}", self.name));
             }
@@ -129,9 +129,9 @@
     }
 
     /// Waits for its end.
-    pub fn wait(&self, limit: Duration) -> Option<ExitStatus> {
-        let begun = Instant::now();
-        while begun.elapsed() < limit {
+    pub fn wait(&self, timeout: Duration) -> Option<ExitStatus> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < timeout {
             // Taken on its own, so that nothing holds the child while its output is read.
             let status = self.child().try_wait();
             if let Ok(Some(status)) = status {
@@ -151,7 +151,7 @@
     }
 }
 
-fn collect(
+fn spawn_line_reader(
     from: impl Read + Send + 'static,
     lines: Arc<Mutex<VecDeque<String>>>,
 ) -> JoinHandle<()> {
--- a/standins/src/history.rs
+++ b/standins/src/history.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the events of one sort.
-    pub fn of(&self, what: &str) -> Vec<Event> {
+    pub fn events_named(&self, what: &str) -> Vec<Event> {
         self.events().into_iter().filter(|e| e.what == what).collect()
     }
 
--- a/standins/src/host_list.rs
+++ b/standins/src/host_list.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct State {
     control: Control,
-    shown: Vec<HostEntry>,
+    visible: Vec<HostEntry>,
     pending: Vec<(Instant, Vec<HostEntry>)>,
 }
 
@@ -59,12 +59,12 @@
         self.control = control;
     }
 
-    fn shown(&mut self) -> &[HostEntry] {
+    fn visible(&mut self) -> &[HostEntry] {
         let now = Instant::now();
         while self.pending.first().is_some_and(|(due, _)| *due <= now) {
-            self.shown = self.pending.remove(0).1;
+            self.visible = self.pending.remove(0).1;
         }
-        &self.shown
+        &self.visible
     }
 }
 
@@ -76,7 +76,8 @@
     /// If the address cannot be listened on.
     pub fn start(addr: SocketAddr) -> std::io::Result<Self> {
         let control = Control { hosts: Vec::new(), lag_ms: 0, outage: false };
-        let state = Arc::new(Mutex::new(State { control, shown: Vec::new(), pending: Vec::new() }));
+        let state =
+            Arc::new(Mutex::new(State { control, visible: Vec::new(), pending: Vec::new() }));
         let inner = state.clone();
         let (addr, task) = serve::start(addr, move |mut req: Request, _| {
             let state = inner.clone();
@@ -87,7 +88,7 @@
                     Some(res) => res,
                     None if lock().control.outage => serve::status(503, "outage"),
                     None if req.url().path() == "/hosts" => {
-                        serve::json(&json!({"hosts": lock().shown()}))
+                        serve::json(&json!({"hosts": lock().visible()}))
                     }
                     None => serve::status(404, "no such path"),
                 }
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -54,7 +54,7 @@
     faults: LogFaults,
     streams: BTreeMap<String, Stream>,
     tokens: f64,
-    refilled: Instant,
+    refilled_at: Instant,
     rng: fastrand::Rng,
     appends: u64,
     reads: u64,
@@ -85,7 +85,7 @@
             faults,
             streams: BTreeMap::new(),
             tokens: f64::from(faults.rate),
-            refilled: Instant::now(),
+            refilled_at: Instant::now(),
             rng: fastrand::Rng::with_seed(seed),
             appends: 0,
             reads: 0,
@@ -150,10 +150,10 @@
         s.first + s.records.len() as u64 - 1
     }
 
-    fn admit(&mut self) -> bool {
+    fn try_take_token(&mut self) -> bool {
         let rate = f64::from(self.faults.rate);
-        self.tokens = (self.tokens + self.refilled.elapsed().as_secs_f64() * rate).min(rate);
-        self.refilled = Instant::now();
+        self.tokens = (self.tokens + self.refilled_at.elapsed().as_secs_f64() * rate).min(rate);
+        self.refilled_at = Instant::now();
         if self.tokens < 1.0 {
             return false;
         }
@@ -206,7 +206,7 @@
     }
     let (offset, lost) = {
         let mut s = lock(state);
-        if !s.admit() {
+        if !s.try_take_token() {
             history.add("refused", stream, "", "rate");
             let mut res = serve::status(429, "too many appends");
             res.insert_header("retry-after", "1");
@@ -224,7 +224,7 @@
     let from = serve::query(req, "from").unwrap_or(1);
     let max = serve::query(req, "max").unwrap_or(1000) as usize;
     let wait = Duration::from_millis(serve::query(req, "wait_ms").unwrap_or(0).min(30_000));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     lock(state).reads += 1;
     loop {
         {
@@ -235,7 +235,7 @@
             let empty = Stream { first: 1, ..Default::default() };
             let stream = s.streams.get(stream).unwrap_or(&empty);
             let next = stream.first + stream.records.len() as u64;
-            if next > from || begun.elapsed() >= wait {
+            if next > from || started_at.elapsed() >= wait {
                 let start = from.max(stream.first);
                 let skip = (start - stream.first) as usize;
                 let records: Vec<_> = (start..)
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -36,10 +36,10 @@
     res
 }
 
-pub(crate) fn status(code: u16, why: &str) -> Response {
+pub(crate) fn status(code: u16, message: &str) -> Response {
     let mut res =
         Response::new(StatusCode::try_from(code).unwrap_or(StatusCode::InternalServerError));
-    res.set_body(format!("{{\"error\":\"{why}\"}}"));
+    res.set_body(format!("{{\"error\":\"{message}\"}}"));
     res
 }
 
--- a/standins/src/tcp_proxy.rs
+++ b/standins/src/tcp_proxy.rs
@@ -53,10 +53,10 @@
 
 impl Link {
     /// Returns what happens to a connection that was made in a generation.
-    fn fault(&self, made: u64) -> LinkFault {
+    fn fault(&self, generation: u64) -> LinkFault {
         match *self.fault.lock().unwrap_or_else(PoisonError::into_inner) {
             LinkFault::Cut => LinkFault::Cut,
-            _ if made < self.generation.load(Ordering::SeqCst) => LinkFault::Silent,
+            _ if generation < self.generation.load(Ordering::SeqCst) => LinkFault::Silent,
             fault => fault,
         }
     }
@@ -64,9 +64,9 @@
 
 /// Which way bytes go.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    Back,
-    There,
+enum Direction {
+    FromServer,
+    ToServer,
 }
 
 impl TcpProxy {
@@ -84,7 +84,7 @@
         let task = smol::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 if inner.fault(u64::MAX) != LinkFault::Cut {
-                    smol::spawn(pass(stream, to, inner.clone())).detach();
+                    smol::spawn(forward(stream, to, inner.clone())).detach();
                 }
             }
         });
@@ -113,37 +113,45 @@
     }
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, link: Arc<Link>) {
-    let made = link.generation.load(Ordering::SeqCst);
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    near.set_nodelay(true).ok();
-    far.set_nodelay(true).ok();
-    let there = pump(near.clone(), far.clone(), &link, made, Way::There);
-    let back = pump(far.clone(), near.clone(), &link, made, Way::Back);
+async fn forward(client: TcpStream, to: SocketAddr, link: Arc<Link>) {
+    let generation = link.generation.load(Ordering::SeqCst);
+    let Ok(server) = TcpStream::connect(to).await else { return };
+    client.set_nodelay(true).ok();
+    server.set_nodelay(true).ok();
+    let to_server =
+        copy_bytes(client.clone(), server.clone(), &link, generation, Direction::ToServer);
+    let from_server =
+        copy_bytes(server.clone(), client.clone(), &link, generation, Direction::FromServer);
     let is_cut = async {
-        while link.fault(made) != LinkFault::Cut {
+        while link.fault(generation) != LinkFault::Cut {
             Timer::after(POLL).await;
         }
     };
-    there.or(back).or(is_cut).await;
+    to_server.or(from_server).or(is_cut).await;
 }
 
 /// Passes bytes on until one end closes.
-async fn pump(mut from: TcpStream, mut to: TcpStream, link: &Link, made: u64, way: Way) {
+async fn copy_bytes(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    link: &Link,
+    generation: u64,
+    direction: Direction,
+) {
     let mut buf = vec![0; BUFFER];
     while let Ok(len @ 1..) = from.read(&mut buf).await {
-        match link.fault(made) {
-            LinkFault::Delay(span) => {
-                Timer::after(span).await;
+        match link.fault(generation) {
+            LinkFault::Delay(delay) => {
+                Timer::after(delay).await;
             }
-            LinkFault::OneWay if way == Way::Back => continue,
+            LinkFault::OneWay if direction == Direction::FromServer => continue,
             LinkFault::Silent => continue,
-            LinkFault::Rate(rate) if way == Way::Back => {
+            LinkFault::Rate(rate) if direction == Direction::FromServer => {
                 Timer::after(Duration::from_secs_f64(len as f64 / rate as f64)).await;
             }
             LinkFault::None | LinkFault::Cut | LinkFault::OneWay | LinkFault::Rate(_) => {}
         }
-        if way == Way::Back {
+        if direction == Direction::FromServer {
             link.passed.fetch_add(len as u64, Ordering::SeqCst);
         }
         if to.write_all(&buf[..len]).await.is_err() {
--- a/standins/src/weight_store.rs
+++ b/standins/src/weight_store.rs
@@ -48,13 +48,13 @@
                     return res;
                 }
                 let now = *lock();
-                let gap = 60.0 / f64::from(now.loads_per_minute.max(1));
+                let interval_s = 60.0 / f64::from(now.loads_per_minute.max(1));
                 let mut last = last.lock().unwrap_or_else(PoisonError::into_inner);
-                let wait = last.map_or(0.0, |t| gap - t.elapsed().as_secs_f64());
-                if now.outage || wait > 0.0 {
+                let wait_s = last.map_or(0.0, |t| interval_s - t.elapsed().as_secs_f64());
+                if now.outage || wait_s > 0.0 {
                     events.add("refused", req.url().path(), "", "");
                     let mut res = serve::status(429, "too many loads");
-                    res.insert_header("retry-after", format!("{}", wait.max(1.0).ceil()));
+                    res.insert_header("retry-after", format!("{}", wait_s.max(1.0).ceil()));
                     return res;
                 }
                 *last = Some(Instant::now());
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -42,15 +42,15 @@
     };
     let mut threads = vec![send("first", 5)];
     wait_until("it runs", || {
-        get(&engine, "/v1/load")["slots"] == 1 && engine.history.of("run").len() == 1
+        get(&engine, "/v1/load")["slots"] == 1 && engine.history.events_named("run").len() == 1
     });
     threads.push(send("late", 9));
-    wait_until("it waits", || engine.history.of("run").len() == 2);
+    wait_until("it waits", || engine.history.events_named("run").len() == 2);
     threads.push(send("urgent", 0));
     for thread in threads {
         assert_eq!(thread.join().expect("caller").status, 200);
     }
-    let ends: Vec<_> = engine.history.of("end").into_iter().map(|e| e.request).collect();
+    let ends: Vec<_> = engine.history.events_named("end").into_iter().map(|e| e.request).collect();
     let order: Vec<_> = ends.iter().map(|id| id.trim_start_matches('0')).collect();
     assert_eq!(order, ["first", "urgent", "late"]);
 }
@@ -62,12 +62,12 @@
     let caller = Caller { addr: engine.addr };
     engine.set(|faults| faults.die_after = Some(3));
     let broken = caller.send_blocking(&ask("r1", "p").stream(8));
-    assert!(!broken.is_whole_stream());
+    assert!(!broken.is_complete_stream());
     engine.set(|faults| faults.die_after = None);
     let id = format!("{:0>32}", "r1");
     let body = json!({"request_id": id, "from_token": 3}).to_string();
     let rest = caller.send_blocking(&Ask::new(Method::Post, "/v1/resume", "").body(body));
-    assert!(rest.is_whole_stream(), "{}", rest.text());
+    assert!(rest.is_complete_stream(), "{}", rest.text());
     assert_eq!(broken.content() + &rest.content(), answer_text("slip-1", &id, "p", 8));
 }
 
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -80,7 +80,7 @@
         assert!(answered.header("x-request-id").is_some());
     }
     check_still_serves(&fleet);
-    assert_eq!(fleet.engines["gpu-1"].history.of("run").len(), 1);
+    assert_eq!(fleet.engines["gpu-1"].history.events_named("run").len(), 1);
 }
 
 /// Bytes that are not valid HTTP get status 400, an oversized head 431, a request that stops in the
--- a/tests/common/checks.rs
+++ b/tests/common/checks.rs
@@ -43,7 +43,7 @@
         let version = answered.header("x-model-version").unwrap_or_default();
         let expected = answer_text(version, request, prompt, tokens);
         let content = answered.content();
-        let is_complete = if is_stream { answered.is_whole_stream() } else { answered.whole };
+        let is_complete = if is_stream { answered.is_complete_stream() } else { answered.whole };
         match is_complete {
             true if content != expected => {
                 found.push(format!("request {request}: {content:?}, not {expected:?}"));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -92,7 +92,7 @@
     let slow = EngineSettings { load_ms: 200, ..engine(&["slip-1"]) };
     let mut fleet = fleet(&slow);
     place(&fleet, &["slip-1", "slip-2"]);
-    let has_order = |host: &str| !fleet.engines[host].history.of("order").is_empty();
+    let has_order = |host: &str| !fleet.engines[host].history.events_named("order").is_empty();
     wait_until("a load has been ordered", || HOSTS.iter().any(|h| has_order(h)));
     let loading = HOSTS.into_iter().find(|h| has_order(h)).expect("one");
     fleet.process(loading).kill();
@@ -103,7 +103,7 @@
         all_have_loaded(&fleet, &["slip-1", "slip-2"])
     });
     assert_eq!(max_concurrent_loads(&fleet), 1);
-    let granted = fleet.weights.history.of("load").len();
+    let granted = fleet.weights.history.events_named("load").len();
     assert!(granted >= HOSTS.len(), "{granted} loads were granted by the weight store");
     // A version that is no longer placed is unloaded; an unload needs no load request.
     place(&fleet, &["slip-2"]);
@@ -117,7 +117,8 @@
     let slow = EngineSettings { load_ms: 100, ..engine(&["slip-1"]) };
     let mut fleet = fleet(&slow);
     place(&fleet, &["slip-1", "slip-2"]);
-    let count_events = |host: &str, what: &str| fleet.engines[host].history.of(what).len();
+    let count_events =
+        |host: &str, what: &str| fleet.engines[host].history.events_named(what).len();
     wait_until("a load has been ordered", || HOSTS.iter().any(|h| count_events(h, "order") > 0));
     let loading = HOSTS.into_iter().find(|h| count_events(h, "order") > 0).expect("one");
     fleet.process(loading).kill();
@@ -177,7 +178,8 @@
         let old_side = fleet.replace("gpu-1");
         place(&fleet, &["slip-2"]);
         wait_until("the new side has unloaded slip-1", || all_have_loaded(&fleet, &["slip-2"]));
-        let orders = |what: &str| -> Vec<Event> { fleet.engines["gpu-1"].history.of(what) };
+        let orders =
+            |what: &str| -> Vec<Event> { fleet.engines["gpu-1"].history.events_named(what) };
         let newest = orders("order").last().expect("an order").request.clone();
         let order_count = orders("order").len();
         old_side.thaw();
--- a/tests/promise_at_most_once.rs
+++ b/tests/promise_at_most_once.rs
@@ -135,7 +135,7 @@
     let (caller, ask) = (fleet.caller(0), confirm("swap-1"));
     let first = std::thread::spawn(move || Call::send(&caller, ask));
     wait_until("the request runs", || runs(&fleet) == 1);
-    let host = fleet.services.iter().find(|(_, s)| !s.history.of("run").is_empty());
+    let host = fleet.services.iter().find(|(_, s)| !s.history.events_named("run").is_empty());
     let host = host.map(|(host, _)| host.clone()).expect("a service");
     fleet.process(&host).kill();
     let first = first.join().expect("caller");
--- a/tests/promise_billed_once.rs
+++ b/tests/promise_billed_once.rs
@@ -71,7 +71,8 @@
     traffic.wait_for(150);
     let calls = traffic.stop();
     check(&fleet, &calls);
-    let lost = fleet.log.history.of("append").iter().filter(|e| !e.detail.is_empty()).count();
+    let lost =
+        fleet.log.history.events_named("append").iter().filter(|e| !e.detail.is_empty()).count();
     assert!(lost > 0, "no response of an append was lost");
     assert_eq!(bills(&fleet).bills().count(), calls.len());
 }
@@ -139,7 +140,7 @@
     let call = Call::send(&fleet.caller(0), Ask::chat("ani", "slips", "urea").key("receipt-1"));
     assert_eq!(call.answered.header("x-model-version"), Some("large-1"), "{call:?}");
     let attempts = [&fleet.engines["gpu-1"], &fleet.engines["gpu-2"]];
-    assert!(attempts.iter().all(|e| e.history.of("run").len() == 1));
+    assert!(attempts.iter().all(|e| e.history.events_named("run").len() == 1));
     wait_until("the second attempt is billed", || {
         bills(&fleet).bills().any(|bill| bill.attempt == 2)
     });
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -147,8 +147,8 @@
 #[test]
 fn cut_off_and_back() {
     let fleet = fleet();
-    fleet.cut_log("entry-1", true);
-    fleet.cut_log("gpu-1", true);
+    fleet.set_log_cut("entry-1", true);
+    fleet.set_log_cut("gpu-1", true);
     fleet.publish(&Objects::default().rollout("up", "slip", "slip-2", 10));
     fleet.wait_in_force();
     fleet.process("entry-1").freeze();
--- a/tests/promise_leaving.rs
+++ b/tests/promise_leaving.rs
@@ -87,11 +87,13 @@
             std::thread::spawn(move || caller.send_blocking(&ask))
         })
         .collect();
-    wait_until("a stream runs at gpu-1", || !fleet.engines["gpu-1"].history.of("run").is_empty());
+    wait_until("a stream runs at gpu-1", || {
+        !fleet.engines["gpu-1"].history.events_named("run").is_empty()
+    });
     fleet.hosts.update(Duration::ZERO, |hosts| hosts.retain(|h| h.host != "gpu-1"));
     wait_until("the entry has removed gpu-1", || !sides().contains("gpu-1"));
     for stream in streams {
-        assert!(stream.join().expect("caller").is_whole_stream());
+        assert!(stream.join().expect("caller").is_complete_stream());
     }
     fleet.list_hosts(Duration::ZERO);
     wait_until("the entry has added gpu-1 again", || sides().contains("gpu-1"));
--- a/tests/promise_not_run.rs
+++ b/tests/promise_not_run.rs
@@ -87,7 +87,9 @@
     fleet.engines["gpu-1"].set(|faults| faults.silent = false);
     let caller = fleet.caller(0);
     let running = std::thread::spawn(move || Call::send(&caller, Ask::chat("ani", "slip", "two")));
-    wait_until("the second request runs", || fleet.engines["gpu-1"].history.of("run").len() == 2);
+    wait_until("the second request runs", || {
+        fleet.engines["gpu-1"].history.events_named("run").len() == 2
+    });
     fleet.process("gpu-1").kill();
     let killed = running.join().expect("caller");
     assert_eq!(killed.answered.error_code().1, "may_have_run", "{}", killed.answered.text());
--- a/tests/promise_planned_stop.rs
+++ b/tests/promise_planned_stop.rs
@@ -34,7 +34,7 @@
 fn is_whole(call: &Call) -> bool {
     let answered = &call.answered;
     let is_stream = String::from_utf8_lossy(&call.ask.body).contains("\"stream\":true");
-    answered.status == 200 && if is_stream { answered.is_whole_stream() } else { answered.whole }
+    answered.status == 200 && if is_stream { answered.is_complete_stream() } else { answered.whole }
 }
 
 fn check_stopped(fleet: &Fleet, host: &str) {
--- a/tests/promise_whole_answer.rs
+++ b/tests/promise_whole_answer.rs
@@ -45,7 +45,7 @@
     let calls = traffic.stop();
     assert_eq!(wrong_answers(&calls), Vec::<String>::new());
     let is_streamed = |c: &&Call| String::from_utf8_lossy(&c.ask.body).contains("\"stream\":true");
-    let cut = calls.iter().filter(|c| is_streamed(c) && !c.answered.is_whole_stream());
+    let cut = calls.iter().filter(|c| is_streamed(c) && !c.answered.is_complete_stream());
     let cut: Vec<_> = cut.collect();
     assert!(!cut.is_empty(), "no stream ran on the failing engine");
     for call in cut {
@@ -59,8 +59,9 @@
 #[test]
 fn cancelled_callers_leave_nothing_behind() {
     let fleet = fleet();
-    let count_events =
-        |what: &str| -> usize { fleet.engines.values().map(|e| e.history.of(what).len()).sum() };
+    let count_events = |what: &str| -> usize {
+        fleet.engines.values().map(|e| e.history.events_named(what).len()).sum()
+    };
     for n in 0..10 {
         let caller = fleet.caller(0);
         let ask = Ask::chat("ani", "slip", &format!("gone {n}")).stream(5000);
--- a/tests/promise_withdrawn.rs
+++ b/tests/promise_withdrawn.rs
@@ -56,7 +56,9 @@
     let first = std::thread::spawn(move || {
         caller.send_blocking(&Ask::chat("ani", "slip", "first").stream(100))
     });
-    wait_until("the first request runs", || fleet.engines["gpu-1"].history.of("run").len() == 1);
+    wait_until("the first request runs", || {
+        fleet.engines["gpu-1"].history.events_named("run").len() == 1
+    });
     let waiting: Vec<_> = (0..5)
         .map(|n| {
             let ask = Ask::chat("ani", "slip", &format!("waits {n}"));
@@ -73,9 +75,9 @@
         assert_eq!(answered.error_code(), expected, "{}", answered.text());
         assert!(answered.header("retry-after").is_some());
     }
-    assert_eq!(fleet.engines["gpu-1"].history.of("run").len(), 1);
+    assert_eq!(fleet.engines["gpu-1"].history.events_named("run").len(), 1);
     // Without `--cut`, a stream in flight runs to its end.
-    assert!(first.join().expect("caller").is_whole_stream());
+    assert!(first.join().expect("caller").is_complete_stream());
 }
 
 /// A withdrawal with `--cut` aborts streams in flight. The stream ends with an error event instead
@@ -88,13 +90,13 @@
     let first = std::thread::spawn(move || {
         caller.send_blocking(&Ask::chat("ani", "slip", "long").stream(1000))
     });
-    wait_until("the stream runs", || fleet.engines["gpu-1"].history.of("run").len() == 1);
+    wait_until("the stream runs", || fleet.engines["gpu-1"].history.events_named("run").len() == 1);
     withdraw(&fleet, &["--cut"]);
     let answered = first.join().expect("caller");
-    assert!(!answered.is_whole_stream());
+    assert!(!answered.is_complete_stream());
     assert!(answered.text().contains("version_withdrawn"), "{}", answered.text());
     wait_until("the run is cancelled at the engine", || {
-        fleet.engines["gpu-1"].history.of("cancel").len() == 1
+        fleet.engines["gpu-1"].history.events_named("cancel").len() == 1
     });
 }
 
@@ -110,7 +112,7 @@
         .start(&objects());
     // No daemon can read the log, so the record must come from the tool.
     for host in ["entry-0", "entry-1", "gpu-1", "gpu-2"] {
-        fleet.cut_log(host, true);
+        fleet.set_log_cut(host, true);
     }
     withdraw(&fleet, &[]);
     fleet.log.set(|faults| faults.outage = true);
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -21,14 +21,14 @@
         .engine("gpu-1", engine(&["slip-1"]))
         .settings("entry", "heartbeat", json!({"interval_ms": 100}))
         .start(&objects());
-    fleet.put_proxy("gpu-1");
+    fleet.add_peer_proxy("gpu-1");
     wait_until("the entry is connected through the proxy", || {
         fleet.process("entry-0").count("event=side_connected") == 2
     });
     let traffic = Traffic::start(vec![fleet.caller(0)], 4, ask);
     for round in 1..=3 {
         traffic.wait_for(20);
-        fleet.proxy("gpu-1").silence_flows();
+        fleet.peer_proxy("gpu-1").silence_flows();
         wait_until("the entry has opened a new connection", || {
             fleet.process("entry-0").count("event=side_connected") >= 2 + round
         });
@@ -53,8 +53,8 @@
         .engine("gpu-4", engine(&["slip-1"]))
         .settings("entry", "heartbeat", json!({"interval_ms": 100}))
         .start(&objects());
-    fleet.put_proxy("gpu-1");
-    fleet.put_proxy("gpu-4");
+    fleet.add_peer_proxy("gpu-1");
+    fleet.add_peer_proxy("gpu-4");
     wait_until("the entry is connected through both proxies", || {
         fleet.process("entry-0").count("event=side_connected") == 6
     });
@@ -62,8 +62,8 @@
     traffic.wait_for(20);
     fleet.log.set(|faults| faults.outage = true);
     // gpu-1 and gpu-4 are in one failure domain.
-    fleet.proxy("gpu-1").set_cut(true);
-    fleet.proxy("gpu-4").set_cut(true);
+    fleet.peer_proxy("gpu-1").set_cut(true);
+    fleet.peer_proxy("gpu-4").set_cut(true);
     wait_until("the entry has given up both sides", || {
         fleet.process("entry-0").count("event=side_gone") >= 2
             || fleet.process("entry-0").count("event=side_unreachable") >= 2
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -25,7 +25,7 @@
 
     let streamed = caller.send_blocking(&Ask::chat("ani", "slip", "one sack").stream(20));
     assert_eq!(streamed.status, 200);
-    assert!(streamed.is_whole_stream(), "{}", streamed.text());
+    assert!(streamed.is_complete_stream(), "{}", streamed.text());
     assert_eq!(streamed.content().split_whitespace().count(), 20);
 
     let plain = caller.send_blocking(&Ask::new(Method::Get, "/coop/members?page=2", "haus"));
