--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -98,7 +98,7 @@
     priority: u8,
 ) -> Result<Request, CallError> {
     let mut value: Value = serde_json::from_slice(body)
-        .map_err(|e| CallError::Unreachable(format!("body is not valid JSON: {e}")))?;
+        .map_err(|e| CallError::Unreachable(format!("body is no JSON: {e}")))?;
     value["model"] = Value::from(version.as_str());
     value["priority"] = Value::from(priority);
     let body = serde_json::to_vec(&value).unwrap_or_default();
--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -42,9 +42,9 @@
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused { reason, .. } => write!(f, "the log service refused the call: {reason}"),
+            Self::Refused { reason, .. } => write!(f, "the log service refuses: {reason}"),
             Self::Unknown(reason) => {
-                write!(f, "the outcome of the call to the log service is unknown: {reason}")
+                write!(f, "no clear answer from the log service: {reason}")
             }
         }
     }
