--- a/lab/src/args.rs
+++ b/lab/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 use std::path::PathBuf;
 
@@ -10,107 +10,108 @@
 #[derive(Debug, Parser)]
 #[command(name = "redwingfold-lab", version)]
 pub struct LabArgs {
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Acting at the first missed heartbeat, against waiting for three.
+    /// Compare suspecting a host at the first missed heartbeat with waiting for three.
     Detect {
-        /// Seconds of each count of false alarms.
+        /// Seconds for which false alarms are counted at each processor load.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
-        /// Rounds of silence.
+        /// Number of times that one host is silenced.
         #[arg(long, default_value_t = 3)]
         rounds: usize,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// Bad answers that a bad new version gives, by policy.
+    /// Count the bad answers of a faulty new version, by rollout policy.
     Exposure {
-        /// Seconds of each of the loads.
+        /// Seconds of each load.
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
-        /// Seeds, each a run of its own.
+        /// Number of seeds. Each seed is a separate run.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// Two of ten customers send five times what the engines can do.
+    /// Measure fairness while two of ten customers send five times the capacity of the engines.
     Harvest {
-        /// Seconds of each of the loads.
+        /// Seconds of each load.
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
-        /// Seeds, each a run of its own.
+        /// Number of seeds. Each seed is a separate run.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// Time to the first token, by the way in which an engine is chosen.
+    /// Measure the time to the first token, by load balancing policy.
     Latency {
-        /// Seconds of each of the loads.
+        /// Seconds of each load.
         #[arg(long, default_value_t = 8.0)]
         seconds: f64,
-        /// Seeds, each a run of its own.
+        /// Number of seeds. Each seed is a separate run.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// A log outage under load: what waits, and what is lost.
+    /// Check that a log outage under load loses and duplicates no bills.
     Outage {
-        /// Seconds of each of the loads.
+        /// Seconds of each load.
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// Time that the router adds to a direct call of an engine, and what a core carries.
+    /// Measure the latency that the router adds to a direct engine call, and the throughput per
+    /// core.
     Overhead {
-        /// Seconds of each of the loads.
+        /// Seconds of each load.
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// Control cost and propagation at several sizes, for docs/CAPACITY.md.
+    /// Measure control plane cost and propagation at several fleet sizes, for docs/CAPACITY.md.
     Scale {
-        /// Numbers of daemons.
+        /// Fleet sizes, in daemons.
         #[arg(long, value_delimiter = ',', default_value = "10,25,50,100,200")]
         sizes: Vec<usize>,
         /// Seconds of each measurement.
         #[arg(long, default_value_t = 15.0)]
         seconds: f64,
-        /// Folder for the results.
+        /// Directory for the results.
         #[arg(long, default_value = "results")]
         out: PathBuf,
     },
-    /// Start everything, send one whole and one streamed request, and stay up.
+    /// Start a fleet, send one plain and one streamed request, and keep running.
     Quickstart {
-        /// Stop after the two answers.
+        /// Stop after the two responses.
         #[arg(long)]
         once: bool,
-        /// Folder with the example configurations.
+        /// Directory with the example configurations.
         #[arg(long, default_value = "examples")]
         examples: PathBuf,
     },
 }
 
-/// Runs a command; says whether it went as it should.
+/// Runs a command. Returns whether its checks passed.
 ///
 /// # Errors
 ///
-/// What could not be started or written.
+/// Fails if a process cannot be started, a call fails or a result cannot be written.
 pub fn run(args: LabArgs) -> eyre::Result<bool> {
     match args.command {
         Command::Detect { seconds, rounds, out } => detect::detect(seconds, rounds, &out),
--- a/lab/src/detect.rs
+++ b/lab/src/detect.rs
@@ -1,4 +1,4 @@
-//! Acting at the first missed heartbeat, against waiting for three.
+//! Compares suspecting a host at the first missed heartbeat with waiting for three.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -18,30 +18,31 @@
 
 const SIDES: usize = 4;
 
-/// Requests a second of the load.
+/// Requests per second.
 const RATE: f64 = 200.0;
 
-/// A request that took longer met the silence: without it none takes a fifth of that.
+/// Slower requests count as affected by the silenced host. Without the fault, no request takes a
+/// fifth of this.
 const SLOW: Duration = Duration::from_millis(250);
 
-/// Processor use of the machine at which false alarms are counted, in percent.
+/// Processor loads of the machine at which false alarms are counted, in percent.
 const BUSY: [u64; 3] = [0, 60, 90];
 
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     misses: u32,
-    /// Requests that were sent into the silence, by round.
+    /// Number of requests slower than [`SLOW`], by round.
     slow: Vec<usize>,
     failed: Vec<usize>,
-    /// The longest of them, in milliseconds.
+    /// The longest request of all rounds, in milliseconds.
     longest_ms: f64,
-    /// Suspicions without cause, by processor use of the machine.
+    /// Suspicions of healthy hosts, by processor load of the machine.
     false_alarms: Vec<usize>,
-    /// Heartbeats sent, by processor use of the machine, all connections together.
+    /// Time for which false alarms were counted at each processor load.
     seconds: f64,
 }
 
-/// Measures both policies in turns, prints a table and writes it as JSON.
+/// Measures both policies one after the other, prints a table and writes the rows as JSON.
 pub(crate) fn detect(seconds: f64, rounds: usize, out: &Path) -> eyre::Result<bool> {
     let mut rows = Vec::new();
     for misses in [1, 3] {
@@ -93,7 +94,7 @@
     });
     world.daemon("entry", "entry-1", "hall-0", &more)?;
     let silenced = world.daemons.iter_mut().find(|d| d.host == "gpu-0");
-    let Some(side) = silenced else { eyre::bail!("no gpu-0") };
+    let Some(side) = silenced else { eyre::bail!("host gpu-0 is missing") };
     let proxy = UdpProxy::start(side.peer)?;
     side.peer = proxy.addr;
     world.list_hosts()?;
@@ -106,7 +107,7 @@
         let driving = std::thread::spawn(move || smol::block_on(run_load(&load)));
         sleep(Duration::from_secs(2));
         proxy.silence_flows();
-        let samples = driving.join().map_err(|_| eyre::eyre!("the load broke off"))?;
+        let samples = driving.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
         let is_slow = |s: &&Sample| s.total_time > SLOW;
         slow.push(samples.iter().filter(is_slow).count());
         failed.push(samples.iter().filter(|s| !s.is_complete).count());
@@ -138,20 +139,21 @@
         model: "slip".to_owned(),
         key: Some(key_of("ani")),
         prompt_chars: 200,
-        // Each prompt begins in its own way: a warm cache would keep requests from the silenced side.
+        // Nearly every prompt has a prefix of its own, as a warm cache would route requests away
+        // from the silenced side.
         prefixes: 1_000_000,
         tokens: 8,
         stream: false,
         headers: Vec::new(),
     };
-    // The engines' histories would grow for the whole trial.
+    // Clears the engines' histories, which would otherwise grow for the whole experiment.
     for backend in &world.backends {
         post(backend.addr, "/forget", &json!({}))?;
     }
     Ok(Load { addr: world.entry()?, shape, pace: Pace::Rate(RATE), duration, seed })
 }
 
-/// Threads that take a part of every core.
+/// Threads that keep every core partly busy.
 struct Burning {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
--- a/lab/src/exposure.rs
+++ b/lab/src/exposure.rs
@@ -1,4 +1,4 @@
-//! Bad answers that a bad new version gives, by policy.
+//! Counts the bad answers of a faulty new version, by rollout policy.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::trial::{EngineKind, answers_by, customers, load, mean_max, set_faults, start};
 use crate::world::World;
 
-/// Bad answers of 1,000 that the good version gives.
+/// Bad answers per 1,000 requests of the current version.
 const BASE: u64 = 20;
 
-/// What the new version gives more.
+/// Additional bad answers per 1,000 requests of the new version.
 const DROPS: [u64; 3] = [50, 200, 800];
 
 const FAST: EngineKind = EngineKind { slots: 64, token_ms: 0, prefill_ms: 0 };
@@ -49,7 +49,7 @@
     stopped: usize,
 }
 
-/// Runs all policies on the same load, prints a table and writes it as JSON.
+/// Runs all policies under the same load, prints a table and writes the rows as JSON.
 pub(crate) fn exposure(seconds: f64, seeds: u64, out: &Path) -> eyre::Result<bool> {
     let mut rows = Vec::new();
     for drop in DROPS {
--- a/lab/src/harvest.rs
+++ b/lab/src/harvest.rs
@@ -1,4 +1,4 @@
-//! Two of ten customers send five times what the engines can do.
+//! Measures fairness while two of ten customers send five times the capacity of the engines.
 
 use std::path::Path;
 use std::time::Duration;
@@ -15,14 +15,15 @@
 const KIND: EngineKind = EngineKind { slots: 8, token_ms: 4, prefill_ms: 2 };
 const TOKENS: u64 = 16;
 
-/// Requests a second that the engines can do, as measured by the first part of the experiment.
+/// Concurrent callers of the probe that measures the capacity of the engines before the other
+/// loads.
 const PROBE_CALLERS: usize = 64;
 const PROBE: Duration = Duration::from_secs(4);
 
-/// Part of the capacity that each customer uses when all is quiet.
+/// Load of each small customer, as a fraction of the capacity.
 const QUIET_PART: f64 = 0.04;
 
-/// What the two send together in the burst, in parts of the capacity.
+/// Load of the two large customers together during the burst, as a multiple of the capacity.
 const BURST_PART: f64 = 5.0;
 
 #[derive(Debug, Serialize)]
@@ -34,7 +35,7 @@
     took: Quantiles,
 }
 
-/// Measures, prints a table and writes it as JSON.
+/// Runs the experiment once per seed, prints a table and writes the results as JSON.
 pub(crate) fn harvest(seconds: f64, seeds: u64, out: &Path) -> eyre::Result<bool> {
     let mut results = Vec::new();
     let mut rows = Vec::new();
@@ -106,7 +107,7 @@
     ))
 }
 
-/// Drives loads at the same time.
+/// Runs all loads concurrently.
 fn together(loads: &[Load]) -> eyre::Result<Vec<Vec<Sample>>> {
     let threads: Vec<_> = loads
         .iter()
@@ -114,7 +115,7 @@
         .map(|load| std::thread::spawn(move || smol::block_on(run_load(&load))))
         .collect();
     let join = |t: std::thread::JoinHandle<Vec<Sample>>| {
-        t.join().map_err(|_| eyre::eyre!("a load broke off"))
+        t.join().map_err(|_| eyre::eyre!("a load thread panicked"))
     };
     threads.into_iter().map(join).collect()
 }
--- a/lab/src/latency.rs
+++ b/lab/src/latency.rs
@@ -1,4 +1,4 @@
-//! Time to the first token, by the way in which an engine is chosen.
+//! Measures the time to the first token, by load balancing policy.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,16 +13,18 @@
 const KIND: EngineKind = EngineKind { slots: 4, token_ms: 3, prefill_ms: 60 };
 const TOKENS: u64 = 16;
 
-/// Different beginnings of prompts: more than one engine caches, fewer than all do.
+/// Number of distinct prompt prefixes. They exceed the cache of one engine but fit into the caches
+/// of all engines together.
 const PREFIXES: usize = 160;
 const PROMPT_CHARS: usize = 1500;
 
-/// Parts of the capacity, which is what round robin does with as many callers as slots.
+/// Loads as fractions of the capacity. The capacity is the throughput of round robin with as many
+/// callers as slots.
 const LOADS: [f64; 3] = [0.5, 0.8, 0.95];
 
 const POLICIES: [&str; 3] = ["round_robin", "least_reported", "expected"];
 
-/// Measures all policies at all loads, prints a table and writes it as JSON.
+/// Measures all policies at all loads, prints a table and writes the results as JSON.
 pub(crate) fn latency(seconds: f64, seeds: u64, out: &Path) -> eyre::Result<bool> {
     let window = Duration::from_secs_f64(seconds);
     let mut results = Vec::new();
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Starts fleets of real processes on loopback: the quickstart and the experiments.
+//! The quickstart and the experiments. Each starts a fleet of real processes on loopback.
 
 mod args;
 mod detect;
--- a/lab/src/objects.rs
+++ b/lab/src/objects.rs
@@ -1,15 +1,16 @@
-//! Configurations of the experiments.
+//! Configuration objects that the experiments publish.
 
 use redwingfold_standins::fleet::key_of;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// Returns the hash of a customer's key.
+/// Returns the SHA-256 of a customer's API key, in hexadecimal.
 pub(crate) fn sha256_of(customer: &str) -> String {
     Sha256::digest(key_of(customer).as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Returns one customer, `ani`, and one model, `slip`, with one version.
+/// Returns the customer `ani`, the model `slip` with one version, and a grant of the models `slip`
+/// and `slow` to `ani`.
 pub(crate) fn one_model() -> Value {
     json!([
         {"kind": "customer", "name": "ani", "spec": {"key_sha256": [sha256_of("ani")]}},
@@ -19,7 +20,7 @@
     ])
 }
 
-/// Returns [`one_model`] and what `more` adds.
+/// Returns the objects of [`one_model`] followed by `more`.
 pub(crate) fn one_model_and(more: &[Value]) -> Value {
     let mut objects = one_model().as_array().cloned().unwrap_or_default();
     objects.extend_from_slice(more);
--- a/lab/src/outage.rs
+++ b/lab/src/outage.rs
@@ -1,4 +1,4 @@
-//! A log outage under load: what waits, and what is lost.
+//! Checks that a log outage under load loses and duplicates no bills.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,11 +10,14 @@
 use crate::trial::{EngineKind, customers, load, start};
 use crate::world::{get, post, wait};
 
+/// Requests per second.
 const RATE: f64 = 50.0;
+/// Length of the load before the outage, and again after it.
 const BEFORE: Duration = Duration::from_secs(5);
 const FAST: EngineKind = EngineKind { slots: 64, token_ms: 0, prefill_ms: 0 };
 
-/// Measures, prints and writes it as JSON; says whether no bill was lost or doubled.
+/// Runs the experiment, prints the result and writes it as JSON. Returns whether every request
+/// completed and was billed exactly once.
 pub(crate) fn outage(seconds: f64, out: &Path) -> eyre::Result<bool> {
     let mut objects = customers(&["ani".to_owned()]);
     objects.extend([
@@ -38,7 +41,7 @@
         .map(|d| json!({"host": d["host"], "unconfirmed": d["unconfirmed_bills"]}))
         .collect();
     post(world.log.addr, "/control", &json!({"outage": false}))?;
-    let samples = driving.join().map_err(|_| eyre::eyre!("the load broke off"))?;
+    let samples = driving.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
     let whole = samples.iter().filter(|s| s.is_complete).count();
     let billed = || -> eyre::Result<u64> {
         let output = world.ctl(&["bills", "--json"])?;
--- a/lab/src/overhead.rs
+++ b/lab/src/overhead.rs
@@ -1,4 +1,4 @@
-//! What the router adds to a direct call of an engine, and what a core carries.
+//! Measures the latency that the router adds to a direct engine call, and the throughput per core.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -35,14 +35,14 @@
     streams: usize,
 }
 
-/// Streams held open for the measurement of memory.
+/// Concurrent streams while memory is measured.
 const STREAMS: usize = 1_000;
 
-/// Tokens of a stream that outlives the measurement of memory: an engine with 1,000 streams takes
-/// about a tenth of a second for each.
+/// Tokens per stream while memory is measured. An engine with 1,000 streams takes about 0.1 s per
+/// token, so the streams outlive the measurement.
 const LONG_STREAM: u64 = 100;
 
-/// Measures, prints a table and writes it as JSON.
+/// Runs the experiment, prints tables and writes the results as JSON.
 pub(crate) fn overhead(seconds: f64, out: &Path) -> eyre::Result<bool> {
     let mut world = World::start(&["entry-1".to_owned(), "gpu-1".to_owned()])?;
     let args = [
@@ -121,8 +121,8 @@
     proc_usage(daemon.map_or(0, |d| d.process.id()))
 }
 
-/// Sends the same load directly and through the router, in turns, so that both meet the same
-/// machine.
+/// Sends the same load directly and through the router. The two alternate, so that other load on
+/// the machine affects both alike.
 fn compare(
     world: &World,
     engine: SocketAddr,
@@ -148,7 +148,8 @@
     let tokens: u64 = routed.iter().filter(|s| s.is_complete).map(|s| s.tokens).sum();
     let busy = (cpu[0] + cpu[1]).as_secs_f64().max(0.001);
     let (mut direct, mut routed) = (Summary::of(&direct), Summary::of(&routed));
-    // Each turn began anew, so that times since the start cover one turn only.
+    // The samples of each turn count time from the start of that turn, so rates over all turns are
+    // computed here.
     for summary in [&mut direct, &mut routed] {
         summary.per_second = summary.whole as f64 / seconds;
         summary.tokens_per_second /= TURNS as f64;
@@ -177,7 +178,7 @@
         status().is_ok_and(|l| l["running"].as_u64() >= Some(STREAMS as u64 * 9 / 10))
     })?;
     let busy = [usage(world, "entry")?.resident, usage(world, "side")?.resident];
-    driving.join().map_err(|_| eyre::eyre!("the load broke off"))?;
+    driving.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
     Ok(Memory {
         entry_idle: idle[0],
         side_idle: idle[1],
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -1,10 +1,10 @@
-//! Plots as SVG.
+//! Line plots as SVG, and least squares fits.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
-/// One line of a plot.
+/// A named data series.
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
     pub(crate) name: String,
@@ -13,7 +13,7 @@
 
 const SIZE: (u32, u32) = (720, 420);
 
-/// Draws lines over a common axis.
+/// Draws all series on common axes, both of which start at zero.
 pub(crate) fn plot(
     path: &Path,
     title: &str,
@@ -49,16 +49,16 @@
     Ok(())
 }
 
-/// A straight line through points, by least squares.
+/// A least squares fit of a straight line.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub(crate) struct Fit {
     pub(crate) intercept: f64,
     pub(crate) slope: f64,
-    /// Root mean square of what the line misses.
+    /// Root mean square of the residuals.
     pub(crate) error: f64,
 }
 
-/// Fits a line; one point gives a flat one.
+/// Fits a line. The slope is zero if all points have the same `x`.
 pub(crate) fn fit(points: &[(f64, f64)]) -> Fit {
     let n = points.len().max(1) as f64;
     let mean = |f: fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
--- a/lab/src/quickstart.rs
+++ b/lab/src/quickstart.rs
@@ -1,4 +1,4 @@
-//! Everything at once, for a first look.
+//! Starts a complete fleet with the example configurations.
 
 use std::path::Path;
 
@@ -9,7 +9,8 @@
 
 const SIDES: usize = 5;
 
-/// Starts a fleet with the examples of both users, sends two requests and stays up.
+/// Starts a fleet with both example configurations, sends two requests and keeps running until a
+/// stop signal, or stops at once if `once` is set or a request fails.
 pub(crate) fn quickstart(once: bool, examples: &Path) -> eyre::Result<bool> {
     let hosts = ["entry-1", "entry-2", "gpu-1", "gpu-2", "gpu-3", "svc-1", "svc-2"];
     let mut world = World::start(&hosts.map(str::to_owned))?;
@@ -103,7 +104,7 @@
     Ok(())
 }
 
-/// Asks every daemon to stop, entries first, and sees that each does.
+/// Sends SIGTERM to every daemon, entries first, and checks that each exits successfully.
 fn stop(world: World, is_good: bool) -> eyre::Result<bool> {
     let mut all_stopped = true;
     for role in ["entry", "side"] {
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,10 +1,10 @@
-//! Writing results.
+//! Output of results as JSON files and tables.
 
 use std::path::Path;
 
 use serde::Serialize;
 
-/// Writes a result as JSON.
+/// Writes a result to `NAME.json` in `dir`, which is created if it is missing.
 pub(crate) fn write_json(dir: &Path, name: &str, value: &impl Serialize) -> eyre::Result<()> {
     std::fs::create_dir_all(dir)?;
     let path = dir.join(format!("{name}.json"));
@@ -13,7 +13,7 @@
     Ok(())
 }
 
-/// Prints a table with a head, its columns as wide as their widest cell.
+/// Prints a Markdown table with a header row. Each column is as wide as its widest cell.
 pub(crate) fn print_table(head: &[&str], rows: &[Vec<String>]) {
     let width = |i: usize| {
         let cells = rows.iter().filter_map(|row| row.get(i)).map(String::len);
--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -1,4 +1,4 @@
-//! Control cost and propagation at several sizes, on real processes.
+//! Measures control plane cost and propagation at several fleet sizes.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,31 +14,32 @@
 use crate::scale_report::{draw, fits, print};
 use crate::world::{DaemonPart, World, get, post, wait};
 
-/// Daemons for each entry.
+/// Daemons per entry.
 const DAEMONS_PER_ENTRY: usize = 13;
 
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: usize = 8;
 
-/// Pools of sides.
+/// Number of host pools.
 const POOLS: usize = 14;
 
-/// Stand-in engines; the sides share them, so that the daemons have the machine.
+/// Number of stand-in engines. The sides share them, to leave the machine's processors to the
+/// daemons.
 const ENGINES: usize = 4;
 
-/// Changes a second: the users' target on average, and twenty times that.
+/// Configuration changes per second: the average rate that users require, and twenty times that.
 const RATES: [f64; 2] = [0.25, 5.0];
 
-/// What a role costs for control.
+/// Resource usage of the daemons of one role: mean, and maximum of one daemon.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct Cost {
-    /// Part of a core, in percent.
+    /// Processor time, in percent of a core.
     pub(crate) cpu_mean: f64,
     pub(crate) cpu_max: f64,
     /// Resident memory, in MiB.
     pub(crate) memory_mean: f64,
     pub(crate) memory_max: f64,
-    /// Bytes of UDP payload a second, sent and received.
+    /// UDP payload sent and received, in bytes per second.
     pub(crate) bytes_mean: f64,
     pub(crate) bytes_max: f64,
 }
@@ -70,7 +71,8 @@
     pub(crate) restart_log_reads: u64,
 }
 
-/// Measures all sizes, prints tables, and writes them as JSON and SVG.
+/// Measures all sizes, prints tables, and writes the results as JSON and SVG. Returns whether every
+/// daemon logged every change as in force.
 pub(crate) fn scale(sizes: &[usize], seconds: f64, out: &Path) -> eyre::Result<bool> {
     let mut results = Vec::new();
     for size in sizes {
@@ -108,7 +110,8 @@
             {"name": "engine-0", "address": engines[n % ENGINES], "kind": "engine", "slots": 64},
         ]);
         let domain = format!("domain-{}", n % DOMAINS);
-        // The engines are shared by all sides and their reports are no part of control.
+        // Reading the load of an engine is not control traffic. The sides share the engines, so each
+        // reads its load rarely.
         let queue = json!({"load_every_ms": 5_000});
         let more = json!({"backends": backend, "queue": queue});
         world.daemon("side", &format!("gpu-{n}"), &domain, &more)?;
@@ -135,7 +138,7 @@
 fn measure(size: usize, window: Duration) -> eyre::Result<SizeResult> {
     let mut world = start(size)?;
     let entries = world.daemons.iter().filter(|d| d.role == "entry").count();
-    // Connections, host lists and the first publication settle before anything is measured.
+    // Lets connections, host lists and the first publication settle before the measurement.
     sleep(Duration::from_secs(5));
     let log_before = get(world.log.addr, "/counts")?;
     let idle = costs(&world, window, || Ok(()))?;
@@ -169,7 +172,7 @@
     })
 }
 
-/// Reads what each daemon has used and sent.
+/// Returns processor time, resident bytes and transferred peer bytes of each daemon, by host.
 fn accounts(world: &World) -> eyre::Result<BTreeMap<String, (Duration, u64, f64)>> {
     let output = world.ctl(&["status", "--json"])?;
     let status: Vec<Value> = serde_json::from_slice(&output.stdout)?;
@@ -190,7 +193,8 @@
     Ok(all)
 }
 
-/// Measures what the daemons use while `work` and the rest of the window pass; entries, then sides.
+/// Runs `work`, waits for the rest of the window and returns the resource usage of entries and
+/// sides in that time.
 fn costs(
     world: &World,
     window: Duration,
@@ -230,7 +234,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
-/// Reads the time of day from a log line, in milliseconds since midnight.
+/// Parses the time of day of a log line, in milliseconds since midnight.
 fn line_ms(line: &str) -> Option<f64> {
     let time = line.split('T').nth(1)?;
     let mut parts = time.get(..12)?.split([':', '.']);
@@ -241,10 +245,10 @@
 
 const DAY_MS: f64 = 86_400_000.0;
 
-/// Returns how long after `from_ms` a line was logged.
+/// Returns the milliseconds from `from_ms` until a line was logged.
 fn after(from_ms: f64, line: &str) -> Option<f64> {
     let since = (line_ms(line)? - from_ms.rem_euclid(DAY_MS)).rem_euclid(DAY_MS);
-    // Log times are cut to the millisecond, so that a line can seem to come before its cause.
+    // Log times are truncated to milliseconds, so a line can appear to precede its cause.
     Some(if since > DAY_MS / 2.0 { 0.0 } else { since })
 }
 
@@ -252,7 +256,7 @@
     Quantiles::of(values.iter().map(|ms| Duration::from_secs_f64(ms.max(0.0) / 1000.0)))
 }
 
-/// Appends changes at a rate and reads from the daemons' logs when each had them in force.
+/// Appends changes at a rate and reads from the daemons' logs when each change came into force.
 fn propagate(world: &World, rate: f64, window: Duration) -> eyre::Result<Propagation> {
     let changes = ((rate * window.as_secs_f64()) as usize).max(4);
     let mut appended = Vec::new();
@@ -274,7 +278,7 @@
     for daemon in &world.daemons {
         let lines = daemon.process.lines();
         for (offset, at) in &appended {
-            // A daemon that took several records at once logs the last of them.
+            // A daemon that applies several records at once logs only the last of them.
             let has = |line: &&String| offset_of(line).is_some_and(|o| o >= *offset);
             match lines.iter().find(has).and_then(|line| after(*at, line)) {
                 Some(ms) => times.push(ms),
@@ -306,7 +310,7 @@
     })
 }
 
-/// Does something to a side and returns when the entries that were connected to it noticed.
+/// Applies `act` to a side and returns how long the entries connected to it took to detect that.
 fn detect(world: &World, host: &str, act: impl FnOnce(&DaemonPart)) -> eyre::Result<Quantiles> {
     let Some(side) = world.daemons.iter().find(|d| d.host == host) else {
         eyre::bail!("no host {host}");
@@ -331,8 +335,9 @@
     Ok(millis(&times))
 }
 
-/// Kills and starts anew a tenth of the daemons, all at once; returns how long it took until they
-/// were in force and connected again, how many they were, and the reads that the log served.
+/// Kills a tenth of the daemons, sides only, and restarts them. Returns the milliseconds until all
+/// had a configuration in force and a peer connection again, their number, and the log reads
+/// meanwhile.
 fn restart(world: &mut World, size: usize) -> eyre::Result<(f64, usize, u64)> {
     let hosts: Vec<_> = world
         .daemons
--- a/lab/src/scale_report.rs
+++ b/lab/src/scale_report.rs
@@ -106,7 +106,7 @@
     results.iter().map(|r| (r.daemons as f64, f(r))).collect()
 }
 
-/// Fits lines over the number of daemons.
+/// Fits each metric as a linear function of the number of daemons.
 pub(crate) fn fits(results: &[SizeResult]) -> BTreeMap<String, Fit> {
     let mut fits = BTreeMap::new();
     let mut add = |name: &str, f: &dyn Fn(&SizeResult) -> f64| {
@@ -129,7 +129,7 @@
     fits
 }
 
-/// Draws the results.
+/// Plots the results as SVG files in `out`.
 pub(crate) fn draw(results: &[SizeResult], out: &Path) -> eyre::Result<()> {
     let line = |name: &str, f: &dyn Fn(&SizeResult) -> f64| Line {
         name: name.to_owned(),
--- a/lab/src/trial.rs
+++ b/lab/src/trial.rs
@@ -1,4 +1,4 @@
-//! What the experiments with decisions share.
+//! Setup shared by the experiments on routing, billing and rollouts.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::objects::sha256_of;
 use crate::world::{World, get, post};
 
-/// What an engine of a trial is like.
+/// Parameters of a stand-in engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineKind {
     pub(crate) slots: usize,
@@ -17,7 +17,8 @@
     pub(crate) prefill_ms: u64,
 }
 
-/// Starts entries and sides, each side with an engine that has these versions.
+/// Starts entries and sides, publishes `objects` and waits until every entry is connected to all
+/// sides. Each side has one engine, which serves `versions`.
 pub(crate) fn start(
     entries: usize,
     sides: usize,
@@ -63,13 +64,13 @@
     Ok(world)
 }
 
-/// Returns customers with weight 1.
+/// Returns customer objects with the label `org=all` and the default weight, 1.
 pub(crate) fn customers(names: &[String]) -> Vec<Value> {
     let customer = |name: &String| json!({"kind": "customer", "name": name, "labels": {"org": "all"}, "spec": {"key_sha256": [sha256_of(name)]}});
     names.iter().map(customer).collect()
 }
 
-/// Makes a load by one customer on the first entry.
+/// Returns a load that one customer sends to the first entry.
 pub(crate) fn load(
     world: &World,
     customer: &str,
@@ -91,7 +92,7 @@
     Ok(Load { addr: world.entry()?, shape, pace, duration, seed })
 }
 
-/// Sets faults of all engines.
+/// Injects faults into all engines.
 pub(crate) fn set_faults(world: &World, faults: &Value) -> eyre::Result<()> {
     for backend in &world.backends {
         post(backend.addr, "/control", faults)?;
@@ -99,7 +100,7 @@
     Ok(())
 }
 
-/// Counts the answers that engines gave by a version; all, and the bad ones.
+/// Counts the answers of a version on all engines. Returns the total and the number of bad ones.
 pub(crate) fn answers_by(world: &World, version: &str) -> eyre::Result<(usize, usize)> {
     let (mut all, mut bad) = (0, 0);
     for backend in &world.backends {
@@ -113,7 +114,7 @@
     Ok((all, bad))
 }
 
-/// Returns mean and greatest of some numbers.
+/// Returns the mean and the maximum.
 pub(crate) fn mean_max(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     (mean, values.iter().copied().fold(0.0, f64::max))
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -1,4 +1,4 @@
-//! A fleet in which every part, stand-ins included, is a process of its own.
+//! A fleet on loopback in which every daemon and every stand-in is a separate process.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,10 +14,10 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_BODY: usize = 16 * 1024 * 1024;
 
-/// A daemon or stand-in with its address.
+/// A running stand-in and the address that it listens on.
 #[derive(Debug)]
 pub(crate) struct Part {
-    /// Ends the process when it is dropped.
+    /// Held because dropping it ends the process.
     _process: Process,
     pub(crate) addr: SocketAddr,
 }
@@ -33,7 +33,7 @@
     pub(crate) listen: Option<SocketAddr>,
 }
 
-/// A fleet of processes. Dropping it stops them all, each by its id.
+/// A fleet of processes. Dropping it ends each process by its id.
 #[derive(Debug)]
 pub(crate) struct World {
     pub(crate) log: Part,
@@ -45,14 +45,14 @@
     dir: PathBuf,
 }
 
-/// Returns the folder of this program, where the others are too.
+/// Returns the directory of this executable, which also holds the other binaries.
 pub(crate) fn bin_dir() -> eyre::Result<PathBuf> {
     let exe = std::env::current_exe()?;
-    Ok(exe.parent().ok_or_eyre("no folder")?.to_owned())
+    Ok(exe.parent().ok_or_eyre("path of this executable has no parent directory")?.to_owned())
 }
 
 impl World {
-    /// Starts the platform's stand-ins, and makes keys for these daemons.
+    /// Starts the stand-ins of the platform and creates keys for the daemons `names`.
     pub(crate) fn start(names: &[String]) -> eyre::Result<Self> {
         let bin_dir = bin_dir()?;
         let dir = std::env::temp_dir().join(format!("redwingfold-lab-{}", std::process::id()));
@@ -67,7 +67,8 @@
             dir,
         };
         let keys = world.dir.join("keys");
-        let mut args = vec!["keys", "--out", keys.to_str().ok_or_eyre("path")?, "ctl"];
+        let mut args =
+            vec!["keys", "--out", keys.to_str().ok_or_eyre("path is not valid UTF-8")?, "ctl"];
         args.extend(names.iter().map(String::as_str));
         let made = Command::new(world.bin_dir.join("redwingfold-ctl")).args(args).output()?;
         eyre::ensure!(made.status.success(), "{}", String::from_utf8_lossy(&made.stderr));
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Starts a backend server's stand-in.
+    /// Starts a stand-in for a backend server.
     pub(crate) fn backend(&mut self, name: &str, args: &[&str]) -> eyre::Result<SocketAddr> {
         let part = standin(&self.bin_dir, name, args)?;
         let addr = part.addr;
@@ -99,7 +100,8 @@
         Ok(addr)
     }
 
-    /// Starts a daemon; `more` is laid over the settings.
+    /// Starts a daemon and waits until it logs its start. Each group of `more` is merged into the
+    /// settings group of that name. It replaces a daemon of the same host.
     pub(crate) fn daemon(
         &mut self,
         role: &'static str,
@@ -127,7 +129,7 @@
         let path = self.dir.join(format!("{host}.json"));
         std::fs::write(&path, settings.to_string())?;
         let program = self.bin_dir.join(format!("redwingfold-{role}"));
-        let args = ["--settings", path.to_str().ok_or_eyre("path")?];
+        let args = ["--settings", path.to_str().ok_or_eyre("path is not valid UTF-8")?];
         let process = Process::start(host, &program, &args).wrap_err("cannot start a daemon")?;
         let line = process.wait_for_line(&format!("event={role}_started"), PATIENCE);
         let line = line.map_err(|printed| eyre::eyre!("{printed}"))?;
@@ -137,7 +139,7 @@
             host: host.to_owned(),
             domain: domain.to_owned(),
             role,
-            peer: addr("peer=").ok_or_eyre("no address")?,
+            peer: addr("peer=").ok_or_eyre("start event has no peer address")?,
             listen: addr("listen="),
             process,
         };
@@ -146,12 +148,12 @@
         Ok(())
     }
 
-    /// Lists all daemons as live.
+    /// Publishes a host list with all daemons as live, in one pool.
     pub(crate) fn list_hosts(&self) -> eyre::Result<()> {
         self.list_hosts_in_pools(1)
     }
 
-    /// Lists all daemons as live, the sides dealt out over pools.
+    /// Publishes a host list with all daemons as live, spread over pools by host number.
     pub(crate) fn list_hosts_in_pools(&self, pools: usize) -> eyre::Result<()> {
         let pool_of = |host: &str| {
             let number = host.rsplit('-').next().and_then(|n| n.parse::<usize>().ok());
@@ -170,20 +172,20 @@
         post(self.hosts.addr, "/control", &json!({"hosts": hosts})).map(drop)
     }
 
-    /// Returns the address of the first entry for callers.
+    /// Returns the caller-facing address of the first entry.
     pub(crate) fn entry(&self) -> eyre::Result<SocketAddr> {
-        self.daemons.iter().find_map(|d| d.listen).ok_or_eyre("no entry")
+        self.daemons.iter().find_map(|d| d.listen).ok_or_eyre("no entry is running")
     }
 
-    /// Runs the operator's tool.
+    /// Runs `redwingfold-ctl`.
     pub(crate) fn ctl(&self, args: &[&str]) -> eyre::Result<Output> {
         let mut command = Command::new(self.bin_dir.join("redwingfold-ctl"));
         Ok(command.arg("--settings").arg(self.ctl_settings()).args(args).output()?)
     }
 
-    /// Publishes a file or folder of objects.
+    /// Publishes a file or directory of objects.
     pub(crate) fn publish(&self, objects: &Path) -> eyre::Result<()> {
-        let path = objects.to_str().ok_or_eyre("path")?;
+        let path = objects.to_str().ok_or_eyre("path is not valid UTF-8")?;
         let args = ["publish", path, "--author", "lab", "--reason", "first publication"];
         let output = self.ctl(&args)?;
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -198,10 +200,10 @@
         self.publish(&path)
     }
 
-    /// Waits until every entry is ready and connected to so many sides.
+    /// Waits until every entry is ready and has connected to at least `sides` sides.
     pub(crate) fn wait_ready(&self, sides: usize) -> eyre::Result<()> {
         for daemon in self.daemons.iter().filter(|d| d.listen.is_some()) {
-            let addr = daemon.listen.ok_or_eyre("no entry")?;
+            let addr = daemon.listen.ok_or_eyre("no entry is running")?;
             wait(|| get(addr, "/readyz").is_ok())?;
             wait(|| daemon.process.count("event=side_connected") >= sides)?;
         }
@@ -225,22 +227,22 @@
     Ok(Part { addr: line.trim().parse()?, _process: process })
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds. Fails after a minute.
 pub(crate) fn wait(mut holds: impl FnMut() -> bool) -> eyre::Result<()> {
     let begun = Instant::now();
     while !holds() {
-        eyre::ensure!(begun.elapsed() < PATIENCE, "waited too long");
+        eyre::ensure!(begun.elapsed() < PATIENCE, "timed out waiting for a condition");
         std::thread::sleep(Duration::from_millis(10));
     }
     Ok(())
 }
 
-/// Gets a page as JSON.
+/// Sends a GET request and returns the response as JSON.
 pub(crate) fn get(addr: SocketAddr, target: &str) -> eyre::Result<Value> {
     ask(Method::Get, addr, target, None)
 }
 
-/// Posts JSON.
+/// Sends a POST request with a JSON body and returns the response as JSON.
 pub(crate) fn post(addr: SocketAddr, target: &str, body: &Value) -> eyre::Result<Value> {
     ask(Method::Post, addr, target, Some(body.to_string().into_bytes()))
 }
