--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -43,7 +43,7 @@
             broken.push(format!("{} {}: {what}: {:?}", request.id, request.path, request.got));
         }
     };
-    let runs: Vec<_> = arrived.iter().filter(|a| a.ran).collect();
+    let runs: Vec<_> = arrived.iter().filter(|a| a.was_run).collect();
     let status = request.got.status();
     let is_stream = request.path.starts_with("/draft/") || request.path.starts_with("/sized/");
     claim(!request.path.starts_with("/send/") || runs.len() <= 1, "ran more than once");
@@ -66,7 +66,7 @@
         claim(head.line.contains(&request.path), "ran with another path");
         // Another engine that has the address now refuses it.
         let is_meant = head.get("expect-instance") == Some(&arrival.server);
-        claim(is_meant || !arrival.ran, "not meant for its engine");
+        claim(is_meant || !arrival.was_run, "not meant for its engine");
     }
     broken
 }
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -118,7 +118,7 @@
         let mut domains = Domains::new(settings.seed);
         for planned in planned {
             std::thread::sleep(planned.after);
-            world.fleet.revive();
+            world.fleet.replace_crashed();
             if settings.restores {
                 outcome.faults.extend(restores.step(&world));
             }
@@ -142,7 +142,7 @@
     world.fleet.store.set_fault(StoreFault::None);
     world.mishaps.any.store(0, Ordering::SeqCst);
     clear_ways(&world);
-    world.fleet.revive();
+    world.fleet.replace_crashed();
     if settings.restores {
         world.write_again();
     }
@@ -230,7 +230,7 @@
         return nothing;
     };
     match conn.write(text.as_bytes()) {
-        Ok(()) => conn.answer(),
+        Ok(()) => conn.read_response(),
         Err(_) => nothing,
     }
 }
