--- a/standins/src/bin/redwingfold-standins.rs
+++ b/standins/src/bin/redwingfold-standins.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in until it is killed; prints its address.
+//! Runs one test double until it is killed, and prints its address.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 };
 
 #[derive(Debug, Parser)]
-#[command(about = "Stand-ins of the platform's services, for tests and trials")]
+#[command(about = "Test doubles of the platform's services, for tests and trials")]
 struct Args {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     #[arg(long, global = true, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Seed of everything random.
+    /// Seed of the random number generator.
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
     #[command(subcommand)]
@@ -25,19 +25,19 @@
 enum Standin {
     /// A model engine.
     Engine {
-        /// Versions that are loaded.
+        /// Model versions that are loaded.
         #[arg(long, value_delimiter = ',')]
         versions: Vec<String>,
-        /// Requests that run at once.
+        /// Maximum number of requests that run at once.
         #[arg(long, default_value_t = 8)]
         slots: usize,
-        /// Milliseconds to read 1,000 characters of prompt.
+        /// Prefill time of 1,000 characters of an uncached prompt, in milliseconds.
         #[arg(long, default_value_t = 2)]
         prefill_ms: u64,
-        /// Milliseconds of one token.
+        /// Time per token, in milliseconds.
         #[arg(long, default_value_t = 1)]
         token_ms: u64,
-        /// Take orders with an old fencing number.
+        /// Accept orders with an old fencing number.
         #[arg(long)]
         ignore_fencing: bool,
     },
@@ -82,7 +82,7 @@
     })
 }
 
-/// Leaves a stand-in running for the life of the process.
+/// Leaks a test double, which keeps it running until the process ends, and returns its address.
 fn leak<T>(standin: T, addr: impl FnOnce(&T) -> SocketAddr) -> SocketAddr {
     let addr = addr(&standin);
     std::mem::forget(standin);
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: batches continuously, caches prompt prefixes, reports its load late.
+//! Test double of a model engine, with continuous batching, a cache of prompt prefixes, and load reports with a lag.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,26 +15,26 @@
 use crate::rating::BAD_MARK;
 use crate::serve;
 
-/// What an engine is like when nothing is wrong.
+/// Settings of an engine without faults.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Versions that are loaded.
+    /// Model versions that are loaded at the start.
     pub versions: Vec<String>,
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Time to read 1,000 characters of prompt that are not cached.
+    /// Prefill time of 1,000 characters of an uncached prompt, in milliseconds.
     pub prefill_ms: u64,
-    /// Time of one token when one request runs; more run slower by a tenth each.
+    /// Time per token while one request runs, in milliseconds; each further request adds a tenth.
     pub token_ms: u64,
-    /// Prompt prefixes that are cached.
+    /// Maximum number of cached prompt prefixes.
     pub cache: usize,
-    /// Age of the load that is reported.
+    /// Lag of the load reports and cache events.
     pub report_lag: Duration,
-    /// Time that an order takes in which something is loaded.
+    /// Time that an order takes if it loads a version, in milliseconds.
     pub load_ms: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a lower fencing number than an earlier one are refused.
     pub fencing: bool,
-    /// Seed of the bad answers.
+    /// Seed of the random choice of bad answers and lost events.
     pub seed: u64,
 }
 
@@ -54,22 +54,22 @@
     }
 }
 
-/// How an engine misbehaves.
+/// Faults that an engine injects.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EngineFaults {
-    /// Of 1,000 answers by a version, how many are bad.
+    /// Number of bad answers in 1,000, by version.
     pub bad: BTreeMap<String, u32>,
-    /// Takes requests and never answers.
+    /// Accepts requests and sends no response.
     pub silent: bool,
-    /// Breaks the stream off after so many tokens.
+    /// Aborts each stream after this number of tokens.
     pub die_after: Option<u32>,
-    /// Times that everything takes longer, in percent; 0 is none.
+    /// Additional time that each step takes, in percent; 0 for none.
     pub slow_percent: u64,
-    /// Load that it reports instead of its own.
+    /// Number of running requests that it reports instead of the actual load.
     pub lie: Option<usize>,
-    /// Refuses every request with 500.
+    /// Responds to every request with 500.
     pub fail: bool,
-    /// Of 1,000 cache events, how many are never published.
+    /// Number of 1,000 cache events that are never published.
     pub lose_events: u32,
 }
 
@@ -81,23 +81,23 @@
     waiting: usize,
     load_samples: VecDeque<(Instant, usize, usize)>,
     cache: VecDeque<String>,
-    /// Prefixes that were cached or evicted, with the time from which that is published.
+    /// Events of cached and evicted prefixes, with the time at which each is published.
     cache_events: Vec<(Instant, Value)>,
-    /// Priorities of those who wait, with the order in which they came.
+    /// Priorities of the waiting requests, with their order of arrival.
     queue: BTreeSet<(u8, u64)>,
     next_ticket: u64,
-    /// Streams that broke off, by request, for resuming them.
+    /// Interrupted streams, by request id, with the index of the next token.
     interrupted_streams: BTreeMap<String, (Run, u64)>,
     highest_fence: u64,
     rng: fastrand::Rng,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// Runs, ends, cancels and orders.
+    /// Events of runs, ends, cancellations and orders.
     pub history: History,
     state: Arc<Mutex<State>>,
     _task: Arc<smol::Task<()>>,
@@ -110,8 +110,8 @@
 const DEFAULT_PRIORITY: u8 = 5;
 const QUEUE_POLL: Duration = Duration::from_millis(1);
 
-/// Returns the token at an index of a request's answer: it names version and request, so that a
-/// checker sees a token that belongs to another answer.
+/// Returns the token at an index of an answer. It contains the version and the request id, so that a checker detects
+/// a token of another answer.
 fn token(version: &str, request: &str, prompt: &str, index: u64, is_bad: bool) -> String {
     let hash = xxhash_rust::xxh3::xxh3_64(prompt.as_bytes()) as u16;
     let tail = if is_bad { BAD_MARK } else { "ok" };
@@ -119,7 +119,7 @@
     format!("{index}:{version}:{short}:{hash:04x}:{tail} ")
 }
 
-/// Returns the whole answer of a good run.
+/// Returns the complete text of an answer that is not bad.
 pub fn answer_text(version: &str, request: &str, prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|i| token(version, request, prompt, i, false)).collect()
 }
@@ -129,11 +129,11 @@
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr, settings: EngineSettings) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State {
             rng: fastrand::Rng::with_seed(settings.seed),
@@ -188,7 +188,7 @@
         })
     }
 
-    /// Returns whether the prompt's prefix was cached, and caches it.
+    /// Caches the prefix of a prompt and returns whether it was cached before.
     fn cache_prefix(&mut self, version: &str, prompt: &str) -> bool {
         let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let key = format!("{version} {prefix}");
@@ -208,7 +208,7 @@
         hit
     }
 
-    /// Publishes an event late, or never: its number is used up all the same, so that there is a gap.
+    /// Publishes an event after the lag. A lost event is never published, but uses a number, which leaves a gap.
     fn publish_cache_event(&mut self, what: &str, key: &str) {
         let number = self.next_ticket;
         self.next_ticket += 1;
@@ -227,7 +227,7 @@
     }
 }
 
-/// Counts a request as waiting, then as running, until it is dropped.
+/// Counts a request as waiting until [`Slot::acquire`] returns, then as running until the slot is dropped.
 struct Slot {
     state: Arc<Mutex<State>>,
     ticket: (u8, u64),
@@ -252,7 +252,7 @@
         loop {
             {
                 let mut s = lock(&self.state);
-                // The most urgent runs first; of equals the one that came first.
+                // The lowest priority number runs first, and among equals the earliest request.
                 let is_next = s.queue.first() == Some(&self.ticket);
                 if s.running < s.settings.slots && is_next {
                     s.queue.remove(&self.ticket);
@@ -302,7 +302,7 @@
     }
 }
 
-/// Returns the published events from a number on; numbers that are missing were lost.
+/// Returns the published events from a number on; missing numbers are lost events.
 fn cache_events(req: &Request, state: &Mutex<State>) -> Response {
     let from = serve::query(req, "from").unwrap_or(0);
     let s = lock(state);
@@ -311,7 +311,7 @@
     serve::json(&json!({"events": wanted.map(|(_, event)| event).collect::<Vec<_>>()}))
 }
 
-/// Goes on with a stream that broke off, from a token on.
+/// Resumes an interrupted stream from a token on.
 async fn resume(req: &mut Request, state: Arc<Mutex<State>>, history: History) -> Response {
     let body = serve::body_json(req).await.unwrap_or_default();
     let request = body["request_id"].as_str().unwrap_or_default();
--- a/standins/src/fleet/caller.rs
+++ b/standins/src/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests to an entry and notes what came back.
+//! A caller: sends requests to an entry and records the responses.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,32 +10,32 @@
 
 use super::objects::key_of;
 
-/// What came back.
+/// A response, or the failure to get one.
 #[derive(Clone, Debug, Default)]
 pub struct Answered {
-    /// HTTP status; 0 if no head came.
+    /// HTTP status; 0 if no head was received.
     pub status: u16,
-    /// Headers of interest, by lower-case name.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body as far as it came.
+    /// The body, as far as it was received.
     pub body: Vec<u8>,
-    /// Whether the body ended as HTTP says that it ends.
+    /// Whether the body is complete by its HTTP framing.
     pub whole: bool,
     /// Time to the first byte of the body.
     pub first_byte: Duration,
-    /// Time to the end.
+    /// Time to the end of the response.
     pub took: Duration,
-    /// What went wrong on the way.
+    /// Error of the connection or of the response; empty if there was none.
     pub error: String,
 }
 
 impl Answered {
-    /// Returns a header.
+    /// Returns the value of a header; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
-    /// Returns the body as JSON, or null.
+    /// Returns the body as JSON; null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
@@ -45,7 +45,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Returns the answer's text, of a whole or a streamed chat answer.
+    /// Returns the text of a chat completion, streamed or not.
     pub fn content(&self) -> String {
         let text = self.text();
         if let Some(content) = self.json()["choices"][0]["message"]["content"].as_str() {
@@ -58,12 +58,12 @@
             .collect()
     }
 
-    /// Says whether a streamed chat answer came with its end mark.
+    /// Returns whether a streamed chat completion is complete and has its `[DONE]` event.
     pub fn is_complete_stream(&self) -> bool {
         self.whole && self.text().contains("data: [DONE]")
     }
 
-    /// Returns the error's code and run state.
+    /// Returns the code and the run state of the error in the body.
     pub fn error_code(&self) -> (String, String) {
         let error = &self.json()["error"];
         let text = |v: &Value| v.as_str().unwrap_or_default().to_owned();
@@ -74,7 +74,7 @@
 /// A request to send.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
@@ -85,13 +85,13 @@
 }
 
 impl Ask {
-    /// Makes a chat request.
+    /// Creates a chat request.
     pub fn chat(customer: &str, model: &str, prompt: &str) -> Self {
         let body = json!({"model": model, "messages": [{"role": "user", "content": prompt}]});
         Self::new(Method::Post, "/v1/chat/completions", customer).body(body.to_string())
     }
 
-    /// Makes any request.
+    /// Creates a request of any kind, with the key of the customer.
     pub fn new(method: Method, target: &str, customer: &str) -> Self {
         let headers = vec![("authorization".to_owned(), format!("Bearer {}", key_of(customer)))];
         Self { method, target: target.to_owned(), headers, body: Vec::new() }
@@ -104,7 +104,7 @@
         self
     }
 
-    /// Sets a field of a JSON body.
+    /// Sets a field of the JSON body.
     #[must_use]
     pub fn field(mut self, name: &str, value: Value) -> Self {
         let mut body: Value = serde_json::from_slice(&self.body).unwrap_or_default();
@@ -113,7 +113,7 @@
         self
     }
 
-    /// Asks for a streamed answer of so many tokens.
+    /// Requests a streamed completion of `tokens` tokens.
     #[must_use]
     pub fn stream(self, tokens: u64) -> Self {
         self.field("stream", json!(true)).field("max_tokens", json!(tokens))
@@ -126,7 +126,7 @@
         self
     }
 
-    /// Sets the session.
+    /// Sets the session id.
     #[must_use]
     pub fn session(self, id: &str) -> Self {
         self.header("x-session-id", id)
@@ -150,7 +150,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
 impl Caller {
-    /// Sends a request and reads what comes.
+    /// Sends a request and reads the response.
     pub async fn send(&self, ask: &Ask) -> Answered {
         let started_at = Instant::now();
         let mut answered = Answered::default();
@@ -163,7 +163,7 @@
         answered
     }
 
-    /// Sends a request from a thread without a runtime.
+    /// Sends a request and blocks the thread until the response has ended.
     pub fn send_blocking(&self, ask: &Ask) -> Answered {
         smol::block_on(self.send(ask))
     }
--- a/standins/src/fleet/launch.rs
+++ b/standins/src/fleet/launch.rs
@@ -1,4 +1,4 @@
-//! Starting daemons against stand-ins.
+//! Starts daemons that use the test doubles.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,10 +22,10 @@
 use crate::udp_proxy::UdpProxy;
 use crate::weight_store::WeightStore;
 
-/// Longest wait for anything that must come about.
+/// Maximum time to wait for a condition.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Lines of each daemon's log that a failed test shows.
+/// Maximum number of log lines of each daemon that a failed test prints.
 const MAX_SHOWN_LOG_LINES: usize = 40;
 
 const POLL: Duration = Duration::from_millis(5);
@@ -34,7 +34,7 @@
 ///
 /// # Panics
 ///
-/// If it does not come to hold in time.
+/// If it does not hold in time.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !holds() {
@@ -51,7 +51,7 @@
     listen: Option<SocketAddr>,
 }
 
-/// A fleet: stand-ins in this process, daemons as processes. Dropping it kills them.
+/// A fleet: test doubles in this process, daemons as child processes. Dropping it kills the daemons.
 #[derive(Debug)]
 pub struct Fleet {
     /// The log service.
@@ -75,7 +75,7 @@
     setting_overrides: Value,
 }
 
-/// What a fleet is made of.
+/// Builder of a [`Fleet`].
 #[derive(Debug)]
 pub struct FleetBuilder {
     bin_dir: PathBuf,
@@ -92,17 +92,17 @@
 
 static NEXT_DIR: AtomicU32 = AtomicU32::new(0);
 
-/// Failure domains that daemons are spread over.
+/// Failure domains that daemons are assigned to in turn.
 const DOMAINS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
 impl FleetBuilder {
-    /// Begins a fleet whose programs are in `bin_dir`.
+    /// Creates a builder; the executables of the daemons are in `bin_dir`.
     pub fn new(bin_dir: &Path) -> Self {
         let setting_overrides = json!({"entry": {}, "side": {}});
         Self { bin_dir: bin_dir.to_owned(), entries: 1, sides: Vec::new(), setting_overrides }
     }
 
-    /// Sets the number of entries; they are called `entry-0` and so on.
+    /// Sets the number of entries; their hosts are `entry-0`, `entry-1` and so on.
     #[must_use]
     pub fn entries(mut self, n: usize) -> Self {
         self.entries = n;
@@ -125,18 +125,18 @@
         self
     }
 
-    /// Sets a group of settings of all daemons of a role.
+    /// Sets a group of settings of all daemons with a role, `entry` or `side`.
     #[must_use]
     pub fn settings(mut self, role: &str, group: &str, value: Value) -> Self {
         self.setting_overrides[role][group] = value;
         self
     }
 
-    /// Starts everything and waits until every entry is ready.
+    /// Starts the fleet, publishes the objects and waits until every entry is ready.
     ///
     /// # Panics
     ///
-    /// If something does not start.
+    /// If a part of the fleet does not start.
     pub fn start(self, objects: &Objects) -> Fleet {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let n = NEXT_DIR.fetch_add(1, Ordering::Relaxed);
@@ -162,7 +162,7 @@
         names.push("ctl".to_owned());
         fleet.make_keys(&names);
         for name in &names {
-            let proxy = TcpProxy::start(fleet.log.addr).expect("way to the log");
+            let proxy = TcpProxy::start(fleet.log.addr).expect("proxy before the log");
             fleet.log_proxies.insert(name.clone(), proxy);
         }
         fleet.write_ctl_settings();
@@ -193,11 +193,11 @@
         fleet
     }
 
-    /// Starts the stand-ins and makes keys, without any daemon.
+    /// Starts the test doubles and creates TLS keys, without any daemon.
     ///
     /// # Panics
     ///
-    /// If something does not start.
+    /// If a part of the fleet does not start.
     pub fn start_without_daemons(self) -> Fleet {
         self.entries(0).start(&Objects::default())
     }
@@ -272,7 +272,7 @@
         self.daemons.insert(host.to_owned(), daemon);
     }
 
-    /// Starts a side, or starts it anew after it ended.
+    /// Starts a side, or restarts it after it ended.
     pub fn start_side(&mut self, host: &str, domain: &str) {
         let mut settings = self.common_settings(host, domain, "side");
         settings["backends"] = match (self.engines.get(host), self.services.get(host)) {
@@ -291,7 +291,7 @@
         self.launch(host, domain, "side", &settings);
     }
 
-    /// Starts an entry, or starts it anew after it ended.
+    /// Starts an entry, or restarts it after it ended.
     pub fn start_entry(&mut self, host: &str, domain: &str) {
         let mut settings = self.common_settings(host, domain, "entry");
         settings["listen"] = json!("127.0.0.1:0");
@@ -304,7 +304,7 @@
         self.launch(host, domain, "entry", &settings);
     }
 
-    /// Starts a daemon that ended anew, and lists its new address.
+    /// Restarts a daemon that ended, and updates its address in the host list.
     pub fn restart(&mut self, host: &str) {
         let domain = std::fs::read_to_string(self.dir.join(format!("{host}.domain")));
         let domain = domain.expect("domain");
@@ -315,14 +315,14 @@
         self.list_hosts(Duration::ZERO);
     }
 
-    /// Starts a side anew while the old process lives on, and returns the old one.
+    /// Starts a new process of a side while the old one still runs, and returns the old one.
     pub fn replace(&mut self, host: &str) -> Process {
         let old = self.daemons.remove(host).expect("a running daemon");
         self.restart(host);
         old.process
     }
 
-    /// Lists all daemons as live.
+    /// Sets the host list to all daemons, as live; readers see it after `lag`.
     pub fn list_hosts(&self, lag: Duration) {
         let hosts = self.daemons.iter().map(|(host, daemon)| {
             let domain = std::fs::read_to_string(self.dir.join(format!("{host}.domain")));
@@ -338,29 +338,29 @@
         self.hosts.set(hosts.collect(), lag);
     }
 
-    /// Cuts a daemon off from the log service, or connects it again.
+    /// Disconnects a daemon from the log service, or connects it again.
     pub fn set_log_cut(&self, host: &str, cut: bool) {
         self.log_proxies[host].set_cut(cut);
     }
 
-    /// Puts something before a daemon that can lose track of its connections, and lists it there.
+    /// Starts a proxy that can drop the flows of a daemon's peer connections, and lists the daemon at its address.
     pub fn add_peer_proxy(&mut self, host: &str) {
         let proxy = UdpProxy::start(self.daemons[host].peer).expect("proxy");
         self.peer_proxies.insert(host.to_owned(), proxy);
         self.list_hosts(Duration::ZERO);
     }
 
-    /// Returns what [`Self::put_proxy`] put before a daemon.
+    /// Returns the proxy that [`Self::add_peer_proxy`] started.
     pub fn peer_proxy(&self, host: &str) -> &UdpProxy {
         &self.peer_proxies[host]
     }
 
-    /// Returns a daemon's process.
+    /// Returns the process of a daemon.
     pub fn process(&self, host: &str) -> &Process {
         &self.daemons[host].process
     }
 
-    /// Returns a daemon's address for its peers.
+    /// Returns the address of a daemon for its peers.
     pub fn peer_addr(&self, host: &str) -> SocketAddr {
         self.daemons[host].peer
     }
@@ -371,12 +371,12 @@
         Caller { addr: self.daemons[&host].listen.expect("an entry") }
     }
 
-    /// Returns the folder with settings and keys.
+    /// Returns the folder with the settings and TLS keys.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Waits until an entry is ready and knows of every engine that answers.
+    /// Waits until an entry is ready and lists every side in its status.
     pub fn wait_ready(&self, host: &str) {
         let index = host.trim_start_matches("entry-").parse().expect("an entry");
         let caller: Caller = self.caller(index);
@@ -384,10 +384,10 @@
         wait_until("entry is ready", || caller.send_blocking(&ready).status == 200);
         let sides = self.engines.len() + self.services.len();
         let status = || self.daemon_status(host)["sides"].as_array().map_or(0, Vec::len);
-        wait_until("entry knows the sides", || status() >= sides);
+        wait_until("entry lists the sides", || status() >= sides);
     }
 
-    /// Returns what a daemon says of itself.
+    /// Returns the status of a daemon; null if it has none.
     pub fn daemon_status(&self, host: &str) -> Value {
         let output = self.ctl(&["status", "--json"]);
         let all: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
@@ -395,7 +395,7 @@
         daemons.into_iter().find(|d| d["host"] == host).unwrap_or_default()
     }
 
-    /// Runs the operator's tool.
+    /// Runs `redwingfold-ctl`.
     pub fn ctl(&self, args: &[&str]) -> Output {
         Command::new(self.bin_dir.join("redwingfold-ctl"))
             .arg("--settings")
@@ -405,14 +405,14 @@
             .expect("redwingfold-ctl")
     }
 
-    /// Writes objects to a file for the operator's tool.
+    /// Writes objects to a file for `redwingfold-ctl`, and returns its path.
     pub fn write_objects(&self, name: &str, objects: &Objects) -> String {
         let path = self.dir.join(format!("{name}.objects"));
         std::fs::write(&path, objects.json()).expect("objects");
         path.to_str().expect("path").to_owned()
     }
 
-    /// Publishes objects.
+    /// Publishes objects as the configuration.
     ///
     /// # Panics
     ///
@@ -428,7 +428,7 @@
         );
     }
 
-    /// Waits until every running daemon has the newest configuration in force.
+    /// Waits until the latest configuration is in force at every running daemon.
     pub fn wait_in_force(&self) {
         let newest = || self.log.records("config").last().map_or(0, |(offset, _)| *offset);
         wait_until("configuration in force everywhere", || {
--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a whole fleet on loopback: stand-ins in this process, daemons as processes.
+//! Starts a complete fleet on loopback: test doubles in this process, daemons as child processes.
 
 mod caller;
 mod launch;
--- a/standins/src/fleet/objects.rs
+++ b/standins/src/fleet/objects.rs
@@ -1,8 +1,8 @@
-//! A small builder of configurations for tests.
+//! A builder of configurations for tests.
 
 use serde_json::{Value, json};
 
-/// The key that a customer of a test uses.
+/// Returns the API key of a test's customer.
 pub fn key_of(customer: &str) -> String {
     format!("key-of-{customer}")
 }
@@ -12,14 +12,14 @@
 pub struct Objects(Vec<Value>);
 
 impl Objects {
-    /// Adds any object.
+    /// Adds an object of any kind.
     #[must_use]
     pub fn with(mut self, kind: &str, name: &str, labels: Value, spec: Value) -> Self {
         self.0.push(json!({"kind": kind, "name": name, "labels": labels, "spec": spec}));
         self
     }
 
-    /// Adds a customer whose key is [`key_of`] its name; `sha256` hashes it.
+    /// Adds a customer whose API key is [`key_of`] its name; `sha256` is the hash of that key.
     #[must_use]
     pub fn customer(self, name: &str, weight: u32, sha256: &str) -> Self {
         let spec = json!({"key_sha256": [sha256], "weight": weight});
@@ -45,7 +45,7 @@
         self.with("grant", name, json!({}), json!({"callers": callers, "versions": versions}))
     }
 
-    /// Adds a roll-out.
+    /// Adds a rollout.
     #[must_use]
     pub fn rollout(self, name: &str, model: &str, to: &str, share: u16) -> Self {
         self.with("rollout", name, json!({}), json!({"model": model, "to": to, "share": share}))
@@ -58,7 +58,7 @@
         self.with("placement", name, json!({}), spec)
     }
 
-    /// Adds a plain service that takes GET, which may be repeated, and POST, which may not.
+    /// Adds a plain service that accepts GET, which may be retried, and POST, which may not.
     #[must_use]
     pub fn service(self, name: &str, path: &str) -> Self {
         let spec = json!({
@@ -73,12 +73,12 @@
         self.with("cascade", name, json!({}), json!({"models": models, "target": target}))
     }
 
-    /// Says whether there are none.
+    /// Returns whether there are no objects.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the JSON list that the operator's tool reads.
+    /// Returns the JSON array that `redwingfold-ctl` reads.
     pub fn json(&self) -> String {
         Value::from(self.0.clone()).to_string()
     }
--- a/standins/src/fleet/process.rs
+++ b/standins/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A child process whose log lines are read.
+//! A child process whose output is collected by line.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Read};
@@ -16,11 +16,11 @@
 /// A child process. Dropping it kills it.
 #[derive(Debug)]
 pub struct Process {
-    /// What it is called in messages.
+    /// Name of the process in error messages.
     pub name: String,
     child: Mutex<Child>,
     lines: Arc<Mutex<VecDeque<String>>>,
-    /// What reads its output, until that ends.
+    /// Threads that read its output until it is closed.
     readers: Mutex<Vec<JoinHandle<()>>>,
 }
 
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be started.
+    /// If the program cannot be started.
     pub fn start(name: &str, program: &Path, args: &[&str]) -> std::io::Result<Self> {
         let mut child = Command::new(program)
             .args(args)
@@ -44,8 +44,8 @@
         Ok(Self { name: name.to_owned(), child: Mutex::new(child), lines, readers })
     }
 
-    /// Waits until all that an ended process has printed is read: beside load its last lines are still on
-    /// their way when its end is known, and a test that looks for them would miss them.
+    /// Waits until the whole output of an ended process is read. Under load its last lines are still in the pipes when
+    /// its exit status is available, and a test that searches for them would miss them.
     fn read_rest(&self) {
         let mut readers = self.readers.lock().unwrap_or_else(PoisonError::into_inner);
         readers.drain(..).for_each(|reader| {
@@ -62,21 +62,21 @@
         self.child().id()
     }
 
-    /// Returns what it has printed, the oldest first.
+    /// Returns its last 20,000 lines of output, oldest first.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    /// Returns how many of its lines contain a text.
+    /// Returns the number of its lines that contain a text.
     pub fn count(&self, text: &str) -> usize {
         self.lines().iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Waits for a line and returns it.
+    /// Waits for a line that contains a text, and returns it.
     ///
     /// # Errors
     ///
-    /// What was printed, if the line does not come or the process ends.
+    /// The output so far, if the line does not appear within `timeout` or before the process ends.
     pub fn wait_for_line(&self, text: &str, timeout: Duration) -> Result<String, String> {
         let started_at = Instant::now();
         loop {
@@ -101,38 +101,38 @@
 
     fn signal(&self, signal: Signal) {
         let mut child = self.child();
-        // A child that has ended and was waited for may have given its id to another process.
+        // After a child was reaped, the system may assign its process id to another process.
         if let (Ok(None), Some(pid)) = (child.try_wait(), Pid::from_raw(child.id() as i32)) {
             kill_process(pid, signal).ok();
         }
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM.
     pub fn term(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kills it.
+    /// Sends SIGKILL and reaps the process.
     pub fn kill(&self) {
         self.signal(Signal::KILL);
         self.child().wait().ok();
     }
 
-    /// Freezes it.
+    /// Suspends it with SIGSTOP.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes it with SIGCONT.
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for its end.
+    /// Waits until it ends; `None` if it still runs after `timeout`.
     pub fn wait(&self, timeout: Duration) -> Option<ExitStatus> {
         let started_at = Instant::now();
         while started_at.elapsed() < timeout {
-            // Taken on its own, so that nothing holds the child while its output is read.
+            // A separate statement, so that the lock of the child is not held while its output is read.
             let status = self.child().try_wait();
             if let Ok(Some(status)) = status {
                 self.read_rest();
--- a/standins/src/history.rs
+++ b/standins/src/history.rs
@@ -1,22 +1,22 @@
-//! What happened at a stand-in, for checkers to read after a run.
+//! Events of a test double, which checkers read after a run.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use serde::{Deserialize, Serialize};
 
-/// One thing that happened.
+/// An event.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Microseconds since 1970, by the machine's clock, which all processes of a test share.
+    /// Microseconds since the Unix epoch, by the system clock, which all processes of a test share.
     pub at_us: u64,
-    /// What happened: `run`, `end`, `cancel`, `append`, `order` and so on.
+    /// Name of the event: `run`, `end`, `cancel`, `append`, `order` and so on.
     pub what: String,
-    /// To what: a version, a stream, a path.
+    /// Subject of the event: a version, a stream or a path.
     pub of: String,
-    /// The request's id or key, if there is one.
+    /// Id or key of the request, if there is one.
     pub request: String,
-    /// Anything else.
+    /// Further details; may be empty.
     pub detail: String,
 }
 
@@ -25,7 +25,7 @@
 pub struct History(Arc<Mutex<Vec<Event>>>);
 
 impl History {
-    /// Adds an event, now.
+    /// Adds an event with the current time.
     pub fn add(&self, what: &str, of: &str, request: &str, detail: impl Into<String>) {
         let mut events = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         events.push(Event {
@@ -42,12 +42,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the events of one sort.
+    /// Returns the events with a name.
     pub fn events_named(&self, what: &str) -> Vec<Event> {
         self.events().into_iter().filter(|e| e.what == what).collect()
     }
 
-    /// Forgets all events, so that a long trial stays small.
+    /// Removes all events, which limits the memory of a long trial.
     pub fn clear(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
@@ -57,7 +57,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
 }
 
-/// Returns milliseconds since 1970.
+/// Returns milliseconds since the Unix epoch.
 pub fn now_ms() -> u64 {
     now_us() / 1000
 }
--- a/standins/src/host_list.rs
+++ b/standins/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The host list: live and leaving hosts, some time after the fact.
+//! Test double of the host list: live and leaving hosts; readers see changes after a lag.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,12 +11,12 @@
 use crate::history::History;
 use crate::serve;
 
-/// One host as the platform lists it.
+/// A host as the platform lists it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostEntry {
-    /// Name.
+    /// Name of the host.
     pub host: String,
-    /// Where its redwingfold process is reached.
+    /// Address of its redwingfold process.
     pub address: SocketAddr,
     /// Failure domain.
     pub failure_domain: String,
@@ -43,10 +43,10 @@
     pending: Vec<(Instant, Vec<HostEntry>)>,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct HostList {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
     _task: Arc<smol::Task<()>>,
@@ -69,11 +69,11 @@
 }
 
 impl HostList {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr) -> std::io::Result<Self> {
         let control = Control { hosts: Vec::new(), lag_ms: 0, outage: false };
         let state =
@@ -97,14 +97,14 @@
         Ok(Self { addr, state, _task: Arc::new(task) })
     }
 
-    /// Changes the hosts; readers see it after `lag`.
+    /// Replaces the hosts; readers see the change after `lag`.
     pub fn set(&self, hosts: Vec<HostEntry>, lag: Duration) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let outage = state.control.outage;
         state.set(Control { hosts, lag_ms: lag.as_millis() as u64, outage });
     }
 
-    /// Changes hosts one by one; readers see it after `lag`.
+    /// Changes the current hosts; readers see the change after `lag`.
     pub fn update(&self, lag: Duration, change: impl FnOnce(&mut Vec<HostEntry>)) {
         let mut hosts = {
             let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins of the platform's services, for tests and trials.
+//! Small test doubles of the platform's services, for tests and trials.
 //!
-//! Each listens on loopback, behaves as docs/PLATFORM.md says the platform does, and takes orders
-//! to misbehave on `POST /control`. `GET /history` returns what happened, by one clock.
+//! Each listens on loopback and behaves as docs/PLATFORM.md describes the platform. `POST /control` injects faults, and
+//! `GET /history` returns the events so far, with timestamps of the system clock.
 
 mod engine;
 pub mod fleet;
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The log service: append-only streams with offsets, a rate limit, retention and outages.
+//! Test double of the log service: append-only streams with offsets, a rate limit, retention and outages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 use crate::history::History;
 use crate::serve;
 
-/// How the log service misbehaves.
+/// Faults and limits of the log service.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct LogFaults {
-    /// Every call is refused with 503.
+    /// Whether every call gets a 503.
     pub outage: bool,
-    /// Calls hang instead of being refused, for this long.
+    /// Time that each call waits before it is handled, in milliseconds.
     pub hang_ms: u64,
-    /// Of 1,000 appends that took effect, how many lose their answer.
+    /// Number of 1,000 successful appends whose response is lost: they get a 500.
     pub lose_answers: u32,
-    /// Appends a second, for all streams.
+    /// Maximum number of appends per second, for all streams together.
     pub rate: u32,
-    /// Records that a stream keeps.
+    /// Maximum number of records that a stream keeps.
     pub retain: usize,
-    /// Time that each append takes.
+    /// Time that each append takes, in milliseconds.
     pub append_ms: u64,
 }
 
@@ -60,12 +60,12 @@
     reads: u64,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct LogService {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// Appends and refusals.
+    /// Events of appends and refusals.
     pub history: History,
     state: Arc<Mutex<State>>,
     _task: Arc<smol::Task<()>>,
@@ -74,11 +74,11 @@
 const POLL: Duration = Duration::from_millis(10);
 
 impl LogService {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr, seed: u64) -> std::io::Result<Self> {
         let faults = LogFaults::default();
         let state = Arc::new(Mutex::new(State {
@@ -106,7 +106,7 @@
         change(&mut self.lock().faults);
     }
 
-    /// Returns a stream's records, with their offsets.
+    /// Returns the records of a stream, with their offsets.
     pub fn records(&self, stream: &str) -> Vec<(u64, String)> {
         match self.lock().streams.get(stream) {
             Some(s) => (s.first..).zip(s.records.iter().cloned()).collect(),
@@ -114,18 +114,18 @@
         }
     }
 
-    /// Returns the names of all streams that have had a record.
+    /// Returns the names of all streams that ever had a record.
     pub fn streams(&self) -> Vec<String> {
         self.lock().streams.keys().cloned().collect()
     }
 
-    /// Returns how many appends and reads have been served.
+    /// Returns the numbers of appends and of reads so far.
     pub fn counts(&self) -> (u64, u64) {
         let state = self.lock();
         (state.appends, state.reads)
     }
 
-    /// Appends a record directly, as another user of the service would.
+    /// Appends a record as another client of the service would, and returns its offset.
     pub fn append(&self, stream: &str, record: &str) -> u64 {
         self.lock().append(stream, record.to_owned())
     }
--- a/standins/src/rating.rs
+++ b/standins/src/rating.rs
@@ -1,4 +1,4 @@
-//! The rating service: rates an answer by the mark that a bad engine leaves in it.
+//! Test double of the rating service: an answer with the mark of a bad engine gets the score 0, any other gets 1000.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,25 +18,25 @@
     delay_ms: u64,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Rating {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// Ratings given.
+    /// Events of the ratings, with their scores.
     pub history: History,
     _task: Arc<smol::Task<()>>,
 }
 
-/// What a bad answer contains.
+/// Text that a bad answer contains.
 pub(crate) const BAD_MARK: &str = "unreadable";
 
 impl Rating {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr) -> std::io::Result<Self> {
         let control = Arc::new(Mutex::new(Control::default()));
         let history = History::default();
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: listening, JSON answers and the control port.
+//! Shared by the test doubles: the HTTP server, JSON responses and the control calls.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 
 use crate::history::History;
 
-/// Listens and serves with a handler until the task is dropped.
+/// Binds the address and serves requests with a handler until the returned task is dropped.
 pub(crate) fn start<F, Fut>(
     addr: SocketAddr,
     handler: F,
@@ -47,18 +47,19 @@
     serde_json::from_slice(&req.body_bytes().await.ok()?).ok()
 }
 
-/// Overlays the fields of a JSON object on a value; fields that are not named stay.
+/// Merges the fields of a JSON object into a value; other fields stay. `None` if a field is unknown or its value is
+/// invalid.
 pub(crate) fn overlay<T: DeserializeOwned + Serialize>(old: &T, patch: &Value) -> Option<T> {
     let mut value = serde_json::to_value(old).ok()?;
     let fields = value.as_object_mut()?;
     for (key, new) in patch.as_object()? {
-        // A key that was not there before is no fault that this stand-in knows.
+        // A key that the value does not have is not a fault of this test double.
         fields.insert(key.clone(), new.clone())?;
     }
     serde_json::from_value(value).ok()
 }
 
-/// Answers `/history`, `/forget` and `/control`, which all stand-ins have; `None` for any other path.
+/// Handles `/history`, `/forget` and `/control`, which all test doubles have; `None` for any other path.
 pub(crate) async fn control<T: DeserializeOwned + Serialize>(
     req: &mut Request,
     history: &History,
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: runs each call once and says how often it has run that call.
+//! Test double of a plain service: its responses contain the number of runs of the same call.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 struct Control {
     delay_ms: u64,
-    /// The call runs, and the connection is closed without an answer.
+    /// Runs the call and closes the connection without a complete response.
     cut: bool,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// Runs.
+    /// Events of the runs.
     pub history: History,
     control: Arc<Mutex<Control>>,
     _task: Arc<smol::Task<()>>,
 }
 
 impl Service {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr) -> std::io::Result<Self> {
         let control = Arc::new(Mutex::new(Control::default()));
         let runs = Arc::new(Mutex::new(HashMap::<String, u32>::new()));
@@ -77,7 +77,7 @@
         Ok(Self { addr, history, control, _task: Arc::new(task) })
     }
 
-    /// Makes each call take this long.
+    /// Sets the time that each call takes.
     pub fn set_delay(&self, delay: Duration) {
         let mut control = self.control.lock().unwrap_or_else(PoisonError::into_inner);
         control.delay_ms = delay.as_millis() as u64;
--- a/standins/src/tcp_proxy.rs
+++ b/standins/src/tcp_proxy.rs
@@ -1,4 +1,4 @@
-//! A way to a service that can be disturbed for one of its users.
+//! A TCP proxy that injects faults into the connections of one client of a service.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,31 +12,31 @@
 
 const POLL: Duration = Duration::from_millis(5);
 
-/// Bytes that are passed on at a time.
+/// Maximum number of bytes that are forwarded at once.
 const BUFFER: usize = 16 * 1024;
 
-/// How a way is disturbed.
+/// Fault that a proxy injects.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LinkFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Open connections are reset, and new ones closed at once.
+    /// Open connections and new ones are closed at once.
     Cut,
-    /// Bytes take so much longer, each way.
+    /// Bytes are delayed by this time in each direction.
     Delay(Duration),
-    /// What the service sends is lost; what is sent to it arrives.
+    /// Bytes from the service are lost; bytes to it arrive.
     OneWay,
-    /// What the service sends passes at so many bytes a second, on each connection.
+    /// Bytes from the service are limited to this rate, in bytes per second, on each connection.
     Rate(u64),
-    /// Nothing arrives either way, and connections stay open.
+    /// Bytes are lost in both directions, and connections stay open.
     Silent,
 }
 
-/// Passes connections on to one address.
+/// A proxy that forwards connections to one address.
 #[derive(Debug)]
 pub struct TcpProxy {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     link: Arc<Link>,
     _task: smol::Task<()>,
@@ -45,14 +45,14 @@
 #[derive(Debug, Default)]
 struct Link {
     fault: Mutex<LinkFault>,
-    /// Connections made before the newest of these stay silent for good.
+    /// Current generation of connections; those of earlier generations forward no bytes any more.
     generation: AtomicU64,
-    /// Bytes of the service that have passed.
+    /// Number of bytes from the service that were forwarded.
     passed: AtomicU64,
 }
 
 impl Link {
-    /// Returns what happens to a connection that was made in a generation.
+    /// Returns the fault for connections of a generation.
     fn fault(&self, generation: u64) -> LinkFault {
         match *self.fault.lock().unwrap_or_else(PoisonError::into_inner) {
             LinkFault::Cut => LinkFault::Cut,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Which way bytes go.
+/// Direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Direction {
     FromServer,
@@ -70,11 +70,11 @@
 }
 
 impl TcpProxy {
-    /// Starts it before an address.
+    /// Starts a proxy that forwards to an address.
     ///
     /// # Errors
     ///
-    /// If no port can be opened.
+    /// If no port can be bound.
     pub fn start(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let addr = listener.local_addr()?;
@@ -91,23 +91,23 @@
         Ok(Self { addr, link, _task: task })
     }
 
-    /// Disturbs the way from now on, or no longer.
+    /// Sets the fault from now on.
     pub fn set_fault(&self, fault: LinkFault) {
         *self.link.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Breaks all connections and refuses new ones, or lets them through again.
+    /// Closes all connections and new ones, or accepts them again.
     pub fn set_cut(&self, cut: bool) {
         self.set_fault(if cut { LinkFault::Cut } else { LinkFault::None });
     }
 
-    /// Returns the bytes that the service has sent through it.
+    /// Returns the number of bytes from the service that it has forwarded.
     pub fn passed(&self) -> u64 {
         self.link.passed.load(Ordering::SeqCst)
     }
 
-    /// Loses track of the connections that exist now: they stay open and say nothing more, for good. New
-    /// ones work.
+    /// Drops all further bytes of the connections that exist now, which stay open, as a firewall does that has lost its
+    /// connection state. New connections work.
     pub fn silence_connections(&self) {
         self.link.generation.fetch_add(1, Ordering::SeqCst);
     }
@@ -130,7 +130,7 @@
     to_server.or(from_server).or(is_cut).await;
 }
 
-/// Passes bytes on until one end closes.
+/// Forwards bytes until one end closes the connection.
 async fn copy_bytes(
     mut from: TcpStream,
     mut to: TcpStream,
--- a/standins/src/udp_proxy.rs
+++ b/standins/src/udp_proxy.rs
@@ -1,4 +1,4 @@
-//! Something between two ends that can lose track of their connections.
+//! A UDP proxy that can lose flows, as a firewall does that has lost its connection state.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -9,10 +9,10 @@
 const MAX_DATAGRAM: usize = 65_536;
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Passes datagrams on to one address, by flow.
+/// A proxy that forwards datagrams to one address, with one socket per flow.
 #[derive(Debug)]
 pub struct UdpProxy {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
@@ -32,11 +32,11 @@
 }
 
 impl UdpProxy {
-    /// Starts it before an address.
+    /// Starts a proxy that forwards to an address.
     ///
     /// # Errors
     ///
-    /// If no socket can be opened.
+    /// If no socket can be bound.
     pub fn start(to: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.set_read_timeout(Some(READ_TIMEOUT))?;
@@ -52,7 +52,7 @@
         Ok(Self { addr, state })
     }
 
-    /// Drops everything of the flows that exist now; new ones work.
+    /// Drops all further datagrams of the flows that exist now; new flows work.
     pub fn silence_flows(&self) {
         let flows = self.state.flows.lock().unwrap_or_else(PoisonError::into_inner);
         for flow in flows.values() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Drops everything, or passes everything again.
+    /// Drops all datagrams, or forwards them again.
     pub fn set_cut(&self, cut: bool) {
         self.state.cut.store(cut, Ordering::SeqCst);
     }
--- a/standins/src/weight_store.rs
+++ b/standins/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store: hands out permission to load weights, at a limited rate.
+//! Test double of the weight store: grants loads of model weights at a limited rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,23 +17,23 @@
     loads_per_minute: u32,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct WeightStore {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// Loads and refusals.
+    /// Events of granted and refused loads.
     pub history: History,
     control: Arc<Mutex<Control>>,
     _task: Arc<smol::Task<()>>,
 }
 
 impl WeightStore {
-    /// Starts it.
+    /// Starts the service.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr) -> std::io::Result<Self> {
         let control = Arc::new(Mutex::new(Control { outage: false, loads_per_minute: 60 }));
         let last = Arc::new(Mutex::new(None::<Instant>));
@@ -65,7 +65,7 @@
         Ok(Self { addr, history, control, _task: Arc::new(task) })
     }
 
-    /// Sets the loads that are granted in a minute.
+    /// Sets the maximum number of loads that are granted per minute.
     pub fn set_rate(&self, loads_per_minute: u32) {
         let mut control = self.control.lock().unwrap_or_else(PoisonError::into_inner);
         control.loads_per_minute = loads_per_minute;
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's stand-in behaves as the platform's page says.
+//! The test double of the engine behaves as docs/PLATFORM.md describes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -30,7 +30,7 @@
     smol::block_on(call).expect("an answer").json().expect("JSON")
 }
 
-/// With one slot, the urgent request that came last runs before the others that wait.
+/// With one slot, an urgent request that arrived last runs before the other waiting requests.
 #[test]
 fn priorities_are_honoured() {
     let settings = EngineSettings { slots: 1, token_ms: 20, ..EngineSettings::default() };
@@ -55,7 +55,7 @@
     assert_eq!(order, ["first", "urgent", "late"]);
 }
 
-/// A stream that broke off goes on from a token, and both parts make the whole answer.
+/// An interrupted stream resumes from a token, and both parts together are the complete answer.
 #[test]
 fn broken_streams_are_resumed() {
     let engine = Engine::start(any(), EngineSettings::default()).expect("engine");
@@ -71,7 +71,7 @@
     assert_eq!(broken.content() + &rest.content(), answer_text("slip-1", &id, "p", 8));
 }
 
-/// Cache events are published late, and with gaps in their numbers where some were lost.
+/// Cache events are published with a lag, and lost events leave gaps in their numbers.
 #[test]
 fn cache_events_come_late_and_with_gaps() {
     let settings =
@@ -87,6 +87,6 @@
     let events = get(&engine, "/v1/cache_events")["events"].as_array().cloned().unwrap_or_default();
     let of = |what: &str| events.iter().filter(|e| e["what"] == what).count();
     assert!(of("cached") > 0 && of("evicted") > 0);
-    // Forty prompts in a cache of two make 40 and 38 events.
+    // Forty prompts in a cache of two entries are 40 cached and 38 evicted prefixes.
     assert!(events.len() < 78, "none was lost");
 }
--- a/standins/tests/process.rs
+++ b/standins/tests/process.rs
@@ -5,12 +5,11 @@
 
 use redwingfold_standins::fleet::Process;
 
-/// Lines of each process; its output still fits into a pipe.
+/// Lines of output of each process; they still fit into a pipe.
 const LINES: usize = 10_000;
 
-/// Many processes print their last lines and end, on a machine that is busy with all of them. Their ends
-/// are known while the lines are still in the pipes: whoever has waited for the end must find them all,
-/// or a test misses what it looks for.
+/// Guards against a test that misses the last lines of a process: under load its exit status is available while the
+/// lines are still in the pipe. After [`Process::wait`] all lines must have been read.
 #[test]
 fn all_lines_are_read_at_the_end() {
     let script = format!("seq 1 {LINES}");
