--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -129,7 +129,7 @@
 }
 
 impl Engine {
-    /// Starts the service.
+    /// Starts the engine.
     ///
     /// # Errors
     ///
