--- a/lab/src/detect.rs
+++ b/lab/src/detect.rs
@@ -14,7 +14,7 @@
 
 use crate::objects::one_model;
 use crate::report::{print_table, write_json};
-use crate::world::{World, post};
+use crate::testbed::{Testbed, post};
 
 const SIDES: usize = 4;
 
@@ -23,15 +23,15 @@
 
 /// Slower requests count as affected by the silenced host. Without the fault, no request takes a
 /// fifth of this.
-const SLOW: Duration = Duration::from_millis(250);
+const SLOW_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// Processor loads of the machine at which false alarms are counted, in percent.
-const BUSY: [u64; 3] = [0, 60, 90];
+const CPU_LOADS_PERCENT: [u64; 3] = [0, 60, 90];
 
 #[derive(Clone, Debug, Serialize)]
 struct Row {
     misses: u32,
-    /// Number of requests slower than [`SLOW`], by round.
+    /// Number of requests slower than [`SLOW_THRESHOLD`], by round.
     slow: Vec<usize>,
     failed: Vec<usize>,
     /// The longest request of all rounds, in milliseconds.
@@ -79,49 +79,49 @@
 fn measure(misses: u32, window: Duration, rounds: usize) -> eyre::Result<Row> {
     let mut names = vec!["entry-1".to_owned()];
     names.extend((0..SIDES).map(|n| format!("gpu-{n}")));
-    let mut world = World::start(&names)?;
+    let mut testbed = Testbed::start(&names)?;
     for n in 0..SIDES {
         let args = ["engine", "--versions", "slip-1", "--slots", "64"];
-        let engine = world.backend(&format!("engine-{n}"), &args)?;
+        let engine = testbed.backend(&format!("engine-{n}"), &args)?;
         let backend =
             json!([{"name": "engine-0", "address": engine, "kind": "engine", "slots": 64}]);
         let domain = format!("hall-{n}");
-        world.daemon("side", &format!("gpu-{n}"), &domain, &json!({"backends": backend}))?;
+        testbed.daemon("side", &format!("gpu-{n}"), &domain, &json!({"backends": backend}))?;
     }
-    let more = json!({
+    let overrides = json!({
         "heartbeat": {"misses": misses, "dead_misses": 6},
         "retry": {"budget_per_mille": 500, "budget_max": 500},
     });
-    world.daemon("entry", "entry-1", "hall-0", &more)?;
-    let silenced = world.daemons.iter_mut().find(|d| d.host == "gpu-0");
+    testbed.daemon("entry", "entry-1", "hall-0", &overrides)?;
+    let silenced = testbed.daemons.iter_mut().find(|d| d.host == "gpu-0");
     let Some(side) = silenced else { eyre::bail!("host gpu-0 is missing") };
-    let proxy = UdpProxy::start(side.peer)?;
-    side.peer = proxy.addr;
-    world.list_hosts()?;
-    world.publish_json(&one_model())?;
-    world.wait_ready(SIDES)?;
+    let proxy = UdpProxy::start(side.peer_addr)?;
+    side.peer_addr = proxy.addr;
+    testbed.list_hosts()?;
+    testbed.publish_json(&one_model())?;
+    testbed.wait_ready(SIDES)?;
     sleep(Duration::from_secs(2));
     let (mut slow, mut failed, mut longest) = (Vec::new(), Vec::new(), Duration::ZERO);
     for round in 0..rounds {
-        let load = load(&world, round as u64, Duration::from_secs(6))?;
-        let driving = std::thread::spawn(move || smol::block_on(run_load(&load)));
+        let load = load(&testbed, round as u64, Duration::from_secs(6))?;
+        let load_thread = std::thread::spawn(move || smol::block_on(run_load(&load)));
         sleep(Duration::from_secs(2));
         proxy.silence_flows();
-        let samples = driving.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
-        let is_slow = |s: &&Sample| s.total_time > SLOW;
+        let samples = load_thread.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
+        let is_slow = |s: &&Sample| s.total_time > SLOW_THRESHOLD;
         slow.push(samples.iter().filter(is_slow).count());
         failed.push(samples.iter().filter(|s| !s.is_complete).count());
         longest = samples.iter().map(|s| s.total_time).fold(longest, Duration::max);
     }
     let mut false_alarms = Vec::new();
-    for percent in BUSY {
-        let entry = world.daemons.iter().find(|d| d.role == "entry");
+    for percent in CPU_LOADS_PERCENT {
+        let entry = testbed.daemons.iter().find(|d| d.role == "entry");
         let suspected = || entry.map_or(0, |e| e.process.count("event=side_suspected"));
         let before = suspected();
-        let burning = burn(percent);
-        let load = load(&world, 100 + percent, window)?;
+        let cpu_load = start_cpu_load(percent);
+        let load = load(&testbed, 100 + percent, window)?;
         smol::block_on(run_load(&load));
-        burning.stop();
+        cpu_load.stop();
         false_alarms.push(suspected() - before);
     }
     Ok(Row {
@@ -134,7 +134,7 @@
     })
 }
 
-fn load(world: &World, seed: u64, duration: Duration) -> eyre::Result<Load> {
+fn load(testbed: &Testbed, seed: u64, duration: Duration) -> eyre::Result<Load> {
     let shape = RequestShape {
         model: "slip".to_owned(),
         key: Some(key_of("ani")),
@@ -147,19 +147,19 @@
         headers: Vec::new(),
     };
     // Clears the engines' histories, which would otherwise grow for the whole experiment.
-    for backend in &world.backends {
+    for backend in &testbed.backends {
         post(backend.addr, "/forget", &json!({}))?;
     }
-    Ok(Load { addr: world.entry()?, shape, pace: Pace::Rate(RATE), duration, seed })
+    Ok(Load { addr: testbed.entry()?, shape, pace: Pace::Rate(RATE), duration, seed })
 }
 
 /// Threads that keep every core partly busy.
-struct Burning {
+struct CpuLoad {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Burning {
+impl CpuLoad {
     fn stop(self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -168,7 +168,7 @@
     }
 }
 
-fn burn(percent: u64) -> Burning {
+fn start_cpu_load(percent: u64) -> CpuLoad {
     const SLICE: Duration = Duration::from_millis(10);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let stop = Arc::new(AtomicBool::new(percent == 0));
@@ -177,8 +177,8 @@
         let stop = stop.clone();
         std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                let begun = Instant::now();
-                while begun.elapsed() < busy {
+                let started = Instant::now();
+                while started.elapsed() < busy {
                     std::hint::spin_loop();
                 }
                 sleep(SLICE.saturating_sub(busy));
@@ -186,5 +186,5 @@
         })
     });
     let threads = threads.collect();
-    Burning { stop, threads }
+    CpuLoad { stop, threads }
 }
--- a/lab/src/harvest.rs
+++ b/lab/src/harvest.rs
@@ -10,24 +10,24 @@
 use crate::report::{print_table, write_json};
 use crate::trial::{EngineKind, customers, load, start};
 
-const SMALL: usize = 8;
+const SMALL_CUSTOMERS: usize = 8;
 const ENGINES: usize = 2;
-const KIND: EngineKind = EngineKind { slots: 8, token_ms: 4, prefill_ms: 2 };
+const ENGINE_KIND: EngineKind = EngineKind { slots: 8, token_ms: 4, prefill_ms: 2 };
 const TOKENS: u64 = 16;
 
 /// Concurrent callers of the probe that measures the capacity of the engines before the other
 /// loads.
 const PROBE_CALLERS: usize = 64;
-const PROBE: Duration = Duration::from_secs(4);
+const PROBE_DURATION: Duration = Duration::from_secs(4);
 
 /// Load of each small customer, as a fraction of the capacity.
-const QUIET_PART: f64 = 0.04;
+const SMALL_LOAD_FRACTION: f64 = 0.04;
 
 /// Load of the two large customers together during the burst, as a multiple of the capacity.
-const BURST_PART: f64 = 5.0;
+const BURST_LOAD_MULTIPLE: f64 = 5.0;
 
 #[derive(Debug, Serialize)]
-struct Part {
+struct GroupResult {
     name: &'static str,
     requests: usize,
     whole: usize,
@@ -41,7 +41,7 @@
     let mut rows = Vec::new();
     for seed in 1..=seeds {
         let (capacity, parts) = measure(Duration::from_secs_f64(seconds), seed)?;
-        let quiet = parts[0].took.p95;
+        let quiet_p95 = parts[0].took.p95;
         for part in &parts {
             rows.push(vec![
                 seed.to_string(),
@@ -51,7 +51,7 @@
                 part.refused.to_string(),
                 format!("{:.0} ms", part.took.p50),
                 format!("{:.0} ms", part.took.p95),
-                format!("{:.2}", part.took.p95 / quiet),
+                format!("{:.2}", part.took.p95 / quiet_p95),
             ]);
         }
         results.push(json!({"seed": seed, "capacity": capacity, "parts": parts}));
@@ -72,43 +72,45 @@
     Value::from(objects)
 }
 
-fn measure(window: Duration, seed: u64) -> eyre::Result<(f64, Vec<Part>)> {
-    let mut names: Vec<_> = (0..SMALL).map(|n| format!("small-{n}")).collect();
+fn measure(window: Duration, seed: u64) -> eyre::Result<(f64, Vec<GroupResult>)> {
+    let mut names: Vec<_> = (0..SMALL_CUSTOMERS).map(|n| format!("small-{n}")).collect();
     names.extend(["large-0".to_owned(), "large-1".to_owned(), "probe".to_owned()]);
     let settings = json!({"limits": {"requests": 5000, "connections": 9000}});
-    let world = start(1, ENGINES, KIND, "slip-1", &settings, &objects(&names))?;
-    let make = |who: &str, pace, span, n: u64| {
-        load(&world, who, "slip", TOKENS, pace, span, seed * 100 + n)
+    let testbed = start(1, ENGINES, ENGINE_KIND, "slip-1", &settings, &objects(&names))?;
+    let customer_load = |who: &str, pace, span, n: u64| {
+        load(&testbed, who, "slip", TOKENS, pace, span, seed * 100 + n)
     };
-    let probe = make("probe", Pace::Callers(PROBE_CALLERS), PROBE, 99)?;
+    let probe = customer_load("probe", Pace::Callers(PROBE_CALLERS), PROBE_DURATION, 99)?;
     let done = smol::block_on(run_load(&probe)).iter().filter(|s| s.is_complete).count();
-    let capacity = done as f64 / PROBE.as_secs_f64();
-    let quiet = |span: Duration| -> eyre::Result<Vec<Load>> {
-        let rate = Pace::Rate(capacity * QUIET_PART);
-        (0..SMALL).map(|n| make(&format!("small-{n}"), rate, span, n as u64)).collect()
+    let capacity = done as f64 / PROBE_DURATION.as_secs_f64();
+    let small_loads = |span: Duration| -> eyre::Result<Vec<Load>> {
+        let rate = Pace::Rate(capacity * SMALL_LOAD_FRACTION);
+        (0..SMALL_CUSTOMERS)
+            .map(|n| customer_load(&format!("small-{n}"), rate, span, n as u64))
+            .collect()
     };
-    let before = together(&quiet(window)?)?;
-    let mut loads = quiet(window)?;
+    let before = run_concurrently(&small_loads(window)?)?;
+    let mut loads = small_loads(window)?;
     for n in 0..2 {
-        let rate = Pace::Rate(capacity * BURST_PART / 2.0);
-        loads.push(make(&format!("large-{n}"), rate, window, 50 + n)?);
+        let rate = Pace::Rate(capacity * BURST_LOAD_MULTIPLE / 2.0);
+        loads.push(customer_load(&format!("large-{n}"), rate, window, 50 + n)?);
     }
-    let mut during = together(&loads)?;
-    let large = during.split_off(SMALL);
-    let after = together(&quiet(window / 2)?)?;
+    let mut during = run_concurrently(&loads)?;
+    let large = during.split_off(SMALL_CUSTOMERS);
+    let after = run_concurrently(&small_loads(window / 2)?)?;
     Ok((
         capacity,
         vec![
-            part("eight others, quiet", &before),
-            part("eight others, burst", &during),
-            part("two large, burst", &large),
-            part("eight others, after", &after),
+            group_result("eight others, quiet", &before),
+            group_result("eight others, burst", &during),
+            group_result("two large, burst", &large),
+            group_result("eight others, after", &after),
         ],
     ))
 }
 
 /// Runs all loads concurrently.
-fn together(loads: &[Load]) -> eyre::Result<Vec<Vec<Sample>>> {
+fn run_concurrently(loads: &[Load]) -> eyre::Result<Vec<Vec<Sample>>> {
     let threads: Vec<_> = loads
         .iter()
         .cloned()
@@ -120,9 +122,9 @@
     threads.into_iter().map(join).collect()
 }
 
-fn part(name: &'static str, samples: &[Vec<Sample>]) -> Part {
+fn group_result(name: &'static str, samples: &[Vec<Sample>]) -> GroupResult {
     let all = || samples.iter().flatten();
-    Part {
+    GroupResult {
         name,
         requests: all().count(),
         whole: all().filter(|s| s.is_complete).count(),
--- a/lab/src/latency.rs
+++ b/lab/src/latency.rs
@@ -10,7 +10,7 @@
 use crate::trial::{EngineKind, customers, load, start};
 
 const ENGINES: usize = 4;
-const KIND: EngineKind = EngineKind { slots: 4, token_ms: 3, prefill_ms: 60 };
+const ENGINE_KIND: EngineKind = EngineKind { slots: 4, token_ms: 3, prefill_ms: 60 };
 const TOKENS: u64 = 16;
 
 /// Number of distinct prompt prefixes. They exceed the cache of one engine but fit into the caches
@@ -20,7 +20,7 @@
 
 /// Loads as fractions of the capacity. The capacity is the throughput of round robin with as many
 /// callers as slots.
-const LOADS: [f64; 3] = [0.5, 0.8, 0.95];
+const LOAD_FRACTIONS: [f64; 3] = [0.5, 0.8, 0.95];
 
 const POLICIES: [&str; 3] = ["round_robin", "least_reported", "expected"];
 
@@ -31,14 +31,14 @@
     let mut rows = Vec::new();
     for seed in 1..=seeds {
         let capacity = capacity(seed)?;
-        for part in LOADS {
+        for fraction in LOAD_FRACTIONS {
             let mut p95 = Vec::new();
             for policy in POLICIES {
-                let summary = measure(policy, capacity * part, window, seed)?;
+                let summary = measure(policy, capacity * fraction, window, seed)?;
                 p95.push(summary.first.p95);
                 rows.push(vec![
                     seed.to_string(),
-                    format!("{:.0}%", part * 100.0),
+                    format!("{:.0}%", fraction * 100.0),
                     policy.to_owned(),
                     summary.whole.to_string(),
                     (summary.requests - summary.whole).to_string(),
@@ -49,7 +49,7 @@
                     format!("{:.2}", summary.first.p95 / p95[0]),
                 ]);
                 results.push(
-                    json!({"seed": seed, "load": part, "policy": policy, "summary": summary}),
+                    json!({"seed": seed, "load": fraction, "policy": policy, "summary": summary}),
                 );
             }
         }
@@ -81,7 +81,7 @@
     Value::from(objects)
 }
 
-fn shaped(mut load: Load) -> Load {
+fn with_streamed_prompts(mut load: Load) -> Load {
     load.shape.prefixes = PREFIXES;
     load.shape.prompt_chars = PROMPT_CHARS;
     load.shape.stream = true;
@@ -89,21 +89,45 @@
 }
 
 fn capacity(seed: u64) -> eyre::Result<f64> {
-    const PROBE: Duration = Duration::from_secs(5);
+    const PROBE_DURATION: Duration = Duration::from_secs(5);
     let settings = json!({"balance": {"policy": "round_robin"}});
-    let world = start(1, ENGINES, KIND, "slip-1", &settings, &objects())?;
-    let callers = Pace::Callers(ENGINES * KIND.slots);
-    let load = shaped(load(&world, "ani", "slip", TOKENS, callers, PROBE, seed)?);
+    let testbed = start(1, ENGINES, ENGINE_KIND, "slip-1", &settings, &objects())?;
+    let callers = Pace::Callers(ENGINES * ENGINE_KIND.slots);
+    let load = with_streamed_prompts(load(
+        &testbed,
+        "ani",
+        "slip",
+        TOKENS,
+        callers,
+        PROBE_DURATION,
+        seed,
+    )?);
     let done = smol::block_on(run_load(&load)).iter().filter(|s| s.is_complete).count();
-    Ok(done as f64 / PROBE.as_secs_f64())
+    Ok(done as f64 / PROBE_DURATION.as_secs_f64())
 }
 
 fn measure(policy: &str, rate: f64, window: Duration, seed: u64) -> eyre::Result<Summary> {
     let settings = json!({"balance": {"policy": policy}});
-    let world = start(1, ENGINES, KIND, "slip-1", &settings, &objects())?;
+    let testbed = start(1, ENGINES, ENGINE_KIND, "slip-1", &settings, &objects())?;
     let warm_up = Duration::from_secs(2);
-    let warm = shaped(load(&world, "ani", "slip", TOKENS, Pace::Rate(rate), warm_up, seed + 100)?);
+    let warm = with_streamed_prompts(load(
+        &testbed,
+        "ani",
+        "slip",
+        TOKENS,
+        Pace::Rate(rate),
+        warm_up,
+        seed + 100,
+    )?);
     smol::block_on(run_load(&warm));
-    let load = shaped(load(&world, "ani", "slip", TOKENS, Pace::Rate(rate), window, seed)?);
+    let load = with_streamed_prompts(load(
+        &testbed,
+        "ani",
+        "slip",
+        TOKENS,
+        Pace::Rate(rate),
+        window,
+        seed,
+    )?);
     Ok(Summary::of(&smol::block_on(run_load(&load))))
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -13,7 +13,7 @@
 mod report;
 mod scale;
 mod scale_report;
+mod testbed;
 mod trial;
-mod world;
 
 pub use args::{LabArgs, run};
--- a/lab/src/objects.rs
+++ b/lab/src/objects.rs
@@ -20,9 +20,9 @@
     ])
 }
 
-/// Returns the objects of [`one_model`] followed by `more`.
-pub(crate) fn one_model_and(more: &[Value]) -> Value {
+/// Returns the objects of [`one_model`] followed by `extra`.
+pub(crate) fn one_model_with(extra: &[Value]) -> Value {
     let mut objects = one_model().as_array().cloned().unwrap_or_default();
-    objects.extend_from_slice(more);
+    objects.extend_from_slice(extra);
     Value::from(objects)
 }
--- a/lab/src/outage.rs
+++ b/lab/src/outage.rs
@@ -7,14 +7,14 @@
 use serde_json::{Value, json};
 
 use crate::report::write_json;
+use crate::testbed::{get, post, wait};
 use crate::trial::{EngineKind, customers, load, start};
-use crate::world::{get, post, wait};
 
 /// Requests per second.
 const RATE: f64 = 50.0;
 /// Length of the load before the outage, and again after it.
-const BEFORE: Duration = Duration::from_secs(5);
-const FAST: EngineKind = EngineKind { slots: 64, token_ms: 0, prefill_ms: 0 };
+const LEAD_TIME: Duration = Duration::from_secs(5);
+const FAST_ENGINE: EngineKind = EngineKind { slots: 64, token_ms: 0, prefill_ms: 0 };
 
 /// Runs the experiment, prints the result and writes it as JSON. Returns whether every request
 /// completed and was billed exactly once.
@@ -25,26 +25,26 @@
         json!({"kind": "version", "name": "slip-1", "spec": {"model": "slip", "cost_per_ktok": 1, "quality": 900}}),
         json!({"kind": "grant", "name": "all", "spec": {"callers": "org=all", "versions": "model=slip"}}),
     ]);
-    let world = start(2, 3, FAST, "slip-1", &json!({}), &Value::from(objects))?;
-    let length = Duration::from_secs_f64(seconds);
-    let total = BEFORE + length + BEFORE;
-    let load = load(&world, "ani", "slip", 4, Pace::Rate(RATE), total, 1)?;
-    let driving = std::thread::spawn(move || smol::block_on(run_load(&load)));
-    std::thread::sleep(BEFORE);
-    let counts = || get(world.log.addr, "/counts");
+    let testbed = start(2, 3, FAST_ENGINE, "slip-1", &json!({}), &Value::from(objects))?;
+    let outage_length = Duration::from_secs_f64(seconds);
+    let total = LEAD_TIME + outage_length + LEAD_TIME;
+    let load = load(&testbed, "ani", "slip", 4, Pace::Rate(RATE), total, 1)?;
+    let load_thread = std::thread::spawn(move || smol::block_on(run_load(&load)));
+    std::thread::sleep(LEAD_TIME);
+    let counts = || get(testbed.log.addr, "/counts");
     let before = counts()?;
-    post(world.log.addr, "/control", &json!({"outage": true}))?;
-    std::thread::sleep(length);
-    let status: Vec<Value> = serde_json::from_slice(&world.ctl(&["status", "--json"])?.stdout)?;
+    post(testbed.log.addr, "/control", &json!({"outage": true}))?;
+    std::thread::sleep(outage_length);
+    let status: Vec<Value> = serde_json::from_slice(&testbed.ctl(&["status", "--json"])?.stdout)?;
     let unconfirmed: Vec<_> = status
         .iter()
         .map(|d| json!({"host": d["host"], "unconfirmed": d["unconfirmed_bills"]}))
         .collect();
-    post(world.log.addr, "/control", &json!({"outage": false}))?;
-    let samples = driving.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
+    post(testbed.log.addr, "/control", &json!({"outage": false}))?;
+    let samples = load_thread.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
     let whole = samples.iter().filter(|s| s.is_complete).count();
     let billed = || -> eyre::Result<u64> {
-        let output = world.ctl(&["bills", "--json"])?;
+        let output = testbed.ctl(&["bills", "--json"])?;
         let sums: Value = serde_json::from_slice(&output.stdout)?;
         Ok(sums["bills"][0]["requests"].as_u64().unwrap_or(0))
     };
--- a/lab/src/overhead.rs
+++ b/lab/src/overhead.rs
@@ -9,9 +9,9 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use crate::objects::one_model_and;
+use crate::objects::one_model_with;
 use crate::report::{print_table, write_json};
-use crate::world::World;
+use crate::testbed::Testbed;
 
 #[derive(Debug, Serialize)]
 struct Row {
@@ -40,11 +40,11 @@
 
 /// Tokens per stream while memory is measured. An engine with 1,000 streams takes about 0.1 s per
 /// token, so the streams outlive the measurement.
-const LONG_STREAM: u64 = 100;
+const TOKENS_PER_STREAM: u64 = 100;
 
 /// Runs the experiment, prints tables and writes the results as JSON.
 pub(crate) fn overhead(seconds: f64, out: &Path) -> eyre::Result<bool> {
-    let mut world = World::start(&["entry-1".to_owned(), "gpu-1".to_owned()])?;
+    let mut testbed = Testbed::start(&["entry-1".to_owned(), "gpu-1".to_owned()])?;
     let args = [
         "engine",
         "--versions",
@@ -56,27 +56,27 @@
         "--prefill-ms",
         "0",
     ];
-    let engine = world.backend("gpu-1", &args)?;
+    let engine = testbed.backend("gpu-1", &args)?;
     let slow =
-        world.backend("gpu-1-slow", &["engine", "--versions", "slow-1", "--slots", "2000"])?;
+        testbed.backend("gpu-1-slow", &["engine", "--versions", "slow-1", "--slots", "2000"])?;
     let backend = json!([
         {"name": "engine-0", "address": engine, "kind": "engine", "slots": 2000},
         {"name": "engine-1", "address": slow, "kind": "engine", "slots": 2000},
     ]);
-    let quiet = json!({"max_waiting": 4000, "max_per_customer": 4000});
-    world.daemon("side", "gpu-1", "hall-a", &json!({"backends": backend, "queue": quiet}))?;
+    let queue = json!({"max_waiting": 4000, "max_per_customer": 4000});
+    testbed.daemon("side", "gpu-1", "hall-a", &json!({"backends": backend, "queue": queue}))?;
     let limits = json!({"limits": {"requests": 4000}});
-    world.daemon("entry", "entry-1", "hall-a", &limits)?;
-    world.list_hosts()?;
-    world.publish_json(&objects())?;
-    world.wait_ready(1)?;
+    testbed.daemon("entry", "entry-1", "hall-a", &limits)?;
+    testbed.list_hosts()?;
+    testbed.publish_json(&objects())?;
+    testbed.wait_ready(1)?;
     let mut rows = Vec::new();
     for stream in [false, true] {
         for callers in [1, 64] {
-            rows.push(compare(&world, engine, callers, stream, seconds)?);
+            rows.push(compare(&testbed, engine, callers, stream, seconds)?);
         }
     }
-    let memory = memory(&world, slow)?;
+    let memory = memory(&testbed, slow)?;
     print_rows(&rows, &memory);
     write_json(out, "overhead", &json!({"rows": rows, "memory": memory}))?;
     Ok(true)
@@ -84,14 +84,14 @@
 
 fn objects() -> Value {
     let version = json!({"model": "slow", "cost_per_ktok": 1, "quality": 900});
-    one_model_and(&[
+    one_model_with(&[
         json!({"kind": "model", "name": "slow", "spec": {"current": "slow-1"}}),
         json!({"kind": "version", "name": "slow-1", "spec": version}),
     ])
 }
 
 fn load(
-    world: &World,
+    testbed: &Testbed,
     routed: bool,
     engine: SocketAddr,
     callers: usize,
@@ -108,7 +108,7 @@
         headers: Vec::new(),
     };
     Ok(Load {
-        addr: if routed { world.entry()? } else { engine },
+        addr: if routed { testbed.entry()? } else { engine },
         shape,
         pace: Pace::Callers(callers),
         duration: Duration::from_secs_f64(seconds),
@@ -116,15 +116,15 @@
     })
 }
 
-fn usage(world: &World, role: &str) -> eyre::Result<ProcUsage> {
-    let daemon = world.daemons.iter().find(|d| d.role == role);
+fn usage(testbed: &Testbed, role: &str) -> eyre::Result<ProcUsage> {
+    let daemon = testbed.daemons.iter().find(|d| d.role == role);
     proc_usage(daemon.map_or(0, |d| d.process.id()))
 }
 
 /// Sends the same load directly and through the router. The two alternate, so that other load on
 /// the machine affects both alike.
 fn compare(
-    world: &World,
+    testbed: &Testbed,
     engine: SocketAddr,
     callers: usize,
     stream: bool,
@@ -135,11 +135,13 @@
     let mut cpu = [Duration::ZERO; 2];
     for _ in 0..TURNS {
         let part = seconds / TURNS as f64;
-        direct
-            .extend(smol::block_on(run_load(&load(world, false, engine, callers, stream, part)?)));
-        let before = [usage(world, "entry")?.cpu, usage(world, "side")?.cpu];
-        routed.extend(smol::block_on(run_load(&load(world, true, engine, callers, stream, part)?)));
-        let after = [usage(world, "entry")?.cpu, usage(world, "side")?.cpu];
+        direct.extend(smol::block_on(run_load(&load(
+            testbed, false, engine, callers, stream, part,
+        )?)));
+        let before = [usage(testbed, "entry")?.cpu, usage(testbed, "side")?.cpu];
+        routed
+            .extend(smol::block_on(run_load(&load(testbed, true, engine, callers, stream, part)?)));
+        let after = [usage(testbed, "entry")?.cpu, usage(testbed, "side")?.cpu];
         for i in 0..2 {
             cpu[i] += after[i] - before[i];
         }
@@ -167,18 +169,18 @@
     })
 }
 
-fn memory(world: &World, engine: SocketAddr) -> eyre::Result<Memory> {
-    let idle = [usage(world, "entry")?.resident, usage(world, "side")?.resident];
-    let mut load = load(world, true, engine, STREAMS, true, 0.1)?;
-    load.shape.tokens = LONG_STREAM;
+fn memory(testbed: &Testbed, engine: SocketAddr) -> eyre::Result<Memory> {
+    let idle = [usage(testbed, "entry")?.resident, usage(testbed, "side")?.resident];
+    let mut load = load(testbed, true, engine, STREAMS, true, 0.1)?;
+    load.shape.tokens = TOKENS_PER_STREAM;
     load.shape.model = "slow".to_owned();
-    let driving = std::thread::spawn(move || smol::block_on(run_load(&load)).len());
-    let status = || crate::world::get(engine, "/v1/load");
-    crate::world::wait(|| {
+    let load_thread = std::thread::spawn(move || smol::block_on(run_load(&load)).len());
+    let status = || crate::testbed::get(engine, "/v1/load");
+    crate::testbed::wait(|| {
         status().is_ok_and(|l| l["running"].as_u64() >= Some(STREAMS as u64 * 9 / 10))
     })?;
-    let busy = [usage(world, "entry")?.resident, usage(world, "side")?.resident];
-    driving.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
+    let busy = [usage(testbed, "entry")?.resident, usage(testbed, "side")?.resident];
+    load_thread.join().map_err(|_| eyre::eyre!("the load thread panicked"))?;
     Ok(Memory {
         entry_idle: idle[0],
         side_idle: idle[1],
@@ -202,10 +204,10 @@
         "per core",
         "tokens/s/core",
     ];
-    let of = |what: &str,
-              row: &Row,
-              direct: &redwingfold::load::Quantiles,
-              routed: &redwingfold::load::Quantiles| {
+    let table_row = |what: &str,
+                     row: &Row,
+                     direct: &redwingfold::load::Quantiles,
+                     routed: &redwingfold::load::Quantiles| {
         vec![
             format!("{}, {what}", row.what),
             format!("{:.2} ms", direct.p50),
@@ -222,8 +224,8 @@
     };
     let mut cells = Vec::new();
     for row in rows {
-        cells.push(of("first byte", row, &row.direct.first, &row.routed.first));
-        cells.push(of("whole", row, &row.direct.took, &row.routed.took));
+        cells.push(table_row("first byte", row, &row.direct.first, &row.routed.first));
+        cells.push(table_row("whole", row, &row.direct.took, &row.routed.took));
     }
     print_table(&head, &cells);
     let mib = |bytes: u64| format!("{:.1} MiB", bytes as f64 / 1_048_576.0);
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -17,8 +17,8 @@
 pub(crate) fn plot(
     path: &Path,
     title: &str,
-    x_name: &str,
-    y_name: &str,
+    x_label: &str,
+    y_label: &str,
     lines: &[Line],
 ) -> eyre::Result<()> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
@@ -32,7 +32,7 @@
         .x_label_area_size(36)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..x_max, 0.0..y_max)?;
-    chart.configure_mesh().x_desc(x_name).y_desc(y_name).draw()?;
+    chart.configure_mesh().x_desc(x_label).y_desc(y_label).draw()?;
     for (i, line) in lines.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
         let drawn =
@@ -62,11 +62,11 @@
 pub(crate) fn fit(points: &[(f64, f64)]) -> Fit {
     let n = points.len().max(1) as f64;
     let mean = |f: fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
-    let (mx, my) = (mean(|p| p.0), mean(|p| p.1));
-    let spread: f64 = points.iter().map(|p| (p.0 - mx).powi(2)).sum();
-    let common: f64 = points.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum();
-    let slope = if spread > 0.0 { common / spread } else { 0.0 };
-    let intercept = my - slope * mx;
-    let missed = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2));
-    Fit { intercept, slope, error: (missed.sum::<f64>() / n).sqrt() }
+    let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
+    let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
+    let intercept = mean_y - slope * mean_x;
+    let squared_residuals = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2));
+    Fit { intercept, slope, error: (squared_residuals.sum::<f64>() / n).sqrt() }
 }
--- a/lab/src/quickstart.rs
+++ b/lab/src/quickstart.rs
@@ -5,7 +5,7 @@
 use redwingfold_standins::fleet::{Answered, Ask, Caller};
 use serde_json::json;
 
-use crate::world::World;
+use crate::testbed::Testbed;
 
 const SIDES: usize = 5;
 
@@ -13,63 +13,74 @@
 /// stop signal, or stops at once if `once` is set or a request fails.
 pub(crate) fn quickstart(once: bool, examples: &Path) -> eyre::Result<bool> {
     let hosts = ["entry-1", "entry-2", "gpu-1", "gpu-2", "gpu-3", "svc-1", "svc-2"];
-    let mut world = World::start(&hosts.map(str::to_owned))?;
+    let mut testbed = Testbed::start(&hosts.map(str::to_owned))?;
     let slips = ["engine", "--versions", "slip-small-3,slip-large-7"];
     let drafts = ["engine", "--versions", "wortwerk-12,wortwerk-13"];
-    engine_side(&mut world, "gpu-1", "tarlac-hall", &slips)?;
-    engine_side(&mut world, "gpu-2", "nueva-hall", &slips)?;
-    engine_side(&mut world, "gpu-3", "halle-nord", &drafts)?;
-    service_side(&mut world, "svc-1", "pampanga-hall", "coop-api")?;
-    service_side(&mut world, "svc-2", "halle-ost", "tauschportal")?;
-    let more = json!({
-        "rating": {"address": world.rating.addr},
+    start_engine_side(&mut testbed, "gpu-1", "tarlac-hall", &slips)?;
+    start_engine_side(&mut testbed, "gpu-2", "nueva-hall", &slips)?;
+    start_engine_side(&mut testbed, "gpu-3", "halle-nord", &drafts)?;
+    start_service_side(&mut testbed, "svc-1", "pampanga-hall", "coop-api")?;
+    start_service_side(&mut testbed, "svc-2", "halle-ost", "tauschportal")?;
+    let overrides = json!({
+        "rating": {"address": testbed.rating.addr},
         "limits": {"drain_accept_ms": 100},
     });
-    world.daemon("entry", "entry-1", "tarlac-hall", &more)?;
-    world.daemon("entry", "entry-2", "halle-sued", &more)?;
-    world.list_hosts()?;
-    world.publish(&examples.join("ani-ledger"))?;
-    world.publish(&examples.join("hauszeit"))?;
-    world.wait_ready(SIDES)?;
+    testbed.daemon("entry", "entry-1", "tarlac-hall", &overrides)?;
+    testbed.daemon("entry", "entry-2", "halle-sued", &overrides)?;
+    testbed.list_hosts()?;
+    testbed.publish(&examples.join("ani-ledger"))?;
+    testbed.publish(&examples.join("hauszeit"))?;
+    testbed.wait_ready(SIDES)?;
 
-    let caller = Caller { addr: world.entry()? };
-    let whole = caller.send_blocking(&example_ask("demo-coop-tarlac", "slips", "2 sacks of urea"));
-    show("whole", &whole, &world)?;
+    let caller = Caller { addr: testbed.entry()? };
+    let whole =
+        caller.send_blocking(&example_request("demo-coop-tarlac", "slips", "2 sacks of urea"));
+    show("whole", &whole, &testbed)?;
     let draft =
-        example_ask("demo-mitglieder", "wortwerk", "Draft an exchange agreement").stream(12);
+        example_request("demo-mitglieder", "wortwerk", "Draft an exchange agreement").stream(12);
     let streamed = caller.send_blocking(&draft.session("draft-1"));
-    show("streamed", &streamed, &world)?;
-    let is_good = whole.status == 200 && whole.whole && streamed.is_whole_stream();
-    if once || !is_good {
-        return stop(world, is_good);
+    show("streamed", &streamed, &testbed)?;
+    let succeeded = whole.status == 200 && whole.whole && streamed.is_whole_stream();
+    if once || !succeeded {
+        return stop(testbed, succeeded);
     }
-    print_curl(&world)?;
+    print_curl(&testbed)?;
     smol::block_on(async {
         redwingfold::stop_on_signal()?.recv().await.map_err(eyre::Report::from)
     })?;
-    stop(world, true)
+    stop(testbed, true)
 }
 
-fn engine_side(world: &mut World, host: &str, domain: &str, args: &[&str]) -> eyre::Result<()> {
-    let address = world.backend(host, args)?;
+fn start_engine_side(
+    testbed: &mut Testbed,
+    host: &str,
+    domain: &str,
+    args: &[&str],
+) -> eyre::Result<()> {
+    let address = testbed.backend(host, args)?;
     let backend = json!([{"name": "engine-0", "address": address, "kind": "engine"}]);
-    world.daemon("side", host, domain, &json!({"backends": backend}))
+    testbed.daemon("side", host, domain, &json!({"backends": backend}))
 }
 
-fn service_side(world: &mut World, host: &str, domain: &str, name: &str) -> eyre::Result<()> {
-    let address = world.backend(host, &["service"])?;
+fn start_service_side(
+    testbed: &mut Testbed,
+    host: &str,
+    domain: &str,
+    name: &str,
+) -> eyre::Result<()> {
+    let address = testbed.backend(host, &["service"])?;
     let backend =
         json!([{"name": "service-0", "address": address, "kind": "service", "service": name}]);
-    world.daemon("side", host, domain, &json!({"backends": backend}))
+    testbed.daemon("side", host, domain, &json!({"backends": backend}))
 }
 
-fn example_ask(key: &str, model: &str, prompt: &str) -> Ask {
+fn example_request(key: &str, model: &str, prompt: &str) -> Ask {
     let mut ask = Ask::chat("", model, prompt);
     ask.headers = vec![("authorization".to_owned(), format!("Bearer {key}"))];
     ask
 }
 
-fn show(what: &str, answered: &Answered, world: &World) -> eyre::Result<()> {
+fn show(what: &str, answered: &Answered, testbed: &Testbed) -> eyre::Result<()> {
     let header = |name: &str| answered.header(name).unwrap_or("-").to_owned();
     println!(
         "--- {what} answer: status {}, version {}",
@@ -78,7 +89,7 @@
     );
     println!("{}", answered.text().trim_end());
     println!("--- what was decided");
-    let output = world.ctl(&["explain", &header("x-decision-id")])?;
+    let output = testbed.ctl(&["explain", &header("x-decision-id")])?;
     print!(
         "{}{}",
         String::from_utf8_lossy(&output.stdout),
@@ -87,8 +98,8 @@
     Ok(())
 }
 
-fn print_curl(world: &World) -> eyre::Result<()> {
-    let entry = world.entry()?;
+fn print_curl(testbed: &Testbed) -> eyre::Result<()> {
+    let entry = testbed.entry()?;
     let chat = format!("http://{entry}/v1/chat/completions");
     println!("--- up until Ctrl-C; try");
     println!(
@@ -100,15 +111,15 @@
     println!(
         "curl -s http://{entry}/tausch/confirm -H 'Authorization: Bearer demo-mitglieder' -H 'Idempotency-Key: swap-1' -d 'chalet'"
     );
-    println!("redwingfold-ctl --settings {} status", world.ctl_settings().display());
+    println!("redwingfold-ctl --settings {} status", testbed.ctl_settings().display());
     Ok(())
 }
 
 /// Sends SIGTERM to every daemon, entries first, and checks that each exits successfully.
-fn stop(world: World, is_good: bool) -> eyre::Result<bool> {
+fn stop(testbed: Testbed, succeeded: bool) -> eyre::Result<bool> {
     let mut all_stopped = true;
     for role in ["entry", "side"] {
-        let of_role = || world.daemons.iter().filter(|d| d.role == role);
+        let of_role = || testbed.daemons.iter().filter(|d| d.role == role);
         of_role().for_each(|d| d.process.term());
         for daemon in of_role() {
             let status = daemon.process.wait(std::time::Duration::from_secs(20));
@@ -117,5 +128,5 @@
             all_stopped &= stopped;
         }
     }
-    Ok(is_good && all_stopped)
+    Ok(succeeded && all_stopped)
 }
--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use crate::objects::one_model_and;
+use crate::objects::one_model_with;
 use crate::report::write_json;
 use crate::scale_report::{draw, fits, print};
-use crate::world::{DaemonPart, World, get, post, wait};
+use crate::testbed::{DaemonProcess, Testbed, get, post, wait};
 
 /// Daemons per entry.
 const DAEMONS_PER_ENTRY: usize = 13;
@@ -28,7 +28,7 @@
 const ENGINES: usize = 4;
 
 /// Configuration changes per second: the average rate that users require, and twenty times that.
-const RATES: [f64; 2] = [0.25, 5.0];
+const CHANGE_RATES: [f64; 2] = [0.25, 5.0];
 
 /// Resource usage of the daemons of one role: mean, and maximum of one daemon.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -76,9 +76,9 @@
 pub(crate) fn scale(sizes: &[usize], seconds: f64, out: &Path) -> eyre::Result<bool> {
     let mut results = Vec::new();
     for size in sizes {
-        let begun = Instant::now();
+        let started = Instant::now();
         let result = measure(*size, Duration::from_secs_f64(seconds))?;
-        println!("{size} daemons: {:.0} s", begun.elapsed().as_secs_f64());
+        println!("{size} daemons: {:.0} s", started.elapsed().as_secs_f64());
         results.push(result);
     }
     print(&results);
@@ -94,16 +94,16 @@
     Ok(results.iter().all(|r| r.propagation.iter().all(|p| p.missing == 0)))
 }
 
-fn start(size: usize) -> eyre::Result<World> {
+fn start(size: usize) -> eyre::Result<Testbed> {
     let entries = (size / DAEMONS_PER_ENTRY).max(2);
     let mut names: Vec<_> = (0..entries).map(|n| format!("entry-{n}")).collect();
     names.extend((0..size - entries).map(|n| format!("gpu-{n}")));
-    let mut world = World::start(&names)?;
+    let mut testbed = Testbed::start(&names)?;
     let mut engines = Vec::new();
     for n in 0..ENGINES {
         let versions = "slip-1,slip-2";
         let args = ["engine", "--versions", versions, "--slots", "64"];
-        engines.push(world.backend(&format!("engine-{n}"), &args)?);
+        engines.push(testbed.backend(&format!("engine-{n}"), &args)?);
     }
     for n in 0..size - entries {
         let backend = json!([
@@ -113,48 +113,48 @@
         // Reading the load of an engine is not control traffic. The sides share the engines, so each
         // reads its load rarely.
         let queue = json!({"load_every_ms": 5_000});
-        let more = json!({"backends": backend, "queue": queue});
-        world.daemon("side", &format!("gpu-{n}"), &domain, &more)?;
+        let overrides = json!({"backends": backend, "queue": queue});
+        testbed.daemon("side", &format!("gpu-{n}"), &domain, &overrides)?;
     }
     for n in 0..entries {
         let domain = format!("domain-{}", n % DOMAINS);
-        world.daemon("entry", &format!("entry-{n}"), &domain, &json!({}))?;
+        testbed.daemon("entry", &format!("entry-{n}"), &domain, &json!({}))?;
     }
-    world.list_hosts_in_pools(POOLS)?;
-    world.publish_json(&objects(100))?;
-    world.wait_ready(1)?;
-    Ok(world)
+    testbed.list_hosts_in_pools(POOLS)?;
+    testbed.publish_json(&objects(100))?;
+    testbed.wait_ready(1)?;
+    Ok(testbed)
 }
 
 fn objects(share: u64) -> Value {
     let version = json!({"model": "slip", "cost_per_ktok": 1, "quality": 900});
     let rollout = json!({"model": "slip", "to": "slip-2", "share": share});
-    one_model_and(&[
+    one_model_with(&[
         json!({"kind": "version", "name": "slip-2", "spec": version}),
         json!({"kind": "rollout", "name": "up", "spec": rollout}),
     ])
 }
 
 fn measure(size: usize, window: Duration) -> eyre::Result<SizeResult> {
-    let mut world = start(size)?;
-    let entries = world.daemons.iter().filter(|d| d.role == "entry").count();
+    let mut testbed = start(size)?;
+    let entries = testbed.daemons.iter().filter(|d| d.role == "entry").count();
     // Lets connections, host lists and the first publication settle before the measurement.
     sleep(Duration::from_secs(5));
-    let log_before = get(world.log.addr, "/counts")?;
-    let idle = costs(&world, window, || Ok(()))?;
-    let log_after = get(world.log.addr, "/counts")?;
+    let log_before = get(testbed.log.addr, "/counts")?;
+    let idle = measure_costs(&testbed, window, || Ok(()))?;
+    let log_after = get(testbed.log.addr, "/counts")?;
     let per_second = |name: &str| {
         let count = |v: &Value| v[name].as_u64().unwrap_or(0) as f64;
         (count(&log_after) - count(&log_before)) / window.as_secs_f64()
     };
     let mut propagation = Vec::new();
-    for rate in RATES {
-        propagation.push(propagate(&world, rate, window)?);
+    for rate in CHANGE_RATES {
+        propagation.push(measure_propagation(&testbed, rate, window)?);
     }
-    let killed_ms = detect(&world, "gpu-0", |d| d.process.kill())?;
-    let frozen_ms = detect(&world, "gpu-1", |d| d.process.freeze())?;
-    let leaving_ms = detect(&world, "gpu-2", |d| d.process.term())?;
-    let (restart_ms, restarted, restart_log_reads) = restart(&mut world, size)?;
+    let killed_ms = measure_detection(&testbed, "gpu-0", |d| d.process.kill())?;
+    let frozen_ms = measure_detection(&testbed, "gpu-1", |d| d.process.freeze())?;
+    let leaving_ms = measure_detection(&testbed, "gpu-2", |d| d.process.term())?;
+    let (restart_ms, restarted, restart_log_reads) = restart_sides(&mut testbed, size)?;
     Ok(SizeResult {
         daemons: size,
         entries,
@@ -173,8 +173,8 @@
 }
 
 /// Returns processor time, resident bytes and transferred peer bytes of each daemon, by host.
-fn accounts(world: &World) -> eyre::Result<BTreeMap<String, (Duration, u64, f64)>> {
-    let output = world.ctl(&["status", "--json"])?;
+fn resource_usage(testbed: &Testbed) -> eyre::Result<BTreeMap<String, (Duration, u64, f64)>> {
+    let output = testbed.ctl(&["status", "--json"])?;
     let status: Vec<Value> = serde_json::from_slice(&output.stdout)?;
     let bytes: BTreeMap<_, _> = status
         .iter()
@@ -185,7 +185,7 @@
         })
         .collect();
     let mut all = BTreeMap::new();
-    for daemon in &world.daemons {
+    for daemon in &testbed.daemons {
         let usage = proc_usage(daemon.process.id())?;
         let bytes = bytes.get(&daemon.host).copied().unwrap_or(0.0);
         all.insert(daemon.host.clone(), (usage.cpu, usage.resident, bytes));
@@ -195,19 +195,19 @@
 
 /// Runs `work`, waits for the rest of the window and returns the resource usage of entries and
 /// sides in that time.
-fn costs(
-    world: &World,
+fn measure_costs(
+    testbed: &Testbed,
     window: Duration,
     work: impl FnOnce() -> eyre::Result<()>,
 ) -> eyre::Result<(Cost, Cost)> {
-    let before = accounts(world)?;
-    let begun = Instant::now();
+    let before = resource_usage(testbed)?;
+    let started = Instant::now();
     work()?;
-    sleep(window.saturating_sub(begun.elapsed()));
-    let seconds = begun.elapsed().as_secs_f64();
-    let after = accounts(world)?;
+    sleep(window.saturating_sub(started.elapsed()));
+    let seconds = started.elapsed().as_secs_f64();
+    let after = resource_usage(testbed)?;
     let of_role = |role: &str| {
-        let hosts = world.daemons.iter().filter(|d| d.role == role);
+        let hosts = testbed.daemons.iter().filter(|d| d.role == role);
         let rows: Vec<_> = hosts
             .filter_map(|d| {
                 let (then, now) = (before.get(&d.host)?, after.get(&d.host)?);
@@ -246,47 +246,51 @@
 const DAY_MS: f64 = 86_400_000.0;
 
 /// Returns the milliseconds from `from_ms` until a line was logged.
-fn after(from_ms: f64, line: &str) -> Option<f64> {
+fn millis_after(from_ms: f64, line: &str) -> Option<f64> {
     let since = (line_ms(line)? - from_ms.rem_euclid(DAY_MS)).rem_euclid(DAY_MS);
     // Log times are truncated to milliseconds, so a line can appear to precede its cause.
     Some(if since > DAY_MS / 2.0 { 0.0 } else { since })
 }
 
-fn millis(values: &[f64]) -> Quantiles {
+fn quantiles(values: &[f64]) -> Quantiles {
     Quantiles::of(values.iter().map(|ms| Duration::from_secs_f64(ms.max(0.0) / 1000.0)))
 }
 
 /// Appends changes at a rate and reads from the daemons' logs when each change came into force.
-fn propagate(world: &World, rate: f64, window: Duration) -> eyre::Result<Propagation> {
+fn measure_propagation(
+    testbed: &Testbed,
+    rate: f64,
+    window: Duration,
+) -> eyre::Result<Propagation> {
     let changes = ((rate * window.as_secs_f64()) as usize).max(4);
     let mut appended = Vec::new();
-    let mut revision = rollout_revision(world)?;
+    let mut revision = rollout_revision(testbed)?;
     let work = || {
         for n in 0..changes {
-            let record = change(n as u64, revision);
-            let at = now_ms();
-            let answer = post(world.log.addr, "/streams/config/append", &record)?;
+            let record = change_record(n as u64, revision);
+            let appended_at_ms = now_ms();
+            let answer = post(testbed.log.addr, "/streams/config/append", &record)?;
             revision = answer["offset"].as_u64().unwrap_or(0);
-            appended.push((revision, at));
+            appended.push((revision, appended_at_ms));
             sleep(Duration::from_secs_f64(1.0 / rate));
         }
         Ok(())
     };
-    let (entry, side) = costs(world, window, work)?;
+    let (entry, side) = measure_costs(testbed, window, work)?;
     sleep(Duration::from_secs(4));
     let (mut times, mut missing) = (Vec::new(), 0);
-    for daemon in &world.daemons {
+    for daemon in &testbed.daemons {
         let lines = daemon.process.lines();
-        for (offset, at) in &appended {
+        for (offset, appended_at_ms) in &appended {
             // A daemon that applies several records at once logs only the last of them.
             let has = |line: &&String| offset_of(line).is_some_and(|o| o >= *offset);
-            match lines.iter().find(has).and_then(|line| after(*at, line)) {
+            match lines.iter().find(has).and_then(|line| millis_after(*appended_at_ms, line)) {
                 Some(ms) => times.push(ms),
                 None => missing += 1,
             }
         }
     }
-    Ok(Propagation { rate, changes, in_force_ms: millis(&times), missing, entry, side })
+    Ok(Propagation { rate, changes, in_force_ms: quantiles(&times), missing, entry, side })
 }
 
 fn offset_of(line: &str) -> Option<u64> {
@@ -294,13 +298,13 @@
     rest.split(' ').next()?.parse().ok()
 }
 
-fn rollout_revision(world: &World) -> eyre::Result<u64> {
-    let output = world.ctl(&["show", "rollout/up"])?;
+fn rollout_revision(testbed: &Testbed) -> eyre::Result<u64> {
+    let output = testbed.ctl(&["show", "rollout/up"])?;
     let stored: Value = serde_json::from_slice(&output.stdout)?;
     Ok(stored["revision"].as_u64().unwrap_or(0))
 }
 
-fn change(n: u64, revision: u64) -> Value {
+fn change_record(n: u64, revision: u64) -> Value {
     let share = n % 1000;
     let id = format!("{:016x}{n:016x}", now_ms() as u64);
     json!({
@@ -311,35 +315,42 @@
 }
 
 /// Applies `act` to a side and returns how long the entries connected to it took to detect that.
-fn detect(world: &World, host: &str, act: impl FnOnce(&DaemonPart)) -> eyre::Result<Quantiles> {
-    let Some(side) = world.daemons.iter().find(|d| d.host == host) else {
+fn measure_detection(
+    testbed: &Testbed,
+    host: &str,
+    act: impl FnOnce(&DaemonProcess),
+) -> eyre::Result<Quantiles> {
+    let Some(side) = testbed.daemons.iter().find(|d| d.host == host) else {
         eyre::bail!("no host {host}");
     };
-    let entries: Vec<_> = world.daemons.iter().filter(|d| d.role == "entry").collect();
+    let entries: Vec<_> = testbed.daemons.iter().filter(|d| d.role == "entry").collect();
     let connected = format!("event=side_connected host={host} ");
-    let of: Vec<_> = entries.iter().filter(|e| e.process.count(&connected) > 0).collect();
-    let seen = |e: &DaemonPart| {
-        let noticed = ["side_suspected", "side_leaving", "side_gone"];
+    let observers: Vec<_> = entries.iter().filter(|e| e.process.count(&connected) > 0).collect();
+    let detection_lines = |e: &DaemonProcess| {
+        let events = ["side_suspected", "side_leaving", "side_gone"];
         let lines = e.process.lines();
-        let mine = |l: &&String| {
-            l.contains(&format!("host={host}")) && noticed.iter().any(|n| l.contains(n))
+        let is_match = |l: &&String| {
+            l.contains(&format!("host={host}")) && events.iter().any(|n| l.contains(n))
         };
-        lines.iter().filter(mine).map(String::clone).collect::<Vec<_>>()
+        lines.iter().filter(is_match).map(String::clone).collect::<Vec<_>>()
     };
-    let before: Vec<_> = of.iter().map(|e| seen(e).len()).collect();
-    let at = now_ms();
+    let before: Vec<_> = observers.iter().map(|e| detection_lines(e).len()).collect();
+    let since_ms = now_ms();
     act(side);
-    wait(|| of.iter().zip(&before).all(|(e, n)| seen(e).len() > *n))?;
-    let times: Vec<_> =
-        of.iter().zip(&before).filter_map(|(e, n)| after(at, &seen(e)[*n])).collect();
-    Ok(millis(&times))
+    wait(|| observers.iter().zip(&before).all(|(e, n)| detection_lines(e).len() > *n))?;
+    let times: Vec<_> = observers
+        .iter()
+        .zip(&before)
+        .filter_map(|(e, n)| millis_after(since_ms, &detection_lines(e)[*n]))
+        .collect();
+    Ok(quantiles(&times))
 }
 
 /// Kills a tenth of the daemons, sides only, and restarts them. Returns the milliseconds until all
 /// had a configuration in force and a peer connection again, their number, and the log reads
 /// meanwhile.
-fn restart(world: &mut World, size: usize) -> eyre::Result<(f64, usize, u64)> {
-    let hosts: Vec<_> = world
+fn restart_sides(testbed: &mut Testbed, size: usize) -> eyre::Result<(f64, usize, u64)> {
+    let hosts: Vec<_> = testbed
         .daemons
         .iter()
         .filter(|d| d.role == "side" && !["gpu-0", "gpu-1", "gpu-2"].contains(&d.host.as_str()))
@@ -347,29 +358,29 @@
         .map(|d| (d.host.clone(), d.domain.clone()))
         .collect();
     let reads = || -> eyre::Result<u64> {
-        Ok(get(world.log.addr, "/counts")?["reads"].as_u64().unwrap_or(0))
+        Ok(get(testbed.log.addr, "/counts")?["reads"].as_u64().unwrap_or(0))
     };
     let before = reads()?;
-    for daemon in world.daemons.iter().filter(|d| hosts.iter().any(|(h, _)| *h == d.host)) {
+    for daemon in testbed.daemons.iter().filter(|d| hosts.iter().any(|(h, _)| *h == d.host)) {
         daemon.process.kill();
     }
-    let at = Instant::now();
-    let engine = world.backends[0].addr;
+    let killed_at = Instant::now();
+    let engine = testbed.backends[0].addr;
     for (host, domain) in &hosts {
         let backend = json!([{"name": "engine-0", "address": engine, "kind": "engine"}]);
         let queue = json!({"load_every_ms": 5_000});
-        world.daemon("side", host, domain, &json!({"backends": backend, "queue": queue}))?;
+        testbed.daemon("side", host, domain, &json!({"backends": backend, "queue": queue}))?;
     }
-    world.list_hosts_in_pools(POOLS)?;
+    testbed.list_hosts_in_pools(POOLS)?;
     let is_back = |host: &str| {
-        let daemon = world.daemons.iter().find(|d| d.host == host);
+        let daemon = testbed.daemons.iter().find(|d| d.host == host);
         daemon.is_some_and(|d| {
             d.process.count("event=config_in_force") > 0
                 && d.process.count("event=peer_connected") > 0
         })
     };
     wait(|| hosts.iter().all(|(host, _)| is_back(host)))?;
-    let took = at.elapsed().as_secs_f64() * 1000.0;
-    let after = get(world.log.addr, "/counts")?["reads"].as_u64().unwrap_or(0);
+    let took = killed_at.elapsed().as_secs_f64() * 1000.0;
+    let after = get(testbed.log.addr, "/counts")?["reads"].as_u64().unwrap_or(0);
     Ok((took, hosts.len(), after - before))
 }
--- a/lab/src/world.rs
+++ b/lab/src/testbed.rs
@@ -10,13 +10,13 @@
 use redwingfold_standins::fleet::Process;
 use serde_json::{Value, json};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const MAX_BODY: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// A running stand-in and the address that it listens on.
 #[derive(Debug)]
-pub(crate) struct Part {
+pub(crate) struct StandIn {
     /// Held because dropping it ends the process.
     _process: Process,
     pub(crate) addr: SocketAddr,
@@ -24,23 +24,23 @@
 
 /// A running daemon.
 #[derive(Debug)]
-pub(crate) struct DaemonPart {
+pub(crate) struct DaemonProcess {
     pub(crate) host: String,
     pub(crate) domain: String,
     pub(crate) role: &'static str,
     pub(crate) process: Process,
-    pub(crate) peer: SocketAddr,
-    pub(crate) listen: Option<SocketAddr>,
+    pub(crate) peer_addr: SocketAddr,
+    pub(crate) listen_addr: Option<SocketAddr>,
 }
 
 /// A fleet of processes. Dropping it ends each process by its id.
 #[derive(Debug)]
-pub(crate) struct World {
-    pub(crate) log: Part,
-    pub(crate) hosts: Part,
-    pub(crate) rating: Part,
-    pub(crate) backends: Vec<Part>,
-    pub(crate) daemons: Vec<DaemonPart>,
+pub(crate) struct Testbed {
+    pub(crate) log: StandIn,
+    pub(crate) hosts: StandIn,
+    pub(crate) rating: StandIn,
+    pub(crate) backends: Vec<StandIn>,
+    pub(crate) daemons: Vec<DaemonProcess>,
     bin_dir: PathBuf,
     dir: PathBuf,
 }
@@ -51,34 +51,34 @@
     Ok(exe.parent().ok_or_eyre("path of this executable has no parent directory")?.to_owned())
 }
 
-impl World {
+impl Testbed {
     /// Starts the stand-ins of the platform and creates keys for the daemons `names`.
     pub(crate) fn start(names: &[String]) -> eyre::Result<Self> {
         let bin_dir = bin_dir()?;
         let dir = std::env::temp_dir().join(format!("redwingfold-lab-{}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
-        let world = Self {
-            log: standin(&bin_dir, "log", &["log"])?,
-            hosts: standin(&bin_dir, "hosts", &["hosts"])?,
-            rating: standin(&bin_dir, "rating", &["rating"])?,
+        let testbed = Self {
+            log: start_stand_in(&bin_dir, "log", &["log"])?,
+            hosts: start_stand_in(&bin_dir, "hosts", &["hosts"])?,
+            rating: start_stand_in(&bin_dir, "rating", &["rating"])?,
             backends: Vec::new(),
             daemons: Vec::new(),
             bin_dir,
             dir,
         };
-        let keys = world.dir.join("keys");
+        let keys = testbed.dir.join("keys");
         let mut args =
             vec!["keys", "--out", keys.to_str().ok_or_eyre("path is not valid UTF-8")?, "ctl"];
         args.extend(names.iter().map(String::as_str));
-        let made = Command::new(world.bin_dir.join("redwingfold-ctl")).args(args).output()?;
-        eyre::ensure!(made.status.success(), "{}", String::from_utf8_lossy(&made.stderr));
+        let output = Command::new(testbed.bin_dir.join("redwingfold-ctl")).args(args).output()?;
+        eyre::ensure!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         let settings = json!({
-            "log": {"address": world.log.addr},
-            "host_list": {"address": world.hosts.addr},
-            "tls": world.tls("ctl"),
+            "log": {"address": testbed.log.addr},
+            "host_list": {"address": testbed.hosts.addr},
+            "tls": testbed.tls("ctl"),
         });
-        std::fs::write(world.ctl_settings(), settings.to_string())?;
-        Ok(world)
+        std::fs::write(testbed.ctl_settings(), settings.to_string())?;
+        Ok(testbed)
     }
 
     pub(crate) fn ctl_settings(&self) -> PathBuf {
@@ -94,20 +94,20 @@
 
     /// Starts a stand-in for a backend server.
     pub(crate) fn backend(&mut self, name: &str, args: &[&str]) -> eyre::Result<SocketAddr> {
-        let part = standin(&self.bin_dir, name, args)?;
-        let addr = part.addr;
-        self.backends.push(part);
+        let stand_in = start_stand_in(&self.bin_dir, name, args)?;
+        let addr = stand_in.addr;
+        self.backends.push(stand_in);
         Ok(addr)
     }
 
-    /// Starts a daemon and waits until it logs its start. Each group of `more` is merged into the
-    /// settings group of that name. It replaces a daemon of the same host.
+    /// Starts a daemon and waits until it logs its start. Each group of `overrides` is merged into
+    /// the settings group of that name. It replaces a daemon of the same host.
     pub(crate) fn daemon(
         &mut self,
         role: &'static str,
         host: &str,
         domain: &str,
-        more: &Value,
+        overrides: &Value,
     ) -> eyre::Result<()> {
         let mut settings = json!({
             "host": host,
@@ -120,9 +120,9 @@
         if role == "entry" {
             settings["listen"] = json!("127.0.0.1:0");
         }
-        for (group, value) in more.as_object().into_iter().flatten() {
+        for (group, value) in overrides.as_object().into_iter().flatten() {
             match (settings[group].as_object_mut(), value) {
-                (Some(held), Value::Object(new)) => held.extend(new.clone()),
+                (Some(current), Value::Object(new)) => current.extend(new.clone()),
                 (_, value) => settings[group] = value.clone(),
             }
         }
@@ -131,16 +131,16 @@
         let program = self.bin_dir.join(format!("redwingfold-{role}"));
         let args = ["--settings", path.to_str().ok_or_eyre("path is not valid UTF-8")?];
         let process = Process::start(host, &program, &args).wrap_err("cannot start a daemon")?;
-        let line = process.wait_for_line(&format!("event={role}_started"), PATIENCE);
+        let line = process.wait_for_line(&format!("event={role}_started"), WAIT_TIMEOUT);
         let line = line.map_err(|printed| eyre::eyre!("{printed}"))?;
         let addr =
             |key: &str| line.split(' ').find_map(|pair| pair.strip_prefix(key)?.parse().ok());
-        let daemon = DaemonPart {
+        let daemon = DaemonProcess {
             host: host.to_owned(),
             domain: domain.to_owned(),
             role,
-            peer: addr("peer=").ok_or_eyre("start event has no peer address")?,
-            listen: addr("listen="),
+            peer_addr: addr("peer=").ok_or_eyre("start event has no peer address")?,
+            listen_addr: addr("listen="),
             process,
         };
         self.daemons.retain(|d| d.host != host);
@@ -164,7 +164,7 @@
             .iter()
             .map(|d| {
                 json!({
-                    "host": d.host, "address": d.peer, "failure_domain": d.domain,
+                    "host": d.host, "address": d.peer_addr, "failure_domain": d.domain,
                     "role": d.role, "state": "live", "pool": pool_of(&d.host),
                 })
             })
@@ -174,7 +174,7 @@
 
     /// Returns the caller-facing address of the first entry.
     pub(crate) fn entry(&self) -> eyre::Result<SocketAddr> {
-        self.daemons.iter().find_map(|d| d.listen).ok_or_eyre("no entry is running")
+        self.daemons.iter().find_map(|d| d.listen_addr).ok_or_eyre("no entry is running")
     }
 
     /// Runs `redwingfold-ctl`.
@@ -188,8 +188,8 @@
         let path = objects.to_str().ok_or_eyre("path is not valid UTF-8")?;
         let args = ["publish", path, "--author", "lab", "--reason", "first publication"];
         let output = self.ctl(&args)?;
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        eyre::ensure!(output.status.success(), "publish {path}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        eyre::ensure!(output.status.success(), "publish {path}: {stderr}");
         Ok(())
     }
 
@@ -202,8 +202,8 @@
 
     /// Waits until every entry is ready and has connected to at least `sides` sides.
     pub(crate) fn wait_ready(&self, sides: usize) -> eyre::Result<()> {
-        for daemon in self.daemons.iter().filter(|d| d.listen.is_some()) {
-            let addr = daemon.listen.ok_or_eyre("no entry is running")?;
+        for daemon in self.daemons.iter().filter(|d| d.listen_addr.is_some()) {
+            let addr = daemon.listen_addr.ok_or_eyre("no entry is running")?;
             wait(|| get(addr, "/readyz").is_ok())?;
             wait(|| daemon.process.count("event=side_connected") >= sides)?;
         }
@@ -211,7 +211,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Testbed {
     fn drop(&mut self) {
         self.daemons.clear();
         self.backends.clear();
@@ -219,19 +219,19 @@
     }
 }
 
-fn standin(bin_dir: &Path, name: &str, args: &[&str]) -> eyre::Result<Part> {
+fn start_stand_in(bin_dir: &Path, name: &str, args: &[&str]) -> eyre::Result<StandIn> {
     let program = bin_dir.join("redwingfold-standins");
     let process = Process::start(name, &program, args).wrap_err("cannot start a stand-in")?;
-    let line = process.wait_for_line("127.0.0.1:", PATIENCE);
+    let line = process.wait_for_line("127.0.0.1:", WAIT_TIMEOUT);
     let line = line.map_err(|printed| eyre::eyre!("{printed}"))?;
-    Ok(Part { addr: line.trim().parse()?, _process: process })
+    Ok(StandIn { addr: line.trim().parse()?, _process: process })
 }
 
 /// Polls a condition until it holds. Fails after a minute.
-pub(crate) fn wait(mut holds: impl FnMut() -> bool) -> eyre::Result<()> {
-    let begun = Instant::now();
-    while !holds() {
-        eyre::ensure!(begun.elapsed() < PATIENCE, "timed out waiting for a condition");
+pub(crate) fn wait(mut condition: impl FnMut() -> bool) -> eyre::Result<()> {
+    let started = Instant::now();
+    while !condition() {
+        eyre::ensure!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting for a condition");
         std::thread::sleep(Duration::from_millis(10));
     }
     Ok(())
@@ -239,22 +239,23 @@
 
 /// Sends a GET request and returns the response as JSON.
 pub(crate) fn get(addr: SocketAddr, target: &str) -> eyre::Result<Value> {
-    ask(Method::Get, addr, target, None)
+    call_json(Method::Get, addr, target, None)
 }
 
 /// Sends a POST request with a JSON body and returns the response as JSON.
 pub(crate) fn post(addr: SocketAddr, target: &str, body: &Value) -> eyre::Result<Value> {
-    ask(Method::Post, addr, target, Some(body.to_string().into_bytes()))
+    call_json(Method::Post, addr, target, Some(body.to_string().into_bytes()))
 }
 
-fn ask(
+fn call_json(
     method: Method,
     addr: SocketAddr,
     target: &str,
     body: Option<Vec<u8>>,
 ) -> eyre::Result<Value> {
     let client = Client::default();
-    let call = client.call(method, addr, target, body, CallTimeout::Total(CALL_TIMEOUT), MAX_BODY);
+    let call =
+        client.call(method, addr, target, body, CallTimeout::Total(CALL_TIMEOUT), MAX_BODY_BYTES);
     let answer = smol::block_on(call)?;
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     eyre::ensure!(answer.is_success(), "{target}: status {}: {text}", answer.status);
--- a/lab/src/trial.rs
+++ b/lab/src/trial.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::objects::sha256_of;
-use crate::world::{World, get, post};
+use crate::testbed::{Testbed, get, post};
 
 /// Parameters of a stand-in engine.
 #[derive(Clone, Copy, Debug)]
@@ -26,10 +26,10 @@
     versions: &str,
     entry_settings: &Value,
     objects: &Value,
-) -> eyre::Result<World> {
+) -> eyre::Result<Testbed> {
     let mut names: Vec<_> = (0..entries).map(|n| format!("entry-{n}")).collect();
     names.extend((0..sides).map(|n| format!("gpu-{n}")));
-    let mut world = World::start(&names)?;
+    let mut testbed = Testbed::start(&names)?;
     for n in 0..sides {
         let (slots, token, prefill) =
             (kind.slots.to_string(), kind.token_ms.to_string(), kind.prefill_ms.to_string());
@@ -44,24 +44,24 @@
             "--prefill-ms",
             &prefill,
         ];
-        let engine = world.backend(&format!("engine-{n}"), &args)?;
+        let engine = testbed.backend(&format!("engine-{n}"), &args)?;
         let backend = json!([
             {"name": "engine-0", "address": engine, "kind": "engine", "slots": kind.slots},
         ]);
         let domain = format!("hall-{}", n % 3);
-        world.daemon("side", &format!("gpu-{n}"), &domain, &json!({"backends": backend}))?;
+        testbed.daemon("side", &format!("gpu-{n}"), &domain, &json!({"backends": backend}))?;
     }
     for n in 0..entries {
         let mut settings = entry_settings.clone();
         if settings["rating"].is_object() {
-            settings["rating"]["address"] = json!(world.rating.addr);
+            settings["rating"]["address"] = json!(testbed.rating.addr);
         }
-        world.daemon("entry", &format!("entry-{n}"), &format!("hall-{}", n % 3), &settings)?;
+        testbed.daemon("entry", &format!("entry-{n}"), &format!("hall-{}", n % 3), &settings)?;
     }
-    world.list_hosts()?;
-    world.publish_json(objects)?;
-    world.wait_ready(sides)?;
-    Ok(world)
+    testbed.list_hosts()?;
+    testbed.publish_json(objects)?;
+    testbed.wait_ready(sides)?;
+    Ok(testbed)
 }
 
 /// Returns customer objects with the label `org=all` and the default weight, 1.
@@ -72,7 +72,7 @@
 
 /// Returns a load that one customer sends to the first entry.
 pub(crate) fn load(
-    world: &World,
+    testbed: &Testbed,
     customer: &str,
     model: &str,
     tokens: u64,
@@ -89,21 +89,21 @@
         stream: false,
         headers: Vec::new(),
     };
-    Ok(Load { addr: world.entry()?, shape, pace, duration, seed })
+    Ok(Load { addr: testbed.entry()?, shape, pace, duration, seed })
 }
 
 /// Injects faults into all engines.
-pub(crate) fn set_faults(world: &World, faults: &Value) -> eyre::Result<()> {
-    for backend in &world.backends {
+pub(crate) fn set_faults(testbed: &Testbed, faults: &Value) -> eyre::Result<()> {
+    for backend in &testbed.backends {
         post(backend.addr, "/control", faults)?;
     }
     Ok(())
 }
 
 /// Counts the answers of a version on all engines. Returns the total and the number of bad ones.
-pub(crate) fn answers_by(world: &World, version: &str) -> eyre::Result<(usize, usize)> {
+pub(crate) fn answers_by(testbed: &Testbed, version: &str) -> eyre::Result<(usize, usize)> {
     let (mut all, mut bad) = (0, 0);
-    for backend in &world.backends {
+    for backend in &testbed.backends {
         for event in get(backend.addr, "/history")?.as_array().into_iter().flatten() {
             if event["what"] == "end" && event["of"] == version {
                 all += 1;
