--- a/lab/src/quickstart.rs
+++ b/lab/src/quickstart.rs
@@ -40,7 +40,7 @@
         example_request("demo-mitglieder", "wortwerk", "Draft an exchange agreement").stream(12);
     let streamed = caller.send_blocking(&draft.session("draft-1"));
     show("streamed", &streamed, &testbed)?;
-    let succeeded = whole.status == 200 && whole.whole && streamed.is_whole_stream();
+    let succeeded = whole.status == 200 && whole.whole && streamed.is_complete_stream();
     if once || !succeeded {
         return stop(testbed, succeeded);
     }
