--- a/lab/src/scale.rs
+++ b/lab/src/scale.rs
@@ -110,8 +110,8 @@
             {"name": "engine-0", "address": engines[n % ENGINES], "kind": "engine", "slots": 64},
         ]);
         let domain = format!("domain-{}", n % DOMAINS);
-        // Reading the load of an engine is not control traffic. The sides share the engines, so each
-        // reads its load rarely.
+        // Reading the load of an engine is not control traffic. The sides share the engines, so
+        // each side reads the load rarely.
         let queue = json!({"load_every_ms": 5_000});
         let overrides = json!({"backends": backend, "queue": queue});
         testbed.daemon("side", &format!("gpu-{n}"), &domain, &overrides)?;
--- a/lab/src/testbed.rs
+++ b/lab/src/testbed.rs
@@ -67,8 +67,7 @@
             dir,
         };
         let keys = testbed.dir.join("keys");
-        let mut args =
-            vec!["keys", "--out", keys.to_str().ok_or_eyre("path is not valid UTF-8")?, "ctl"];
+        let mut args = vec!["keys", "--out", keys.to_str().ok_or_eyre("path")?, "ctl"];
         args.extend(names.iter().map(String::as_str));
         let output = Command::new(testbed.bin_dir.join("redwingfold-ctl")).args(args).output()?;
         eyre::ensure!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -129,7 +128,7 @@
         let path = self.dir.join(format!("{host}.json"));
         std::fs::write(&path, settings.to_string())?;
         let program = self.bin_dir.join(format!("redwingfold-{role}"));
-        let args = ["--settings", path.to_str().ok_or_eyre("path is not valid UTF-8")?];
+        let args = ["--settings", path.to_str().ok_or_eyre("path")?];
         let process = Process::start(host, &program, &args).wrap_err("cannot start a daemon")?;
         let line = process.wait_for_line(&format!("event={role}_started"), WAIT_TIMEOUT);
         let line = line.map_err(|printed| eyre::eyre!("{printed}"))?;
@@ -185,7 +184,7 @@
 
     /// Publishes a file or directory of objects.
     pub(crate) fn publish(&self, objects: &Path) -> eyre::Result<()> {
-        let path = objects.to_str().ok_or_eyre("path is not valid UTF-8")?;
+        let path = objects.to_str().ok_or_eyre("path")?;
         let args = ["publish", path, "--author", "lab", "--reason", "first publication"];
         let output = self.ctl(&args)?;
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
