--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Starts fleets of real processes on loopback: the quickstart and the experiments.
+//! The quickstart and the experiments. Each starts a fleet of real processes on loopback.
 
 mod args;
 mod detect;
@@ -13,7 +13,7 @@
 mod report;
 mod scale;
 mod scale_report;
+mod testbed;
 mod trial;
-mod world;
 
 pub use args::{LabArgs, run};
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: batches continuously, caches prompt prefixes, reports its load late.
+//! Test double of a model engine, with continuous batching, a cache of prompt prefixes, and load reports with a lag.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,26 +15,26 @@
 use crate::rating::BAD_MARK;
 use crate::serve;
 
-/// What an engine is like when nothing is wrong.
+/// Settings of an engine without faults.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Versions that are loaded.
+    /// Model versions that are loaded at the start.
     pub versions: Vec<String>,
-    /// Requests that run at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Time to read 1,000 characters of prompt that are not cached.
+    /// Prefill time of 1,000 characters of an uncached prompt, in milliseconds.
     pub prefill_ms: u64,
-    /// Time of one token when one request runs; more run slower by a tenth each.
+    /// Time per token while one request runs, in milliseconds; each further request adds a tenth.
     pub token_ms: u64,
-    /// Prompt prefixes that are cached.
+    /// Maximum number of cached prompt prefixes.
     pub cache: usize,
-    /// Age of the load that is reported.
+    /// Lag of the load reports and cache events.
     pub report_lag: Duration,
-    /// Time that an order takes in which something is loaded.
+    /// Time that an order takes if it loads a version, in milliseconds.
     pub load_ms: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a lower fencing number than an earlier one are refused.
     pub fencing: bool,
-    /// Seed of the bad answers.
+    /// Seed of the random choice of bad answers and lost events.
     pub seed: u64,
 }
 
@@ -54,22 +54,22 @@
     }
 }
 
-/// How an engine misbehaves.
+/// Faults that an engine injects.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EngineFaults {
-    /// Of 1,000 answers by a version, how many are bad.
+    /// Number of bad answers in 1,000, by version.
     pub bad: BTreeMap<String, u32>,
-    /// Takes requests and never answers.
+    /// Accepts requests and sends no response.
     pub silent: bool,
-    /// Breaks the stream off after so many tokens.
+    /// Aborts each stream after this number of tokens.
     pub die_after: Option<u32>,
-    /// Times that everything takes longer, in percent; 0 is none.
+    /// Additional time that each step takes, in percent; 0 for none.
     pub slow_percent: u64,
-    /// Load that it reports instead of its own.
+    /// Number of running requests that it reports instead of the actual load.
     pub lie: Option<usize>,
-    /// Refuses every request with 500.
+    /// Responds to every request with 500.
     pub fail: bool,
-    /// Of 1,000 cache events, how many are never published.
+    /// Number of 1,000 cache events that are never published.
     pub lose_events: u32,
 }
 
@@ -79,25 +79,25 @@
     faults: EngineFaults,
     running: usize,
     waiting: usize,
-    reports: VecDeque<(Instant, usize, usize)>,
+    load_samples: VecDeque<(Instant, usize, usize)>,
     cache: VecDeque<String>,
-    /// Prefixes that were cached or evicted, with the time from which that is published.
+    /// Events of cached and evicted prefixes, with the time at which each is published.
     cache_events: Vec<(Instant, Value)>,
-    /// Priorities of those who wait, with the order in which they came.
+    /// Priorities of the waiting requests, with their order of arrival.
     queue: BTreeSet<(u8, u64)>,
     next_ticket: u64,
-    /// Streams that broke off, by request, for resuming them.
-    broken: BTreeMap<String, (Run, u64)>,
-    fence: u64,
+    /// Interrupted streams, by request id, with the index of the next token.
+    interrupted_streams: BTreeMap<String, (Run, u64)>,
+    highest_fence: u64,
     rng: fastrand::Rng,
 }
 
-/// The running stand-in.
+/// A running test double. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
-    /// Runs, ends, cancels and orders.
+    /// Events of runs, ends, cancellations and orders.
     pub history: History,
     state: Arc<Mutex<State>>,
     _task: Arc<smol::Task<()>>,
@@ -106,20 +106,20 @@
 const PREFIX_CHARS: usize = 64;
 const DEFAULT_TOKENS: u64 = 8;
 const MAX_CACHE_EVENTS: usize = 1_000;
-const MAX_BROKEN: usize = 100;
+const MAX_INTERRUPTED_STREAMS: usize = 100;
 const DEFAULT_PRIORITY: u8 = 5;
 const QUEUE_POLL: Duration = Duration::from_millis(1);
 
-/// Returns the token at an index of a request's answer: it names version and request, so that a
-/// checker sees a token that belongs to another answer.
-fn token(version: &str, request: &str, prompt: &str, index: u64, bad: bool) -> String {
+/// Returns the token at an index of an answer. It contains the version and the request id, so that a checker detects
+/// a token of another answer.
+fn token(version: &str, request: &str, prompt: &str, index: u64, is_bad: bool) -> String {
     let hash = xxhash_rust::xxh3::xxh3_64(prompt.as_bytes()) as u16;
-    let tail = if bad { BAD_MARK } else { "ok" };
+    let tail = if is_bad { BAD_MARK } else { "ok" };
     let short = &request[..request.len().min(8)];
     format!("{index}:{version}:{short}:{hash:04x}:{tail} ")
 }
 
-/// Returns the whole answer of a good run.
+/// Returns the complete text of an answer that is not bad.
 pub fn answer_text(version: &str, request: &str, prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|i| token(version, request, prompt, i, false)).collect()
 }
@@ -129,11 +129,11 @@
 }
 
 impl Engine {
-    /// Starts it.
+    /// Starts the engine.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub fn start(addr: SocketAddr, settings: EngineSettings) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State {
             rng: fastrand::Rng::with_seed(settings.seed),
@@ -141,13 +141,13 @@
             faults: EngineFaults::default(),
             running: 0,
             waiting: 0,
-            reports: VecDeque::new(),
+            load_samples: VecDeque::new(),
             cache: VecDeque::new(),
             cache_events: Vec::new(),
             queue: BTreeSet::new(),
             next_ticket: 0,
-            broken: BTreeMap::new(),
-            fence: 0,
+            interrupted_streams: BTreeMap::new(),
+            highest_fence: 0,
         }));
         let history = History::default();
         let (inner, events) = (state.clone(), history.clone());
@@ -168,17 +168,18 @@
 }
 
 impl State {
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let lag = self.settings.report_lag;
-        self.reports.push_back((Instant::now(), self.running, self.waiting));
-        while self.reports.len() > 1 && self.reports[1].0.elapsed() >= lag {
-            self.reports.pop_front();
+        self.load_samples.push_back((Instant::now(), self.running, self.waiting));
+        while self.load_samples.len() > 1 && self.load_samples[1].0.elapsed() >= lag {
+            self.load_samples.pop_front();
         }
     }
 
-    fn report(&mut self) -> Value {
-        self.note_load();
-        let (_, running, waiting) = self.reports.front().copied().unwrap_or((Instant::now(), 0, 0));
+    fn load_report(&mut self) -> Value {
+        self.record_load();
+        let (_, running, waiting) =
+            self.load_samples.front().copied().unwrap_or((Instant::now(), 0, 0));
         json!({
             "running": self.faults.lie.unwrap_or(running),
             "waiting": self.faults.lie.map_or(waiting, |_| 0),
@@ -187,8 +188,8 @@
         })
     }
 
-    /// Returns whether the prompt's prefix was cached, and caches it.
-    fn cached(&mut self, version: &str, prompt: &str) -> bool {
+    /// Caches the prefix of a prompt and returns whether it was cached before.
+    fn cache_prefix(&mut self, version: &str, prompt: &str) -> bool {
         let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
         let key = format!("{version} {prefix}");
         let hit = match self.cache.iter().position(|k| *k == key) {
@@ -196,19 +197,19 @@
             None => false,
         };
         if !hit {
-            self.cache_event("cached", &key);
+            self.publish_cache_event("cached", &key);
         }
         self.cache.push_back(key);
         while self.cache.len() > self.settings.cache {
             if let Some(old) = self.cache.pop_front() {
-                self.cache_event("evicted", &old);
+                self.publish_cache_event("evicted", &old);
             }
         }
         hit
     }
 
-    /// Publishes an event late, or never: its number is used up all the same, so that there is a gap.
-    fn cache_event(&mut self, what: &str, key: &str) {
+    /// Publishes an event after the lag. A lost event is never published, but uses a number, which leaves a gap.
+    fn publish_cache_event(&mut self, what: &str, key: &str) {
         let number = self.next_ticket;
         self.next_ticket += 1;
         let lost = self.faults.lose_events;
@@ -216,21 +217,21 @@
             let due = Instant::now() + self.settings.report_lag;
             self.cache_events.push((due, json!({"number": number, "what": what, "prefix": key})));
         }
-        let over = self.cache_events.len().saturating_sub(MAX_CACHE_EVENTS);
-        self.cache_events.drain(..over);
+        let excess = self.cache_events.len().saturating_sub(MAX_CACHE_EVENTS);
+        self.cache_events.drain(..excess);
     }
 
-    fn slowed(&self, ms: u64) -> Duration {
-        let crowd = 10 + self.running.saturating_sub(1) as u64;
-        Duration::from_micros(ms * 100 * crowd * (100 + self.faults.slow_percent) / 100)
+    fn scaled_duration(&self, ms: u64) -> Duration {
+        let load_factor = 10 + self.running.saturating_sub(1) as u64;
+        Duration::from_micros(ms * 100 * load_factor * (100 + self.faults.slow_percent) / 100)
     }
 }
 
-/// Counts a request as waiting, then as running, until it is dropped.
+/// Counts a request as waiting until [`Slot::acquire`] returns, then as running until the slot is dropped.
 struct Slot {
     state: Arc<Mutex<State>>,
     ticket: (u8, u64),
-    running: bool,
+    is_running: bool,
 }
 
 impl Slot {
@@ -241,24 +242,24 @@
             s.next_ticket += 1;
             s.queue.insert(ticket);
             s.waiting += 1;
-            s.note_load();
+            s.record_load();
             ticket
         };
-        Self { state, ticket, running: false }
+        Self { state, ticket, is_running: false }
     }
 
-    async fn begin(&mut self) {
+    async fn acquire(&mut self) {
         loop {
             {
                 let mut s = lock(&self.state);
-                // The most urgent runs first; of equals the one that came first.
+                // The lowest priority number runs first, and among equals the earliest request.
                 let is_next = s.queue.first() == Some(&self.ticket);
                 if s.running < s.settings.slots && is_next {
                     s.queue.remove(&self.ticket);
                     s.waiting -= 1;
                     s.running += 1;
-                    s.note_load();
-                    self.running = true;
+                    s.record_load();
+                    self.is_running = true;
                     return;
                 }
             }
@@ -270,13 +271,13 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let mut s = lock(&self.state);
-        if self.running {
+        if self.is_running {
             s.running -= 1;
         } else {
             s.queue.remove(&self.ticket);
             s.waiting -= 1;
         }
-        s.note_load();
+        s.record_load();
     }
 }
 
@@ -292,7 +293,7 @@
         return res;
     }
     match req.url().path() {
-        "/v1/load" => serve::json(&lock(&state).report()),
+        "/v1/load" => serve::json(&lock(&state).load_report()),
         "/v1/cache_events" => cache_events(&req, &state),
         "/v1/resume" => resume(&mut req, state, history).await,
         "/v1/orders" => order(&mut req, &state, &history).await,
@@ -301,7 +302,7 @@
     }
 }
 
-/// Returns the published events from a number on; numbers that are missing were lost.
+/// Returns the published events from a number on; missing numbers are lost events.
 fn cache_events(req: &Request, state: &Mutex<State>) -> Response {
     let from = serve::query(req, "from").unwrap_or(0);
     let s = lock(state);
@@ -310,20 +311,20 @@
     serve::json(&json!({"events": wanted.map(|(_, event)| event).collect::<Vec<_>>()}))
 }
 
-/// Goes on with a stream that broke off, from a token on.
+/// Resumes an interrupted stream from a token on.
 async fn resume(req: &mut Request, state: Arc<Mutex<State>>, history: History) -> Response {
     let body = serve::body_json(req).await.unwrap_or_default();
     let request = body["request_id"].as_str().unwrap_or_default();
-    let found = lock(&state).broken.get(request).cloned();
-    let Some((run, reached)) = found else {
+    let found = lock(&state).interrupted_streams.get(request).cloned();
+    let Some((run, next_token)) = found else {
         return serve::status(404, "no such stream broke off");
     };
-    let from = body["from_token"].as_u64().unwrap_or(reached).min(reached);
+    let from = body["from_token"].as_u64().unwrap_or(next_token).min(next_token);
     history.add("resume", &run.version, &run.request, from.to_string());
-    stream_answer(run, from, state, history)
+    stream_response(run, from, state, history)
 }
 
-fn stream_answer(run: Run, from: u64, state: Arc<Mutex<State>>, history: History) -> Response {
+fn stream_response(run: Run, from: u64, state: Arc<Mutex<State>>, history: History) -> Response {
     let (tx, body) = channel_body();
     smol::spawn(stream(run, from, tx, state, history)).detach();
     let mut res = Response::new(StatusCode::Ok);
@@ -339,11 +340,11 @@
     let wanted: Vec<_> = wanted.iter().filter_map(|v| v.as_str().map(str::to_owned)).collect();
     let wait = {
         let mut s = lock(state);
-        if s.settings.fencing && fence < s.fence {
+        if s.settings.fencing && fence < s.highest_fence {
             history.add("order_refused", "", &fence.to_string(), body.to_string());
             return serve::status(409, "old fencing number");
         }
-        s.fence = s.fence.max(fence);
+        s.highest_fence = s.highest_fence.max(fence);
         let loads = wanted.iter().any(|v| !s.settings.versions.contains(v));
         Duration::from_millis(if loads { s.settings.load_ms } else { 0 })
     };
@@ -362,7 +363,7 @@
     prompt: String,
     tokens: u64,
     priority: u8,
-    bad: bool,
+    is_bad: bool,
 }
 
 async fn chat(
@@ -396,44 +397,44 @@
         .unwrap_or_default()
         .to_owned();
     let bad_share = faults.bad.get(&version).copied().unwrap_or(0);
-    let bad = lock(&state).rng.u32(0..1000) < bad_share;
+    let is_bad = lock(&state).rng.u32(0..1000) < bad_share;
     let tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS);
     let priority = body["priority"].as_u64().map_or(DEFAULT_PRIORITY, |p| p.min(9) as u8);
-    let run = Run { version, request, prompt, tokens, priority, bad };
+    let run = Run { version, request, prompt, tokens, priority, is_bad };
     if body["stream"].as_bool() == Some(true) {
-        return stream_answer(run, 0, state, history);
+        return stream_response(run, 0, state, history);
     }
-    let whole = whole(&run, state, &history);
-    let gone = async {
+    let complete_response = complete_response(&run, state, &history);
+    let disconnected = async {
         peer.disconnected().await;
         history.add("cancel", &run.version, &run.request, "");
         serve::status(500, "caller is gone")
     };
-    whole.or(gone).await
+    complete_response.or(disconnected).await
 }
 
 async fn prefill(run: &Run, slot: &mut Slot) {
-    slot.begin().await;
+    slot.acquire().await;
     let wait = {
         let mut s = lock(&slot.state);
-        let hit = s.cached(&run.version, &run.prompt);
+        let hit = s.cache_prefix(&run.version, &run.prompt);
         let chars = if hit { run.prompt.len() as u64 / 10 } else { run.prompt.len() as u64 };
         let per_thousand = s.settings.prefill_ms;
-        s.slowed(per_thousand * (chars / 100).max(1)) / 10
+        s.scaled_duration(per_thousand * (chars / 100).max(1)) / 10
     };
     Timer::after(wait).await;
 }
 
-async fn whole(run: &Run, state: Arc<Mutex<State>>, history: &History) -> Response {
+async fn complete_response(run: &Run, state: Arc<Mutex<State>>, history: &History) -> Response {
     let mut slot = Slot::new(state, run.priority);
     prefill(run, &mut slot).await;
     let mut text = String::new();
     for index in 0..run.tokens {
-        let wait = { lock(&slot.state).slowed_token() };
+        let wait = { lock(&slot.state).token_duration() };
         Timer::after(wait).await;
-        text += &token(&run.version, &run.request, &run.prompt, index, run.bad);
+        text += &token(&run.version, &run.request, &run.prompt, index, run.is_bad);
     }
-    history.add("end", &run.version, &run.request, if run.bad { "bad" } else { "good" });
+    history.add("end", &run.version, &run.request, if run.is_bad { "bad" } else { "good" });
     serve::json(&json!({
         "id": run.request,
         "object": "chat.completion",
@@ -457,30 +458,30 @@
 }
 
 impl State {
-    fn slowed_token(&self) -> Duration {
-        self.slowed(self.settings.token_ms)
+    fn token_duration(&self) -> Duration {
+        self.scaled_duration(self.settings.token_ms)
     }
 }
 
 async fn stream(run: Run, from: u64, tx: BodySender, state: Arc<Mutex<State>>, history: History) {
     let mut slot = Slot::new(state.clone(), run.priority);
-    let sent = async {
+    let sending = async {
         prefill(&run, &mut slot).await;
         for index in from..run.tokens {
             let (wait, die_after) = {
                 let s = lock(&slot.state);
-                (s.slowed_token(), s.faults.die_after)
+                (s.token_duration(), s.faults.die_after)
             };
             if die_after.is_some_and(|n| index >= u64::from(n)) {
                 history.add("die", &run.version, &run.request, "");
                 let mut s = lock(&state);
-                if s.broken.len() < MAX_BROKEN {
-                    s.broken.insert(run.request.clone(), (run.clone(), index));
+                if s.interrupted_streams.len() < MAX_INTERRUPTED_STREAMS {
+                    s.interrupted_streams.insert(run.request.clone(), (run.clone(), index));
                 }
                 return Err(true);
             }
             Timer::after(wait).await;
-            let text = token(&run.version, &run.request, &run.prompt, index, run.bad);
+            let text = token(&run.version, &run.request, &run.prompt, index, run.is_bad);
             let last = index + 1 == run.tokens;
             let mut event = json!({
                 "id": run.request,
@@ -499,13 +500,13 @@
         }
         tx.send(b"data: [DONE]\n\n".to_vec()).await.map_err(|_| false)
     };
-    let gone = async {
+    let disconnected = async {
         tx.closed().await;
         Err(false)
     };
-    match sent.or(gone).await {
+    match sending.or(disconnected).await {
         Ok(()) => {
-            history.add("end", &run.version, &run.request, if run.bad { "bad" } else { "good" })
+            history.add("end", &run.version, &run.request, if run.is_bad { "bad" } else { "good" })
         }
         Err(true) => tx.abort("died").await,
         Err(false) => history.add("cancel", &run.version, &run.request, ""),
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's stand-in behaves as the platform's page says.
+//! The test double of the engine behaves as docs/PLATFORM.md describes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -30,7 +30,7 @@
     smol::block_on(call).expect("an answer").json().expect("JSON")
 }
 
-/// With one slot, the urgent request that came last runs before the others that wait.
+/// With one slot, an urgent request that arrived last runs before the other waiting requests.
 #[test]
 fn priorities_are_honoured() {
     let settings = EngineSettings { slots: 1, token_ms: 20, ..EngineSettings::default() };
@@ -42,36 +42,36 @@
     };
     let mut threads = vec![send("first", 5)];
     wait_until("it runs", || {
-        get(&engine, "/v1/load")["slots"] == 1 && engine.history.of("run").len() == 1
+        get(&engine, "/v1/load")["slots"] == 1 && engine.history.events_named("run").len() == 1
     });
     threads.push(send("late", 9));
-    wait_until("it waits", || engine.history.of("run").len() == 2);
+    wait_until("it waits", || engine.history.events_named("run").len() == 2);
     threads.push(send("urgent", 0));
     for thread in threads {
         assert_eq!(thread.join().expect("caller").status, 200);
     }
-    let ends: Vec<_> = engine.history.of("end").into_iter().map(|e| e.request).collect();
+    let ends: Vec<_> = engine.history.events_named("end").into_iter().map(|e| e.request).collect();
     let order: Vec<_> = ends.iter().map(|id| id.trim_start_matches('0')).collect();
     assert_eq!(order, ["first", "urgent", "late"]);
 }
 
-/// A stream that broke off goes on from a token, and both parts make the whole answer.
+/// An interrupted stream resumes from a token, and both parts together are the complete answer.
 #[test]
 fn broken_streams_are_resumed() {
     let engine = Engine::start(any(), EngineSettings::default()).expect("engine");
     let caller = Caller { addr: engine.addr };
     engine.set(|faults| faults.die_after = Some(3));
     let broken = caller.send_blocking(&ask("r1", "p").stream(8));
-    assert!(!broken.is_whole_stream());
+    assert!(!broken.is_complete_stream());
     engine.set(|faults| faults.die_after = None);
     let id = format!("{:0>32}", "r1");
     let body = json!({"request_id": id, "from_token": 3}).to_string();
     let rest = caller.send_blocking(&Ask::new(Method::Post, "/v1/resume", "").body(body));
-    assert!(rest.is_whole_stream(), "{}", rest.text());
+    assert!(rest.is_complete_stream(), "{}", rest.text());
     assert_eq!(broken.content() + &rest.content(), answer_text("slip-1", &id, "p", 8));
 }
 
-/// Cache events are published late, and with gaps in their numbers where some were lost.
+/// Cache events are published with a lag, and lost events leave gaps in their numbers.
 #[test]
 fn cache_events_come_late_and_with_gaps() {
     let settings =
@@ -87,6 +87,6 @@
     let events = get(&engine, "/v1/cache_events")["events"].as_array().cloned().unwrap_or_default();
     let of = |what: &str| events.iter().filter(|e| e["what"] == what).count();
     assert!(of("cached") > 0 && of("evicted") > 0);
-    // Forty prompts in a cache of two make 40 and 38 events.
+    // Forty prompts in a cache of two entries are 40 cached and 38 evicted prefixes.
     assert!(events.len() < 78, "none was lost");
 }
