--- a/soak/src/bin/redwingfold-soak.rs
+++ b/soak/src/bin/redwingfold-soak.rs
@@ -1,4 +1,4 @@
-//! Plays seeds of the soak, and says which broke a promise.
+//! Runs seeds of the soak test and prints the guarantees that each seed violated.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -6,50 +6,50 @@
 use clap::Parser;
 use redwingfold_soak::{Settings, run_seed};
 
-/// Plays random faults against gateways that run as processes.
+/// Injects random faults into gateways that run as processes.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// Play this seed, and as many as `--seeds` says from there on.
+    /// First seed to run; random by default.
     #[arg(long)]
     seed: Option<u64>,
-    /// Seeds to play.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Play fresh seeds for so many minutes instead.
+    /// Run consecutive seeds for this many minutes, regardless of `--seeds`.
     #[arg(long)]
     minutes: Option<u64>,
-    /// Seconds of faults in each play.
+    /// Seconds for which faults are injected in each run.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 3)]
     gateways: usize,
-    /// Engines of each of the two services.
+    /// Number of engines of each of the two services.
     #[arg(long, default_value_t = 4)]
     engines: usize,
-    /// Callers at a time.
+    /// Number of concurrent callers.
     #[arg(long, default_value_t = 12)]
     callers: usize,
-    /// Routes that make the configuration large, and the way to the store slow; each takes 200 bytes.
+    /// Number of unused routes, 200 bytes each, that enlarge the configuration; any also make connections to the store slow.
     #[arg(long, default_value_t = 0)]
     idle_routes: usize,
-    /// A request comes under which each engine ends that runs it.
+    /// Send a request that crashes each engine that runs it.
     #[arg(long)]
     deadly: bool,
-    /// The store comes back from older copies.
+    /// Restore the store from older copies.
     #[arg(long)]
     restores: bool,
-    /// A failure domain is emptied and returned, and engines are cold.
+    /// Evacuate a failure domain and return it, and start cold engines.
     #[arg(long)]
     domains: bool,
-    /// Engines report limits, announce that they are leaving, or refuse requests with Retry-After.
+    /// Let engines report limits, announce that they are leaving, or refuse requests with Retry-After.
     #[arg(long)]
     reports: bool,
-    /// Folder for the logs of seeds that broke a promise.
+    /// Directory for the logs of seeds that violated a guarantee.
     #[arg(long, default_value = "results")]
     logs: PathBuf,
-    /// The gateway's program; by default the one beside this one.
+    /// Path of the gateway binary; by default redwingfold-platform in the directory of this binary.
     #[arg(long)]
     program: Option<PathBuf>,
 }
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,25 +1,25 @@
-//! What must hold, from what callers got and engines saw.
+//! Checks the guarantees against the responses that callers received and the requests that engines received.
 
 use std::collections::HashMap;
 
 use redwingfold_standins::platform::{Arrival, Got};
 
-/// A request as its caller knows it.
+/// A request and its response, as recorded by the caller.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Id of the attempt.
+    /// Value of the `Attempt-Id` header.
     pub id: String,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// Customer that holds the key.
+    /// Customer that owns the API key.
     pub customer: &'static str,
-    /// What came back.
+    /// The response; its status is 0 if there was none.
     pub response: Got,
-    /// Whether the caller took so long that its own patience ended first.
+    /// Whether the response took longer than the caller's timeout and a margin.
     pub is_late: bool,
 }
 
-/// Returns each promise that was broken, with the request.
+/// Returns a description of each violated guarantee, with the request.
 pub fn violations(records: &[RequestRecord], arrivals: &[Arrival]) -> Vec<String> {
     let mut by_id: HashMap<&str, Vec<&Arrival>> = HashMap::new();
     for arrival in arrivals {
@@ -73,7 +73,7 @@
         require(head.get("tenant") == Some(request.customer), "ran for another customer");
         require(head.get("credential").is_none(), "the key was passed on");
         require(head.line.contains(&request.path), "ran with another path");
-        // Another engine that has the address now refuses it.
+        // The address may have passed to another engine, which must then refuse the request.
         let is_intended = head.get("expect-instance") == Some(&arrival.server);
         require(is_intended || !arrival.was_run, "not meant for its engine");
     }
--- a/soak/src/deadly.rs
+++ b/soak/src/deadly.rs
@@ -1,4 +1,4 @@
-//! A request under which each engine ends that runs it, beside all other callers and faults.
+//! A deadly request, which crashes each engine that runs it, sent in addition to all other requests and faults.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,30 +7,30 @@
 
 use crate::testbed::Testbed;
 
-/// Its body.
+/// Body of the deadly request.
 const BODY: &str = "deadly";
 
-/// Ids of its attempts begin so.
+/// Prefix of its attempt ids.
 const ID_PREFIX: &str = "deadly";
 
-/// Time from the begin of a run to the engine's end.
+/// Time from the start of a run to the crash of the engine.
 pub(crate) const CRASH_DELAY: Duration = Duration::from_millis(20);
 
-/// Time after which all gateways must know of it, once nothing disturbs them any more.
+/// Time within which all gateways must have received the quarantine once the faults have ended.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Ends of engines after which it must be known.
+/// Number of crashes after which the request must be quarantined.
 const MAX_CRASHES: usize = 3;
 
-/// Sends that may still reach engines then.
+/// Maximum number of its attempts that may still reach engines after that.
 const MAX_LATER_ARRIVALS: usize = 3;
 
-/// Says whether a request is the deadly one.
+/// Returns whether a request is the deadly one.
 pub(crate) fn is_deadly(arrival: &Arrival) -> bool {
     arrival.body == BODY.as_bytes()
 }
 
-/// Sends it to one of some gateways, on one of two routes.
+/// Sends the deadly request to a random gateway on one of two routes, and returns the body of the response.
 pub(crate) fn send(rng: &mut fastrand::Rng, gateways: &[SocketAddr]) -> String {
     let gateway = gateways[rng.usize(..gateways.len())];
     let id = format!("{ID_PREFIX}{:x}", rng.u64(..));
@@ -40,7 +40,8 @@
     request(gateway, message(method, path, &id, extra_headers, BODY).as_bytes()).text()
 }
 
-/// After the last fault, and the time in which all must learn, hardly any of its sends may reach an engine.
+/// Checks that hardly any attempts of the deadly request reach an engine once the faults have ended and the quarantine has
+/// had time to reach all gateways.
 pub(crate) fn check_refused(testbed: &mut Testbed, seed: u64) -> Option<String> {
     let crashes = testbed.fleet.arrivals().iter().filter(|a| a.was_run && is_deadly(a)).count();
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -53,7 +54,7 @@
             arrivals_before = Some(count_arrivals(testbed));
         }
     }
-    // Each of the two routes makes it another request.
+    // The limits are doubled because each of the two routes makes it a different request.
     let later_arrivals = count_arrivals(testbed) - arrivals_before.unwrap_or_default();
     let is_violated = crashes >= 2 * MAX_CRASHES && later_arrivals > 2 * MAX_LATER_ARRIVALS;
     is_violated.then(|| {
--- a/soak/src/domains.rs
+++ b/soak/src/domains.rs
@@ -1,4 +1,4 @@
-//! A failure domain that is emptied and returned, and backend servers that are cold.
+//! Evacuates a failure domain and returns it to service, and starts cold backend servers.
 
 use std::time::Duration;
 
@@ -8,46 +8,50 @@
 use crate::faults::Fault;
 use crate::testbed::Testbed;
 
-/// The domain that is emptied.
+/// The failure domain that is evacuated.
 pub(crate) const TEST_DOMAIN: &str = "hall-2";
 
-/// A domain without servers: an order for it shows how far a gateway has read.
+/// A failure domain without servers. Its evacuation order is published last, so a gateway that has applied it has also
+/// applied the orders before it.
 const MARKER_DOMAIN: &str = "hall-last";
 
-/// How long an engine is cold.
+/// How long an engine stays cold.
 pub(crate) const COLD_DURATION: Duration = Duration::from_secs(2);
 
-/// Requests a second that a cold engine bears on average, and the most within any second: half as many more, and five.
+/// Mean request rate that a cold engine can handle.
 pub(crate) const COLD_MEAN_REQUESTS_PER_S: f64 = 8.0;
+
+/// Maximum number of requests that it can handle within any second: 1.5 times the mean rate plus 5, as in the bounds that
+/// `Testbed::start` sets.
 const COLD_MAX_REQUESTS_PER_S: usize = 17;
 
-/// Longest time until a gateway knows an order once nothing disturbs it.
+/// Time within which a gateway must have applied an evacuation order once the faults have ended.
 const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One step in so many empties the domain or returns it, and one in so many starts an engine.
+/// On average, one step in this many evacuates the domain or returns it, and one in this many starts a cold engine.
 const ONE_STEP_IN: u32 = 3;
 
-/// Steps without trouble of the store between two orders: some two seconds.
+/// Minimum number of consecutive steps with a readable store between two orders, about two seconds.
 const MIN_UNDISTURBED_STEPS: u32 = 4;
 
-/// Requests to each gateway after the domain was emptied.
+/// Number of requests sent to each gateway after the final evacuation.
 const FINAL_REQUESTS: usize = 20;
 
-/// Orders to empty a domain, and engines that start meanwhile.
+/// State of the evacuations, and of the faults that delay them.
 #[derive(Debug)]
 pub(crate) struct Domains {
     rng: fastrand::Rng,
     is_evacuated: bool,
-    /// What keeps gateways from reading the store.
+    /// Faults that may keep gateways from reading the store.
     store_fault: StoreFault,
     store_link_fault: LinkFault,
-    /// Steps in a row in which nothing did.
+    /// Number of consecutive steps in which gateways could read the store.
     undisturbed_steps: u32,
 }
 
 impl Domains {
     pub(crate) fn new(seed: u64) -> Self {
-        // Not the numbers by which the other faults are drawn.
+        // A sequence distinct from those of the other faults of the same seed.
         Self {
             rng: fastrand::Rng::with_seed(seed.rotate_left(32)),
             is_evacuated: false,
@@ -57,7 +61,7 @@
         }
     }
 
-    /// Notes a fault that is brought about.
+    /// Records a fault that is about to be injected.
     pub(crate) fn record_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Store(fault) => self.store_fault = fault,
@@ -71,10 +75,10 @@
         self.undisturbed_steps = if is_store_readable { self.undisturbed_steps + 1 } else { 0 };
     }
 
-    /// Empties the domain or returns it, whose engines are cold then, and starts engines.
+    /// Randomly starts a cold engine, and evacuates the domain or returns it with cold engines.
     ///
-    /// The operator waits until all gateways can have read the order before: one that never knew that the domain was
-    /// emptied sends there as ever, which is more here than a cold engine bears.
+    /// The next order waits until all gateways have had time to read the previous one. A gateway that never read the
+    /// evacuation order would keep sending requests to the domain at the full rate, which overloads its cold engines.
     pub(crate) fn step(&mut self, testbed: &mut Testbed) -> Option<String> {
         if self.rng.u32(..ONE_STEP_IN) == 0 {
             let service = if self.rng.bool() { "plain" } else { "models" };
@@ -91,7 +95,7 @@
         }
         testbed.fleet.order_evacuation(TEST_DOMAIN, self.is_evacuated);
         if !self.is_evacuated {
-            // Each engine says so with its next heartbeat.
+            // Each engine reports that it is ready in its next heartbeat.
             let is_present =
                 |engine: &&Engine| !testbed.withdrawn_engines.contains(&engine.spec.id);
             domain_engines(testbed)
@@ -101,8 +105,8 @@
         Some(format!("Empty({})", self.is_evacuated))
     }
 
-    /// Checks that cold engines got no more than they bear, and that no gateway sends to the domain once it knows that it
-    /// is emptied.
+    /// Checks that no cold engine received more requests than it can handle, and that no gateway sends requests to the
+    /// domain once it has applied the evacuation order.
     pub(crate) fn check(testbed: &Testbed) -> Vec<String> {
         let fleet = &testbed.fleet;
         let engines = fleet.engines.iter().chain(&fleet.crashed);
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The schedule of faults that a seed gives, and how each is brought about.
+//! Derives the schedule of faults from a seed, and injects the faults.
 
 use std::fmt;
 use std::sync::atomic::Ordering;
@@ -9,35 +9,35 @@
 
 use crate::testbed::Testbed;
 
-/// A fault, with how long it lasts where it ends by itself.
+/// A fault. Its `Debug` form is printed in the list of faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
-    /// A new version of the configuration, with a key gone or back.
+    /// Publishes a new version of the configuration, in which an API key is removed or restored.
     Configure,
-    /// An engine reports that it drains, and is gone later.
+    /// An engine reports that it is draining, and is unregistered.
     Drain,
-    /// A gateway stands still.
+    /// Suspends a gateway's process for a time.
     Freeze(usize),
-    /// The way to an engine is disturbed, the engine drawn by a number.
+    /// Sets a fault on the connections to an engine, which is selected by a number.
     EngineWay(usize, LinkFault),
-    /// The way to the store is disturbed.
+    /// Sets a fault on the connections to the store.
     StoreWay(LinkFault),
-    /// Something on the way to the store, and to an engine drawn by a number, loses track of all open
-    /// connections.
+    /// All open connections to the store, and to an engine selected by a number, go silent without being closed, as after
+    /// a middlebox lost its connection state.
     LostConnections(usize),
-    /// A gateway is killed and started anew.
+    /// Kills and restarts a gateway.
     Kill(usize),
-    /// All gateways are killed at once and started anew.
+    /// Kills all gateways at once and restarts them.
     KillAll,
-    /// This many thousandths of the engines' answers go wrong.
+    /// Sets the share of engine responses that fail, in thousandths.
     Mishaps(u32),
-    /// A new engine comes.
+    /// Starts a new engine.
     NewEngine,
-    /// A gateway is asked to stop, ends by itself and is started anew.
+    /// Sends SIGTERM to a gateway, which must exit by itself, and restarts it.
     Stop(usize),
-    /// The store misbehaves.
+    /// Sets a fault of the store.
     Store(StoreFault),
-    /// The store forgets its history.
+    /// Removes the records from the logs of two topics of the store; the latest value of each key stays.
     StoreForgets,
 }
 
@@ -47,15 +47,15 @@
     }
 }
 
-/// One fault of a schedule.
+/// A fault with its place in the schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ScheduledFault {
-    /// Time since the fault before.
+    /// Time to wait after the previous fault.
     pub(crate) delay: Duration,
     pub(crate) fault: Fault,
 }
 
-/// Draws the schedule of a seed.
+/// Draws the schedule of faults for a seed.
 pub(crate) fn schedule(seed: u64, gateways: usize, duration: Duration) -> Vec<ScheduledFault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut scheduled, mut elapsed) = (Vec::new(), Duration::ZERO);
@@ -105,26 +105,30 @@
     all[rng.usize(..all.len())]
 }
 
-/// Longest time in which a gateway that was asked to stop must have ended: its grace and a margin.
+/// Time within which a gateway must exit after SIGTERM: its grace period and a margin.
 const STOP_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Returns the way to an engine that is drawn by a number.
+/// Returns the proxy in front of the engine that is selected by a number.
 fn engine_proxy(testbed: &Testbed, n: usize) -> Option<&TcpProxy> {
     let engines = &testbed.fleet.engines;
     let engine = engines.get(n % engines.len().max(1))?;
     testbed.fleet.engine_proxies.get(&engine.spec.id)
 }
 
-/// Lets all bytes through again.
+/// Clears the faults of all proxies. The proxy in front of the store returns to its normal rate.
 pub(crate) fn clear_link_faults(testbed: &Testbed) {
     testbed.fleet.engine_proxies.values().for_each(|proxy| proxy.set_fault(LinkFault::None));
     testbed.fleet.store_proxy.iter().for_each(|proxy| proxy.set_fault(testbed.normal_store_link));
 }
 
-/// Length of a freeze.
+/// How long a gateway is suspended.
 const FREEZE_DURATION: Duration = Duration::from_millis(1_200);
 
-/// Brings a fault about; `Err` if the gateway broke a promise in it.
+/// Injects a fault.
+///
+/// # Errors
+///
+/// Returns a description of the violation if a gateway violates a guarantee meanwhile.
 pub(crate) fn inject(testbed: &mut Testbed, fault: Fault) -> Result<(), String> {
     match fault {
         Fault::Configure => {
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,9 +1,8 @@
-//! Runs gateways as processes under random faults and checks the promises meanwhile.
+//! Runs gateways as processes under random faults and checks that their guarantees hold.
 //!
-//! Faults come from outside the processes: signals, a store that misbehaves, engines that break
-//! off, lose, garble or refuse, configurations and roll-outs in series. What callers and engines
-//! saw is then checked. A seed gives the same schedule of faults each time; what races between
-//! processes still differs.
+//! Faults are injected from outside the processes: signals, store failures, engines that cut off, lose, corrupt or refuse
+//! responses, and repeated configuration changes. The requests and responses that callers and engines recorded are then
+//! checked. A seed always gives the same schedule of faults, but the timing between processes still varies.
 
 mod checks;
 mod deadly;
--- a/soak/src/reports.rs
+++ b/soak/src/reports.rs
@@ -58,7 +58,7 @@
 struct SentRequest<'a> {
     arrival: &'a Arrival,
     gateway: usize,
-    /// Whether the gateway has passed on this engine's answer to the caller.
+    /// Whether the gateway has forwarded this engine's response to the caller.
     is_answered: bool,
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Notes a fault that started at `began` and has just been brought about.
+    /// Records a fault that started at `started_at` and has just been injected.
     pub(crate) fn record_fault(&mut self, testbed: &Testbed, fault: Fault, started_at: Instant) {
         let gateways = match fault {
             Fault::Freeze(n) | Fault::Kill(n) | Fault::Stop(n) => n..n + 1,
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Checks that each gateway complied with what it had learned from the answers of engines.
+    /// Checks that each gateway complied with the reports that it had received in the responses of engines.
     pub(crate) fn check(
         &self,
         arrivals: &[Arrival],
@@ -205,7 +205,7 @@
         })
     }
 
-    /// Checks the request rate under a limit, counting only gateways that have passed on an answer with it.
+    /// Checks the request rate under a limit, counting only gateways that have forwarded a response with it.
     fn check_limit(&self, limit: &Limit, sent: &[SentRequest<'_>]) -> Option<String> {
         let is_in_force = |at: Instant| {
             at >= limit.since + LIMIT_GRACE && limit.until.is_none_or(|until| at < until)
--- a/soak/src/restores.rs
+++ b/soak/src/restores.rs
@@ -1,28 +1,28 @@
-//! A store that comes back from older copies.
+//! Restores the store from older copies.
 
 use redwingfold_standins::platform::StoreSnapshot;
 
 use crate::testbed::Testbed;
 
-/// One step in so many makes a copy or comes back from it.
+/// On average, one step in this many copies the store or restores it from the copy.
 const ONE_STEP_IN: u32 = 3;
 
-/// Copies of the store, and who has to write again.
+/// The current copy of the store, and whether lost data must be written again.
 #[derive(Debug)]
 pub(crate) struct Restores {
     rng: fastrand::Rng,
     copy: Option<StoreSnapshot>,
-    /// Whether the operator and the engines have still to write again what the store lost.
+    /// Whether the operator and the engines have yet to rewrite the data that the store lost.
     has_pending_rewrite: bool,
 }
 
 impl Restores {
     pub(crate) fn new(seed: u64) -> Self {
-        // Not the numbers by which the other faults are drawn.
+        // A sequence distinct from those of the other faults of the same seed.
         Self { rng: fastrand::Rng::with_seed(!seed), copy: None, has_pending_rewrite: false }
     }
 
-    /// Makes a copy, comes back from it, or writes again what was lost, some at once and some a step later.
+    /// Randomly copies the store or restores it from the copy. The lost data is rewritten at once or in the next step.
     pub(crate) fn step(&mut self, testbed: &Testbed) -> Option<String> {
         if std::mem::take(&mut self.has_pending_rewrite) {
             testbed.rewrite_lost_data();
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Playing one seed: callers press on while faults come.
+//! Runs one seed: callers send requests while faults are injected.
 
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -16,71 +16,73 @@
 use crate::restores::Restores;
 use crate::testbed::Testbed;
 
-/// What to play.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The gateway's program.
+    /// Path of the gateway binary.
     pub program: PathBuf,
-    /// The seed.
+    /// Seed of the random faults and requests.
     pub seed: u64,
-    /// How long faults come.
+    /// How long faults are injected.
     pub duration: Duration,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines of each service.
+    /// Number of engines of each service.
     pub engines: usize,
-    /// Callers that press on at a time.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Routes that make the configuration large; with any, the way to the store is slow in calm times, too.
+    /// Number of unused routes that enlarge the configuration. If there are any, connections to the store are slow even
+    /// while no fault is set.
     pub idle_routes: usize,
-    /// Whether a request comes under which each engine ends that runs it.
+    /// Whether to send a deadly request, which crashes each engine that runs it.
     pub deadly: bool,
-    /// Whether the store comes back from older copies.
+    /// Whether to restore the store from older copies.
     pub restores: bool,
-    /// Whether a failure domain is emptied and returned, and engines are cold.
+    /// Whether to evacuate a failure domain and return it, and to start cold engines.
     pub domains: bool,
     /// Whether engines report limits, announce that they are leaving, or refuse requests with `Retry-After`.
     pub reports: bool,
 }
 
-/// What came of a play.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Requests that were sent.
+    /// Number of requests that were sent.
     pub requests: usize,
-    /// Of these, answered with success and whole.
+    /// Number of these that received a complete response with status 200.
     pub served: usize,
-    /// Of these, refused because engines had ended under them, though they are innocent.
+    /// Number of these that were quarantined because engines had crashed while running them, although they were not the
+    /// cause.
     pub quarantined: usize,
-    /// The faults, in order.
+    /// Faults that were injected, in order.
     pub faults: Vec<String>,
-    /// Promises that were broken.
+    /// Violations of guarantees.
     pub broken: Vec<String>,
-    /// What the gateways logged, if a promise was broken.
+    /// Log lines of the gateways, if a guarantee was violated.
     pub lines: Vec<String>,
 }
 
-/// Time that a caller waits.
+/// How long a caller waits for a response.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time in which an innocent request must have been tried again.
+/// Time within which a wrongly quarantined request must be served again.
 const QUARANTINE_CLEAR_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Longest time between two comings of the deadly request, in milliseconds.
+/// Maximum time between two attempts of the deadly request.
 const DEADLY_MAX_INTERVAL_MS: u64 = 800;
 
-/// Time beyond a caller's patience at which an answer counts as held: processes are frozen for
-/// 1.2 s, and the machine may be busy.
+/// Margin beyond the caller's timeout after which a response counts as late: processes are suspended for 1.2 s, and the
+/// machine may be busy.
 const LATE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Time after the last fault in which the fleet must serve again.
+/// Time within which the fleet must serve requests again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Plays a seed.
+/// Runs a seed.
 ///
 /// # Panics
 ///
-/// If a process cannot be started.
+/// Panics if a process cannot be started.
 pub fn run_seed(settings: &Settings) -> Outcome {
     let mut testbed = Testbed::start(settings);
     let scheduled = schedule(settings.seed, settings.gateways, settings.duration);
@@ -88,7 +90,7 @@
     let (stop, next_request) = (AtomicBool::new(false), AtomicU64::new(0));
     let records = Mutex::new(Vec::new());
     let mut reports = Reports::new(settings.seed);
-    // Gateways get new addresses at a restart; callers look them up for each request.
+    // A restart gives a gateway a new address, so callers look up the addresses for each request.
     let addresses = Mutex::new(addresses(&testbed));
     std::thread::scope(|scope| {
         for caller in 0..settings.callers {
@@ -179,7 +181,7 @@
     outcome
 }
 
-/// Says whether a request that was refused before is answered now.
+/// Returns whether a request that was quarantined before is served within the timeout.
 fn is_served(testbed: &Testbed, path: &str) -> bool {
     let (method, extra_headers) = match path.split('/').nth(1) {
         Some("look") => ("GET", ""),
@@ -204,7 +206,7 @@
     testbed.fleet.gateways.iter().map(|g| g.callers).collect()
 }
 
-/// Sends one request, and another on the same connection while it stays open.
+/// Sends a random request and records the response.
 fn send_random_request(
     rng: &mut fastrand::Rng,
     n: u64,
@@ -233,7 +235,7 @@
 fn send(addr: std::net::SocketAddr, text: &str) -> Got {
     let no_response = Got { head: Default::default(), body: Vec::new(), is_whole: false };
     let Ok(mut conn) = Conn::open(addr) else {
-        // A gateway that starts anew has no listener for a moment.
+        // A gateway that is restarting has no listener for a moment.
         std::thread::sleep(Duration::from_millis(20));
         return no_response;
     };
@@ -243,8 +245,7 @@
     }
 }
 
-/// After the last fault, each gateway serves again before long.
-/// Checks that each gateway comes to have the newest configuration in force.
+/// Checks that each gateway applies the latest configuration within the recovery timeout.
 fn check_config_version(testbed: &Testbed) -> Option<String> {
     let version = testbed.config.version;
     let line = format!("event=config_in_force version={version} ");
@@ -254,6 +255,7 @@
         .map(|log| format!("version {version} is not in force after {RECOVERY_TIMEOUT:?}: {log}"))
 }
 
+/// Checks that each gateway serves requests again within the recovery timeout after the last fault.
 fn check_recovery(testbed: &Testbed) -> Option<String> {
     let started_at = Instant::now();
     for n in 0..testbed.fleet.gateways.len() {
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The fleet under test, and engines whose misbehaviour is drawn.
+//! The fleet under test, with engines that fail at random.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::reports::RETRY_AFTER;
 use crate::run::Settings;
 
-/// Bytes a second of a slow way to the store: a configuration of 400 kB takes a second.
+/// Rate of slow connections to the store: a configuration of 400 kB takes a second.
 const SLOW_STORE_BYTES_PER_S: u64 = 400_000;
 
-/// Shares of an engine's answers that go wrong, in thousandths, for all engines of a kind.
+/// Faults of all engines.
 #[derive(Debug, Default)]
 pub(crate) struct EngineFaults {
-    /// Any of the ways below, drawn by the request's id.
+    /// Share of responses that fail, in thousandths. The kind of failure is drawn from the id of the request.
     pub(crate) per_mille: AtomicU32,
     /// Whether engines send `Retry-After` when they refuse a request.
     pub(crate) sends_retry_after: AtomicBool,
@@ -38,8 +38,8 @@
     }
 }
 
-/// Draws a number below 1000 from a request's id and a salt, so that an engine's deeds do not
-/// depend on when the request comes.
+/// Draws a number below 1000 from the id of a request and a salt, so that an engine's behavior does not depend on when the
+/// request arrives.
 fn draw_per_mille(id: &str, salt: u64) -> u32 {
     let mut hash = 0xcbf2_9ce4_8422_2325 ^ salt;
     for byte in id.bytes() {
@@ -48,7 +48,8 @@
     fastrand::Rng::with_seed(hash).u32(..1000)
 }
 
-/// What a plain engine does: its answer's body names the request.
+/// Returns the plan of an engine of the plain service for a request. A correct response has the id of the request in its
+/// body.
 fn plan_plain(arrival: &Arrival, engine_faults: &EngineFaults, salt: u64) -> Plan {
     let body = format!("answer to {}", arrival.id()).into_bytes();
     if draw_per_mille(arrival.id(), salt) >= engine_faults.per_mille.load(Ordering::SeqCst) {
@@ -72,7 +73,7 @@
     }
 }
 
-/// What a model engine does.
+/// Returns the plan of a model engine for a request.
 fn plan_model(arrival: &Arrival, engine_faults: &EngineFaults, salt: u64) -> Plan {
     let id = arrival.id();
     let normal = StreamPlan {
@@ -96,13 +97,13 @@
     }
 }
 
-/// The fleet, and the means to disturb it.
+/// The fleet, and the controls to inject faults into it.
 #[derive(Debug)]
 pub(crate) struct Testbed {
     pub(crate) fleet: PlatformFleet,
     pub(crate) engine_faults: Arc<EngineFaults>,
     pub(crate) config: Config,
-    /// How the way to the store is while nothing disturbs it.
+    /// State of the connections to the store while no fault is set: unrestricted, or limited to a slow rate.
     pub(crate) normal_store_link: LinkFault,
     /// Engines that have drained or announced that they are leaving.
     pub(crate) withdrawn_engines: HashSet<String>,
@@ -169,7 +170,7 @@
         self.start_engine(service, version, None)
     }
 
-    /// Starts one more engine that is cold for a time, in which it bears so many requests within a second.
+    /// Starts one more engine that is cold for a time and can handle at most this many requests within a second meanwhile.
     pub(crate) fn add_cold_engine(&mut self, service: &'static str, cold: (Duration, usize)) {
         self.start_engine(service, "v1", Some(cold));
     }
@@ -193,7 +194,8 @@
         self.fleet.engine_from_spec(EngineSpec::new(&id, service, version, domain), cold, plan)
     }
 
-    /// The operator and the engines write again what a store has lost.
+    /// Writes the configuration and the records of engines to the store again, as the operator and the engines do after the
+    /// store has lost data.
     pub(crate) fn rewrite_lost_data(&self) {
         self.fleet.publish(&self.config);
         let writes = |engine: &&Engine| {
--- a/soak/tests/checkers.rs
+++ b/soak/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each check catches a violation that is planted.
+//! Tests that each checker reports a violation that is planted in a record.
 
 use redwingfold_soak::{RequestRecord, violations};
 use redwingfold_standins::platform::{Arrival, Got, Head};
@@ -39,14 +39,14 @@
     violations(std::slice::from_ref(record), arrivals).iter().any(|v| v.contains(violation))
 }
 
-/// A history in which all is well is not accused.
+/// A run without violations must not be reported.
 #[test]
 fn calm_history_breaks_nothing() {
     let ok = record("/send/1", 200, "answer to r1");
     assert!(violations(std::slice::from_ref(&ok), &[arrival("/send/1")]).is_empty());
 }
 
-/// Each planted violation is found, by the check that is for it.
+/// Each planted violation must be reported by the checker for it.
 #[test]
 fn planted_violations_are_caught() {
     let ok = record("/send/1", 200, "answer to r1");
