--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -175,9 +175,9 @@
         }
         Fault::Stop(n) => {
             testbed.fleet.gateways[n].process.term();
-            let ended = testbed.fleet.gateways[n].process.wait(STOP_TIMEOUT);
+            let exit_status = testbed.fleet.gateways[n].process.wait(STOP_TIMEOUT);
             testbed.fleet.restart(n);
-            if !ended.is_some_and(|status| status.success()) {
+            if !exit_status.is_some_and(|status| status.success()) {
                 return Err(format!("gateway {n} did not end by itself within {STOP_TIMEOUT:?}"));
             }
         }
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -198,13 +198,13 @@
     /// store has lost data.
     pub(crate) fn rewrite_lost_data(&self) {
         self.fleet.publish(&self.config);
-        let writes = |engine: &&Engine| {
+        let is_active = |engine: &&Engine| {
             !engine.is_down() && !self.withdrawn_engines.contains(&engine.spec.id)
         };
         self.fleet
             .engines
             .iter()
-            .filter(writes)
+            .filter(is_active)
             .for_each(|engine| self.fleet.register(engine, "ready"));
     }
 
--- a/soak/tests/checkers.rs
+++ b/soak/tests/checkers.rs
@@ -91,10 +91,10 @@
     let mut leaked = request_arrival.clone();
     leaked.head.headers.push(("credential".to_owned(), "key".to_owned()));
     assert!(is_reported(&ok, &[leaked], "key was passed on"));
-    let mut astray = request_arrival.clone();
-    astray.server = "i-2".to_owned();
-    assert!(is_reported(&ok, &[astray], "not meant for its engine"));
-    let mut unasked = request_arrival;
-    unasked.head.headers[0].1 = "r9".to_owned();
-    assert!(is_reported(&ok, &[unasked], "nobody sent"));
+    let mut misrouted = request_arrival.clone();
+    misrouted.server = "i-2".to_owned();
+    assert!(is_reported(&ok, &[misrouted], "not meant for its engine"));
+    let mut unsolicited = request_arrival;
+    unsolicited.head.headers[0].1 = "r9".to_owned();
+    assert!(is_reported(&ok, &[unsolicited], "nobody sent"));
 }
