--- a/soak/src/bin/redwingfold-soak.rs
+++ b/soak/src/bin/redwingfold-soak.rs
@@ -31,7 +31,7 @@
     /// Number of concurrent callers.
     #[arg(long, default_value_t = 12)]
     callers: usize,
-    /// Number of unused routes, 200 bytes each, that enlarge the configuration; any also make connections to the store slow.
+    /// Number of unused routes of 200 bytes that enlarge the configuration; if any, connections to the store are slow.
     #[arg(long, default_value_t = 0)]
     idle_routes: usize,
     /// Send a request that crashes each engine that runs it.
--- a/soak/src/deadly.rs
+++ b/soak/src/deadly.rs
@@ -40,8 +40,8 @@
     request(gateway, message(method, path, &id, extra_headers, BODY).as_bytes()).text()
 }
 
-/// Checks that hardly any attempts of the deadly request reach an engine once the faults have ended and the quarantine has
-/// had time to reach all gateways.
+/// Checks that hardly any attempts of the deadly request reach an engine once the faults have ended and the quarantine
+/// has had time to reach all gateways.
 pub(crate) fn check_refused(testbed: &mut Testbed, seed: u64) -> Option<String> {
     let crashes = testbed.fleet.arrivals().iter().filter(|a| a.was_run && is_deadly(a)).count();
     let mut rng = fastrand::Rng::with_seed(seed);
--- a/soak/src/domains.rs
+++ b/soak/src/domains.rs
@@ -21,8 +21,8 @@
 /// Mean request rate that a cold engine can handle.
 pub(crate) const COLD_MEAN_REQUESTS_PER_S: f64 = 8.0;
 
-/// Maximum number of requests that it can handle within any second: 1.5 times the mean rate plus 5, as in the bounds that
-/// `Testbed::start` sets.
+/// Maximum number of requests that it can handle within any second: 1.5 times the mean rate plus 5, as in the bounds
+/// that `Testbed::start` sets.
 const COLD_MAX_REQUESTS_PER_S: usize = 17;
 
 /// Time within which a gateway must have applied an evacuation order once the faults have ended.
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -22,8 +22,8 @@
     EngineWay(usize, LinkFault),
     /// Sets a fault on the connections to the store.
     StoreWay(LinkFault),
-    /// All open connections to the store, and to an engine selected by a number, go silent without being closed, as after
-    /// a middlebox lost its connection state.
+    /// All open connections to the store, and to an engine selected by a number, go silent without being closed, as
+    /// after a middlebox lost its connection state.
     LostConnections(usize),
     /// Kills and restarts a gateway.
     Kill(usize),
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Draws a number below 1000 from the id of a request and a salt, so that an engine's behavior does not depend on when the
-/// request arrives.
+/// Draws a number below 1000 from the id of a request and a salt, so that the response of an engine does not depend on
+/// when the request arrives.
 fn draw_per_mille(id: &str, salt: u64) -> u32 {
     let mut hash = 0xcbf2_9ce4_8422_2325 ^ salt;
     for byte in id.bytes() {
@@ -48,8 +48,8 @@
     fastrand::Rng::with_seed(hash).u32(..1000)
 }
 
-/// Returns the plan of an engine of the plain service for a request. A correct response has the id of the request in its
-/// body.
+/// Returns the plan of an engine of the plain service for a request. A correct response has the id of the request in
+/// its body.
 fn plan_plain(arrival: &Arrival, engine_faults: &EngineFaults, salt: u64) -> Plan {
     let body = format!("answer to {}", arrival.id()).into_bytes();
     if draw_per_mille(arrival.id(), salt) >= engine_faults.per_mille.load(Ordering::SeqCst) {
@@ -170,7 +170,8 @@
         self.start_engine(service, version, None)
     }
 
-    /// Starts one more engine that is cold for a time and can handle at most this many requests within a second meanwhile.
+    /// Starts one more engine that is cold for the given time, in which it can handle at most the given number of
+    /// requests within a second.
     pub(crate) fn add_cold_engine(&mut self, service: &'static str, cold: (Duration, usize)) {
         self.start_engine(service, "v1", Some(cold));
     }
@@ -194,8 +195,8 @@
         self.fleet.engine_from_spec(EngineSpec::new(&id, service, version, domain), cold, plan)
     }
 
-    /// Writes the configuration and the records of engines to the store again, as the operator and the engines do after the
-    /// store has lost data.
+    /// Writes the configuration and the records of engines to the store again, as the operator and the engines do
+    /// after the store has lost data.
     pub(crate) fn rewrite_lost_data(&self) {
         self.fleet.publish(&self.config);
         let is_active = |engine: &&Engine| {
