--- a/standins/src/fleet/launch.rs
+++ b/standins/src/fleet/launch.rs
@@ -1,4 +1,4 @@
-//! Starting daemons against stand-ins.
+//! Starts daemons that use the test doubles.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,11 +22,11 @@
 use crate::udp_proxy::UdpProxy;
 use crate::weight_store::WeightStore;
 
-/// Longest wait for anything that must come about.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Lines of each daemon's log that a failed test shows.
-const SHOWN_LINES: usize = 40;
+/// Maximum number of log lines of each daemon that a failed test prints.
+const MAX_SHOWN_LOG_LINES: usize = 40;
 
 const POLL: Duration = Duration::from_millis(5);
 
@@ -34,11 +34,11 @@
 ///
 /// # Panics
 ///
-/// If it does not come to hold in time.
+/// If it does not hold in time.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "waited too long: {what}");
+        assert!(started_at.elapsed() < TIMEOUT, "waited too long: {what}");
         std::thread::sleep(POLL);
     }
 }
@@ -51,7 +51,7 @@
     listen: Option<SocketAddr>,
 }
 
-/// A fleet: stand-ins in this process, daemons as processes. Dropping it kills them.
+/// A fleet: test doubles in this process, daemons as child processes. Dropping it kills the daemons.
 #[derive(Debug)]
 pub struct Fleet {
     /// The log service.
@@ -68,20 +68,20 @@
     pub services: BTreeMap<String, Service>,
     daemons: BTreeMap<String, Daemon>,
     entries: Vec<String>,
-    log_ways: BTreeMap<String, TcpProxy>,
-    peer_ways: BTreeMap<String, UdpProxy>,
+    log_proxies: BTreeMap<String, TcpProxy>,
+    peer_proxies: BTreeMap<String, UdpProxy>,
     bin_dir: PathBuf,
     dir: PathBuf,
-    overlay: Value,
+    setting_overrides: Value,
 }
 
-/// What a fleet is made of.
+/// Builder of a [`Fleet`].
 #[derive(Debug)]
 pub struct FleetBuilder {
     bin_dir: PathBuf,
     entries: usize,
     sides: Vec<(String, String, Backend)>,
-    overlay: Value,
+    setting_overrides: Value,
 }
 
 #[derive(Clone, Debug)]
@@ -92,17 +92,17 @@
 
 static NEXT_DIR: AtomicU32 = AtomicU32::new(0);
 
-/// Failure domains that daemons are spread over.
+/// Failure domains that daemons are assigned to in turn.
 const DOMAINS: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
 impl FleetBuilder {
-    /// Begins a fleet whose programs are in `bin_dir`.
+    /// Creates a builder; the executables of the daemons are in `bin_dir`.
     pub fn new(bin_dir: &Path) -> Self {
-        let overlay = json!({"entry": {}, "side": {}});
-        Self { bin_dir: bin_dir.to_owned(), entries: 1, sides: Vec::new(), overlay }
+        let setting_overrides = json!({"entry": {}, "side": {}});
+        Self { bin_dir: bin_dir.to_owned(), entries: 1, sides: Vec::new(), setting_overrides }
     }
 
-    /// Sets the number of entries; they are called `entry-0` and so on.
+    /// Sets the number of entries; their hosts are `entry-0`, `entry-1` and so on.
     #[must_use]
     pub fn entries(mut self, n: usize) -> Self {
         self.entries = n;
@@ -125,18 +125,18 @@
         self
     }
 
-    /// Sets a group of settings of all daemons of a role.
+    /// Sets a group of settings of all daemons with a role, `entry` or `side`.
     #[must_use]
     pub fn settings(mut self, role: &str, group: &str, value: Value) -> Self {
-        self.overlay[role][group] = value;
+        self.setting_overrides[role][group] = value;
         self
     }
 
-    /// Starts everything and waits until every entry is ready.
+    /// Starts the fleet, publishes the objects and waits until every entry is ready.
     ///
     /// # Panics
     ///
-    /// If something does not start.
+    /// If a part of the fleet does not start.
     pub fn start(self, objects: &Objects) -> Fleet {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let n = NEXT_DIR.fetch_add(1, Ordering::Relaxed);
@@ -151,19 +151,19 @@
             services: BTreeMap::new(),
             daemons: BTreeMap::new(),
             entries: (0..self.entries).map(|i| format!("entry-{i}")).collect(),
-            log_ways: BTreeMap::new(),
-            peer_ways: BTreeMap::new(),
+            log_proxies: BTreeMap::new(),
+            peer_proxies: BTreeMap::new(),
             bin_dir: self.bin_dir,
             dir,
-            overlay: self.overlay,
+            setting_overrides: self.setting_overrides,
         };
         let mut names: Vec<_> = fleet.entries.clone();
         names.extend(self.sides.iter().map(|(host, ..)| host.clone()));
         names.push("ctl".to_owned());
         fleet.make_keys(&names);
         for name in &names {
-            let way = TcpProxy::start(fleet.log.addr).expect("way to the log");
-            fleet.log_ways.insert(name.clone(), way);
+            let proxy = TcpProxy::start(fleet.log.addr).expect("proxy before the log");
+            fleet.log_proxies.insert(name.clone(), proxy);
         }
         fleet.write_ctl_settings();
         for (host, domain, backend) in self.sides {
@@ -193,11 +193,11 @@
         fleet
     }
 
-    /// Starts the stand-ins and makes keys, without any daemon.
+    /// Starts the test doubles and creates TLS keys, without any daemon.
     ///
     /// # Panics
     ///
-    /// If something does not start.
+    /// If a part of the fleet does not start.
     pub fn start_without_daemons(self) -> Fleet {
         self.entries(0).start(&Objects::default())
     }
@@ -233,20 +233,21 @@
         std::fs::write(self.dir.join("ctl.json"), settings.to_string()).expect("ctl settings");
     }
 
-    fn common(&self, host: &str, domain: &str, role: &str) -> Value {
+    fn common_settings(&self, host: &str, domain: &str, role: &str) -> Value {
         let mut settings = json!({
             "host": host,
             "failure_domain": domain,
             "peer_listen": "127.0.0.1:0",
-            "log": {"address": self.log_ways[host].addr},
+            "log": {"address": self.log_proxies[host].addr},
             "host_list": {"address": self.hosts.addr, "every_ms": 200},
             "tls": self.tls(host),
             "batch": {"every_ms": 200},
         });
-        let overlay = self.overlay[role].as_object().cloned().unwrap_or_default();
-        for (group, value) in overlay {
+        let setting_overrides =
+            self.setting_overrides[role].as_object().cloned().unwrap_or_default();
+        for (group, value) in setting_overrides {
             match (settings[&group].as_object_mut(), value) {
-                (Some(held), Value::Object(new)) => held.extend(new),
+                (Some(existing), Value::Object(new)) => existing.extend(new),
                 (_, value) => settings[&group] = value,
             }
         }
@@ -260,7 +261,7 @@
         let program = self.bin_dir.join(format!("redwingfold-{role}"));
         let args = ["--settings", path.to_str().expect("path")];
         let process = Process::start(host, &program, &args).expect("daemon");
-        let line = process.wait_for_line(&format!("event={role}_started"), PATIENCE);
+        let line = process.wait_for_line(&format!("event={role}_started"), TIMEOUT);
         let line = line.unwrap_or_else(|printed| panic!("{printed}"));
         let addr = |key: &str| {
             let value = line.split(' ').find_map(|pair| pair.strip_prefix(key));
@@ -271,9 +272,9 @@
         self.daemons.insert(host.to_owned(), daemon);
     }
 
-    /// Starts a side, or starts it anew after it ended.
+    /// Starts a side, or restarts it after it ended.
     pub fn start_side(&mut self, host: &str, domain: &str) {
-        let mut settings = self.common(host, domain, "side");
+        let mut settings = self.common_settings(host, domain, "side");
         settings["backends"] = match (self.engines.get(host), self.services.get(host)) {
             (Some(e), _) => {
                 json!([{"name": "engine-0", "address": e.addr, "kind": "engine", "slots": 64}])
@@ -290,9 +291,9 @@
         self.launch(host, domain, "side", &settings);
     }
 
-    /// Starts an entry, or starts it anew after it ended.
+    /// Starts an entry, or restarts it after it ended.
     pub fn start_entry(&mut self, host: &str, domain: &str) {
-        let mut settings = self.common(host, domain, "entry");
+        let mut settings = self.common_settings(host, domain, "entry");
         settings["listen"] = json!("127.0.0.1:0");
         if settings["limits"]["drain_accept_ms"].is_null() {
             settings["limits"]["drain_accept_ms"] = json!(100);
@@ -303,7 +304,7 @@
         self.launch(host, domain, "entry", &settings);
     }
 
-    /// Starts a daemon that ended anew, and lists its new address.
+    /// Restarts a daemon that ended, and updates its address in the host list.
     pub fn restart(&mut self, host: &str) {
         let domain = std::fs::read_to_string(self.dir.join(format!("{host}.domain")));
         let domain = domain.expect("domain");
@@ -314,20 +315,20 @@
         self.list_hosts(Duration::ZERO);
     }
 
-    /// Starts a side anew while the old process lives on, and returns the old one.
+    /// Starts a new process of a side while the old one still runs, and returns the old one.
     pub fn replace(&mut self, host: &str) -> Process {
         let old = self.daemons.remove(host).expect("a running daemon");
         self.restart(host);
         old.process
     }
 
-    /// Lists all daemons as live.
+    /// Sets the host list to all daemons, as live; readers see it after `lag`.
     pub fn list_hosts(&self, lag: Duration) {
         let hosts = self.daemons.iter().map(|(host, daemon)| {
             let domain = std::fs::read_to_string(self.dir.join(format!("{host}.domain")));
             HostEntry {
                 host: host.clone(),
-                address: self.peer_ways.get(host).map_or(daemon.peer, |way| way.addr),
+                address: self.peer_proxies.get(host).map_or(daemon.peer, |proxy| proxy.addr),
                 failure_domain: domain.expect("domain"),
                 role: if daemon.listen.is_some() { "entry" } else { "side" }.to_owned(),
                 state: "live".to_owned(),
@@ -337,29 +338,29 @@
         self.hosts.set(hosts.collect(), lag);
     }
 
-    /// Cuts a daemon off from the log service, or connects it again.
-    pub fn cut_log(&self, host: &str, cut: bool) {
-        self.log_ways[host].set_cut(cut);
+    /// Disconnects a daemon from the log service, or connects it again.
+    pub fn set_log_cut(&self, host: &str, cut: bool) {
+        self.log_proxies[host].set_cut(cut);
     }
 
-    /// Puts something before a daemon that can lose track of its connections, and lists it there.
-    pub fn put_proxy(&mut self, host: &str) {
-        let way = UdpProxy::start(self.daemons[host].peer).expect("proxy");
-        self.peer_ways.insert(host.to_owned(), way);
+    /// Starts a proxy that can drop the flows of a daemon's peer connections, and lists the daemon at its address.
+    pub fn add_peer_proxy(&mut self, host: &str) {
+        let proxy = UdpProxy::start(self.daemons[host].peer).expect("proxy");
+        self.peer_proxies.insert(host.to_owned(), proxy);
         self.list_hosts(Duration::ZERO);
     }
 
-    /// Returns what [`Self::put_proxy`] put before a daemon.
-    pub fn proxy(&self, host: &str) -> &UdpProxy {
-        &self.peer_ways[host]
+    /// Returns the proxy that [`Self::add_peer_proxy`] started.
+    pub fn peer_proxy(&self, host: &str) -> &UdpProxy {
+        &self.peer_proxies[host]
     }
 
-    /// Returns a daemon's process.
+    /// Returns the process of a daemon.
     pub fn process(&self, host: &str) -> &Process {
         &self.daemons[host].process
     }
 
-    /// Returns a daemon's address for its peers.
+    /// Returns the address of a daemon for its peers.
     pub fn peer_addr(&self, host: &str) -> SocketAddr {
         self.daemons[host].peer
     }
@@ -370,12 +371,12 @@
         Caller { addr: self.daemons[&host].listen.expect("an entry") }
     }
 
-    /// Returns the folder with settings and keys.
+    /// Returns the folder with the settings and TLS keys.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Waits until an entry is ready and knows of every engine that answers.
+    /// Waits until an entry is ready and lists every side in its status.
     pub fn wait_ready(&self, host: &str) {
         let index = host.trim_start_matches("entry-").parse().expect("an entry");
         let caller: Caller = self.caller(index);
@@ -383,10 +384,10 @@
         wait_until("entry is ready", || caller.send_blocking(&ready).status == 200);
         let sides = self.engines.len() + self.services.len();
         let status = || self.daemon_status(host)["sides"].as_array().map_or(0, Vec::len);
-        wait_until("entry knows the sides", || status() >= sides);
+        wait_until("entry lists the sides", || status() >= sides);
     }
 
-    /// Returns what a daemon says of itself.
+    /// Returns the status of a daemon; null if it has none.
     pub fn daemon_status(&self, host: &str) -> Value {
         let output = self.ctl(&["status", "--json"]);
         let all: Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
@@ -394,7 +395,7 @@
         daemons.into_iter().find(|d| d["host"] == host).unwrap_or_default()
     }
 
-    /// Runs the operator's tool.
+    /// Runs `redwingfold-ctl`.
     pub fn ctl(&self, args: &[&str]) -> Output {
         Command::new(self.bin_dir.join("redwingfold-ctl"))
             .arg("--settings")
@@ -404,14 +405,14 @@
             .expect("redwingfold-ctl")
     }
 
-    /// Writes objects to a file for the operator's tool.
+    /// Writes objects to a file for `redwingfold-ctl`, and returns its path.
     pub fn write_objects(&self, name: &str, objects: &Objects) -> String {
         let path = self.dir.join(format!("{name}.objects"));
         std::fs::write(&path, objects.json()).expect("objects");
         path.to_str().expect("path").to_owned()
     }
 
-    /// Publishes objects.
+    /// Publishes objects as the configuration.
     ///
     /// # Panics
     ///
@@ -419,15 +420,15 @@
     pub fn publish(&self, objects: &Objects) {
         let file = self.write_objects("publish", objects);
         let output = self.ctl(&["publish", &file, "--reason", "test", "--allow-empty"]);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr_text = String::from_utf8_lossy(&output.stderr);
         assert!(
             output.status.success(),
-            "publish: {said} {}",
+            "publish: {stderr_text} {}",
             String::from_utf8_lossy(&output.stdout)
         );
     }
 
-    /// Waits until every running daemon has the newest configuration in force.
+    /// Waits until the latest configuration is in force at every running daemon.
     pub fn wait_in_force(&self) {
         let newest = || self.log.records("config").last().map_or(0, |(offset, _)| *offset);
         wait_until("configuration in force everywhere", || {
@@ -444,7 +445,7 @@
         if std::thread::panicking() {
             for (host, daemon) in &self.daemons {
                 let lines = daemon.process.lines();
-                let last = &lines[lines.len().saturating_sub(SHOWN_LINES)..];
+                let last = &lines[lines.len().saturating_sub(MAX_SHOWN_LOG_LINES)..];
                 eprintln!("--- {host}\n{}", last.join("\n"));
             }
         }
