--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,9 +1,9 @@
 //! Runs gateways as processes under random faults and checks that their guarantees hold.
 //!
-//! Faults are injected from outside the processes: signals, store and connection failures, engines that cut off, lose or
-//! corrupt responses or refuse requests, and repeated configuration changes. The requests and responses that callers and
-//! engines recorded are then checked. A seed always gives the same schedule of faults, but the timing between processes
-//! still varies.
+//! Faults are injected from outside the processes: signals, store and connection failures, engines that cut off, lose
+//! or corrupt responses or refuse requests, and repeated configuration changes. The requests and responses that callers
+//! and engines recorded are then checked. A seed always gives the same schedule of faults, but the timing between
+//! processes still varies.
 
 mod checks;
 mod deadly;
