--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -133,8 +133,8 @@
             fleet.bounds = json!({"cold_over": 1.5, "cold_slack": 5});
         }
         for (route, timeout) in [(0, 3_000), (1, 3_000), (2, 8_000), (3, 8_000)] {
-            let more = config.routes[route].overrides.as_object_mut();
-            more.map(|more| more.insert("timeout_ms".to_owned(), timeout.into()));
+            let overrides = config.routes[route].overrides.as_object_mut();
+            overrides.map(|overrides| overrides.insert("timeout_ms".to_owned(), timeout.into()));
         }
         fleet.publish(&config);
         let mut testbed = Self {
