--- a/core/src/serving/baseline_latency.rs
+++ b/core/src/serving/baseline_latency.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the ratio of a latency of another version to the baseline. Below the mean load, the baseline at the mean
-    /// is used: a slope caused by noise would make a version on idle servers look slow.
+    /// is used: a slope caused by noise would make a version on idle servers appear slow.
     pub fn ratio_of_other_version(&self, time: f64, load: f64) -> Option<f64> {
         self.ratio(time, load.max(self.mean_load))
     }
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -52,7 +52,7 @@
 const ADDRESSES_INTERVAL_TURNS: u32 = 25;
 
 /// Bytes of the budget that address messages to newcomers leave unused. Without this reserve, 298 gateways that
-/// restarted at once spent their whole budget on addresses. Messages on reads of the store then reached nobody, each
+/// restarted at once spent their whole budget on addresses. Messages on reads of the store then reached no peer, each
 /// gateway read the store itself, and callers waited 30 s instead of 8.5 s.
 const BYTES_RESERVED_FROM_ADDRESSES: u64 = 10_000;
 
@@ -211,7 +211,7 @@
 /// Builds the messages on rollouts, each with as many routes as a datagram takes.
 ///
 /// A configuration may have hundreds of routes, whose evidence does not fit into one message. If it were not sent, each
-/// gateway would judge a version by its own answers only.
+/// gateway would evaluate a version by its own answers only.
 fn rollout_messages(gw: &Gateway) -> Vec<PeerMessage> {
     let reports = gw.with_rollouts(|r| r.reports(gw.now()));
     let mut parts: Vec<_> =
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -28,7 +28,7 @@
     WaitForTurn(UpcomingTurns),
     /// All servers have requested a delay with `Retry-After`; this is the shortest remaining one.
     RetryAfter(Millis),
-    /// The version depends on whether the request's session has moved to the new version; its keepers must be asked.
+    /// The version depends on whether the request's session has moved to the new version; its keepers must be queried.
     AskKeepers,
 }
 
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Asks the session's keepers whether it has moved to the new version, and records their answer.
+    /// Queries the session's keepers whether it has moved to the new version, and records their reply.
     async fn ask_keepers(&mut self, wait_deadline: Millis) {
         self.keepers_reply = Some(match self.binding_inputs().session {
             Some(session) => self.gw.ask_keepers(session, wait_deadline).await,
@@ -301,8 +301,8 @@
     }
 }
 
-/// Readmits all excluded servers if their share exceeds `max_share`. When most servers look bad, the fault is more likely
-/// on the network path, and the few remaining servers could not handle the load.
+/// Readmits all excluded servers if their share exceeds `max_share`. When most servers seem to fail, the fault is more
+/// likely on the network path, and the few remaining servers could not handle the load.
 fn limit_excluded_share(places: &mut [Place], max_share: f64) {
     let out = places.iter().filter(|p| p.is_ejected).count();
     if out as f64 > places.len() as f64 * max_share {
