--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -31,7 +31,7 @@
 const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
 /// Approximate bytes of prompt text per token.
-const CHARS_PER_TOKEN: u64 = 4;
+const PROMPT_BYTES_PER_TOKEN: u64 = 4;
 
 /// Times that a request is planned again because a side had a newer configuration.
 const MAX_REPLANS: u32 = 3;
@@ -71,7 +71,7 @@
         let contents = messages.iter().filter_map(|m| m["content"].as_str());
         let prompt = contents.collect::<Vec<_>>().join("\n");
         let answer = value["max_tokens"].as_u64().unwrap_or(DEFAULT_ANSWER_TOKENS);
-        let work_tokens = prompt.len() as u64 / CHARS_PER_TOKEN + answer;
+        let work_tokens = prompt.len() as u64 / PROMPT_BYTES_PER_TOKEN + answer;
         Ok(Self { model_name: name.to_owned(), stream, prompt, work_tokens, body })
     }
 }
@@ -286,10 +286,10 @@
             );
             let may_retry =
                 is_retryable(kind) && version_attempts < self.entry.settings.retry.max_attempts;
-            if !may_retry || !self.entry.try_retry() {
+            if !may_retry || !self.entry.try_spend_retry() {
                 return Err(attempt_error);
             }
-            if !self.has_untried_backend(version, &progress.tried, kind).await {
+            if !self.wait_for_untried_backend(version, &progress.tried, kind).await {
                 return Err(attempt_error);
             }
         }
@@ -297,7 +297,7 @@
 
     /// Returns whether an untried backend server is available. After a lost connection, waits up to
     /// two heartbeat intervals for a replacement connection and the first load report on it.
-    async fn has_untried_backend(
+    async fn wait_for_untried_backend(
         &self,
         version: &VersionName,
         tried: &TriedBackends,
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -97,7 +97,7 @@
     }
 
     /// Takes a retry from the budget; returns `false` if the budget is used up.
-    pub(crate) fn try_retry(&self) -> bool {
+    pub(crate) fn try_spend_retry(&self) -> bool {
         let taken = self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).try_retry();
         self.daemon.telemetry.count(if taken { "retry.taken" } else { "retry.refused" }, 1);
         taken
--- a/src/entry/service_call.rs
+++ b/src/entry/service_call.rs
@@ -95,7 +95,9 @@
             run_state = error.run_state;
             self.step("attempt_failed", format!("{} ({})", error.kind, error.run_state));
             let has_attempts_left = (tried.len() as u32) < self.entry.settings.retry.max_attempts;
-            if !has_attempts_left || self.pick(service, &tried).is_none() || !self.entry.try_retry()
+            if !has_attempts_left
+                || self.pick(service, &tried).is_none()
+                || !self.entry.try_spend_retry()
             {
                 return Err(error);
             }
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -172,7 +172,7 @@
         entry.daemon.telemetry.warn("drain_cut", &[("under_way", &left)]);
     }
     if !entry.bills.flush(FLUSH_TIMEOUT).await {
-        hand_over_bills(entry).await;
+        transfer_bills(entry).await;
     }
     if entry.bills.len() > 0 {
         entry.daemon.telemetry.warn("bills_left", &[("bills", &entry.bills.len())]);
@@ -180,7 +180,7 @@
 }
 
 /// Hands over the unconfirmed bills to the first side that accepts them.
-async fn hand_over_bills(entry: &Arc<Entry>) {
+async fn transfer_bills(entry: &Arc<Entry>) {
     let bills = entry.bills.unconfirmed();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
     for link in entry.sides.all() {
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -192,7 +192,7 @@
         None => claim_load_slot(side, &stream_name, loads, next_version, desired.limit).await?,
     };
     let mut may_be_loading = inherited_slot.is_some();
-    let outcome = match ask_weight_store(side, next_version).await {
+    let outcome = match check_load_permission(side, next_version).await {
         Ok(()) => {
             may_be_loading = true;
             // Versions are added one at a time, so that each load takes a slot of its own.
@@ -373,7 +373,7 @@
     }
 }
 
-async fn ask_weight_store(side: &Side, version: &VersionName) -> Result<(), NotOrdered> {
+async fn check_load_permission(side: &Side, version: &VersionName) -> Result<(), NotOrdered> {
     let Some(addr) = side.settings.orders.weight_store else { return Ok(()) };
     match request_load_permission(&side.daemon.http, addr, version).await {
         LoadPermission::Granted => Ok(()),
