--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -152,8 +152,8 @@
     Closed(ClaimId),
 }
 
-/// Asks the side that the holder's claim names for its outcome, and closes the claim if the side
-/// has not received it.
+/// Requests the outcome of the holder's claim from the side that the claim names. The claim is
+/// closed if the side has not received it.
 async fn resolve_holder(entry: &Entry, holder: &Claim) -> Result<HolderOutcome, RequestError> {
     let unknown = |detail: &str| RequestError::new(ErrorKind::OutcomeUnknown, detail);
     let connection = side_connection(entry, &holder.host).await;
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -16,8 +16,9 @@
 const PAGE_RECORDS: usize = 500;
 const RETRY_DELAY: Millis = Millis(500);
 
-/// Periodically publishes this entry's rating totals to the log, reads those of the other entries,
-/// and tests versions and advances rollouts by the sum. Never returns if rating is configured.
+/// Periodically publishes this entry's rating totals to the log and reads those of the other
+/// entries. Versions are tested and rollouts are advanced by the sum of all totals. Never returns
+/// if rating is configured.
 ///
 /// Totals are published as one batch per interval, and only if ratings were added.
 pub(crate) async fn run_rating_loop(entry: &Arc<Entry>) {
--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -154,7 +154,8 @@
     serde_json::to_vec(&value).unwrap_or_default()
 }
 
-/// Drains requests in flight, then flushes the bills to the log or hands them over to a side.
+/// Drains requests in flight, then flushes the bills to the log. Bills that remain are
+/// transferred to a side.
 async fn shut_down(entry: &Arc<Entry>) {
     entry.drain.begin();
     let limits = &entry.settings.limits;
@@ -179,7 +180,7 @@
     }
 }
 
-/// Hands over the unconfirmed bills to the first side that accepts them.
+/// Transfers the unconfirmed bills to the first side that accepts them.
 async fn transfer_bills(entry: &Arc<Entry>) {
     let bills = entry.bills.unconfirmed();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -121,8 +121,8 @@
 
     /// Returns the load that is reported to the entries.
     ///
-    /// The busy slots are the requests that this side runs and queues, which need no poll to be
-    /// current, or the engine's last report if that is higher.
+    /// The busy slots are the requests that this side runs and queues, or the engine's last report
+    /// if that is higher. The side's own count is always current, the report only after a poll.
     pub(crate) fn load(&self) -> Load {
         let state = self.lock();
         let own_busy = state.running + state.queue.len() as u32;
--- a/src/side/orders.rs
+++ b/src/side/orders.rs
@@ -182,10 +182,10 @@
             "{active_elsewhere} loads are active on other hosts"
         )));
     }
-    // An active load of this host in the log was begun by a previous side process, or its order had
-    // no clear answer, so the engine may still be loading. This side takes over the load slot and
-    // keeps it until the engine has the version: if it released the slot earlier, more hosts than
-    // allowed could load at the same time.
+    // An active load of this host in the log was begun by a previous side process, or the outcome
+    // of its order is unknown, so the engine may still be loading. This side takes over the load
+    // slot and keeps it until the engine has the version: if it released the slot earlier, more
+    // hosts than allowed could load at the same time.
     let inherited_slot = loads.active_load_of(&side.daemon.host);
     let id = match inherited_slot {
         Some(id) => id,
@@ -206,8 +206,8 @@
     state.ended_loads.remove(*next_version);
     let has_ended = match &outcome {
         Ok(()) => true,
-        // The engine got no order or rejected it. An inherited slot now belongs to the side with
-        // the later claim.
+        // The engine received no order or rejected it. An inherited slot now belongs to the side
+        // with the later claim.
         Err(NotOrdered::Superseded) => inherited_slot.is_none(),
         Err(NotOrdered::RetryLater(_)) => !may_be_loading,
     };
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -1,4 +1,4 @@
-//! Ratings of answers stop the roll-out of a bad version and advance that of a good one.
+//! Ratings of answers stop the rollout of a bad version and advance that of a good one.
 
 mod common;
 
@@ -53,7 +53,7 @@
     })
 }
 
-/// A new version that gives only bad answers never leaves the first step of its roll-out: an entry
+/// A new version that gives only bad answers never leaves the first step of its rollout: an entry
 /// withdraws it, and both entries stop using it. The audit trail names the entry and the reason.
 #[test]
 fn bad_version_is_stopped_in_its_first_step() {
@@ -74,7 +74,7 @@
     assert!(audit.contains("entry entry-") && audit.contains("rated answers were bad"), "{audit}");
 }
 
-/// The roll-out of a good version advances through every step to all new sessions without an
+/// The rollout of a good version advances through every step to all new sessions without an
 /// operator.
 #[test]
 fn good_version_goes_on_by_itself() {
@@ -108,7 +108,7 @@
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-1"));
 }
 
-/// A version whose answers turn bad after its roll-out is withdrawn by the same statistical test.
+/// A version whose answers turn bad after its rollout is withdrawn by the same statistical test.
 #[test]
 fn version_that_turns_bad_later() {
     let fleet = fleet(1000);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -138,7 +138,7 @@
 fn an_old_side_that_wakes_gives_its_turn_back() {
     let mut fleet = fleet(&engine(&["slip-1"]));
     fleet.publish(&Objects::default().version("slip-3", "slip", 300, 990));
-    // The side gives orders before it is paused, so that it holds a fencing number.
+    // The side sends orders before it is paused, so that it holds a fencing token.
     for versions in [&["slip-1", "slip-2"][..], &["slip-1"]] {
         place(&fleet, versions);
         wait_until("all engines have the placed versions", || all_have_loaded(&fleet, versions));
@@ -163,8 +163,8 @@
     assert!(load_request.has_ended);
 }
 
-/// A side that was paused while another replaced it gives no order after it resumes, neither to an
-/// engine that checks the fencing number nor to one that ignores it.
+/// A side that was paused while another replaced it sends no order after it resumes, neither to an
+/// engine that checks the fencing token nor to one that ignores it.
 #[test]
 fn an_old_side_that_wakes_gives_no_order() {
     for fencing in [true, false] {
--- a/tests/promise_session.rs
+++ b/tests/promise_session.rs
@@ -36,7 +36,7 @@
     calls.iter().filter_map(|c| c.answered.header("x-model-version")).collect()
 }
 
-/// Existing sessions stay on their version through both entries while a roll-out's share goes up in
+/// Existing sessions stay on their version through both entries while a rollout's share goes up in
 /// steps and is rolled back. New sessions get the version that the share selects.
 #[test]
 fn through_every_step_of_a_roll_out() {
@@ -131,7 +131,7 @@
 }
 
 /// Two entries that receive a new session's first requests at the same time assign it the same
-/// version, although one of them still has the old share of the roll-out.
+/// version, although one of them still has the old share of the rollout.
 #[test]
 fn first_requests_race_through_two_entries() {
     let fleet = fleet();
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -12,7 +12,7 @@
     Ask::chat("ani", "slip", &format!("slip {n}"))
 }
 
-/// Requests are answered although the only connection to the only side drops all packets for good.
+/// Requests succeed although the only connection to the only side drops all packets for good.
 /// The entry misses one heartbeat, opens a new connection from another port, and resends on it the
 /// requests in flight.
 #[test]
