--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -100,8 +100,11 @@
         (MODELS_PATH, "GET") => return Ok(list_models(entry, &caller)),
         (CHAT_PATH, "POST") => {}
         (MODELS_PATH | CHAT_PATH, _) => {
-            let takes = if path == MODELS_PATH { "GET" } else { "POST" };
-            return Err(RequestError::new(ErrorKind::WrongMethod, format!("{path} takes {takes}")));
+            let allowed_method = if path == MODELS_PATH { "GET" } else { "POST" };
+            return Err(RequestError::new(
+                ErrorKind::WrongMethod,
+                format!("{path} takes {allowed_method}"),
+            ));
         }
         _ => return route_service_call(entry, &config, caller, req, peer, metadata, trace).await,
     }
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -140,7 +140,7 @@
     };
     let holders = current_holders(entry, &key);
     let cached = entry.sessions.get(&key, &holders);
-    let (current_pin, copies) = match cached {
+    let (current_pin, replies) = match cached {
         Some(pin) => (Some(pin), Vec::new()),
         None => find_pin(entry, &key).await?,
     };
@@ -148,7 +148,7 @@
     let (pin, moved_from) = match current_pin {
         Some(pin) => match may_run(&pin.version) {
             Ok(()) => {
-                repair_copies(entry, &key, &pin, &copies);
+                repair_copies(entry, &key, &pin, &replies);
                 (pin, None)
             }
             Err(ErrorKind::Withdrawn) => {
@@ -199,20 +199,20 @@
             (link, task)
         })
         .collect();
-    let mut copies = HolderReplies::new();
+    let mut replies = HolderReplies::new();
     for (link, task) in queries {
         let pin = match task {
             Some(task) => task.await,
             None => None,
         };
-        copies.push((link, pin));
+        replies.push((link, pin));
     }
-    if copies.iter().all(|(_, answer)| answer.is_none()) {
+    if replies.iter().all(|(_, reply)| reply.is_none()) {
         return Err(no_holder_error());
     }
-    let pins = copies.iter().filter_map(|(_, answer)| answer.clone().flatten());
+    let pins = replies.iter().filter_map(|(_, reply)| reply.clone().flatten());
     let newest = pins.reduce(|a, b| if b.replaces(&a) { b } else { a });
-    Ok((newest, copies))
+    Ok((newest, replies))
 }
 
 fn no_holder_error() -> RequestError {
@@ -246,9 +246,9 @@
 }
 
 /// Sends the pin, in the background, to holders that replied without it, such as replaced hosts.
-fn repair_copies(entry: &Arc<Entry>, key: &PinKey, pin: &Pin, copies: &HolderReplies) {
-    for (link, answer) in copies {
-        match (link, answer) {
+fn repair_copies(entry: &Arc<Entry>, key: &PinKey, pin: &Pin, replies: &HolderReplies) {
+    for (link, reply) in replies {
+        match (link, reply) {
             (Some(link), Some(held_pin)) if held_pin.as_ref() != Some(pin) => {
                 let (entry, link) = (entry.clone(), link.clone());
                 let request = Call::PinMerge(key.clone(), pin.clone());
