--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -29,8 +29,8 @@
 /// A response that is being received. Dropping it cancels the run.
 pub(crate) struct ResponseStream {
     rx: FrameReader<RunFrame>,
-    // Kept open for the whole run; if it were dropped early, the sending half would finish, which
-    // the side ignores.
+    // Kept so that the sending half is open until the response ends. Dropping it earlier would
+    // finish that half, which has no effect at the side.
     _tx: FrameWriter<Call>,
     run_id: RunId,
     backend: String,
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -485,7 +485,7 @@
     }
 }
 
-/// A response whose head has been received.
+/// A stream of which the head has been received, or a whole response.
 enum StartedResponse {
     Stream { head: RunHead, response_stream: Box<ResponseStream> },
     Whole { head: RunHead, body: Vec<u8>, end: Box<RunEnd>, link: Arc<SideLink> },
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -102,8 +102,8 @@
 ///
 /// If the outcome of the append is unknown, the claim is looked up by its id. A claim that is not
 /// found may still be appended later. The call is then refused as not run, which stays true: this
-/// entry never runs it, and the side that the claim names closes the claim when a repeat of the
-/// call asks for its outcome.
+/// entry never runs it, and the entry that handles a repeat of the call has the side that the claim
+/// names close it.
 async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<ClaimStatus, RequestError> {
     let partition = partition_of(claim.key);
     let json = serde_json::to_vec(claim).unwrap_or_default();
--- a/src/peer/control.rs
+++ b/src/peer/control.rs
@@ -85,7 +85,7 @@
         self.health_changed.notify(usize::MAX);
     }
 
-    /// Queues a message for the control stream; it is dropped if the connection is closed.
+    /// Queues a message for the control stream. It is never sent if the connection closes first.
     pub(crate) fn send(&self, message: Control) {
         self.out_tx.try_send(message).ok();
     }
--- a/src/platform/weights.rs
+++ b/src/platform/weights.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LoadPermission {
     Granted,
-    /// Refused, or the store is unreachable: ask again after this time.
+    /// Refused, or the store is unreachable: retry after this time.
     RetryAfter(Millis),
 }
 
