--- a/src/billing/bill_outbox.rs
+++ b/src/billing/bill_outbox.rs
@@ -1,8 +1,8 @@
 //! Stores billing records until the log confirms them, and appends them in batches.
 //!
-//! A batch whose append had no clear result is appended again without reading the log. This is safe
-//! because bills are deduplicated by id. Reading the whole stream back in every daemon would exceed
-//! the byte budget for control traffic.
+//! A batch is appended again, without reading the log, if the outcome of its append is unknown.
+//! This is safe because bills are deduplicated by id. Reading the whole stream back in every daemon
+//! would exceed the byte budget for control traffic.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/src/config_store/stream_reader.rs
+++ b/src/config_store/stream_reader.rs
@@ -126,7 +126,8 @@
                 snapshot_offset = snapshot.config.offset;
                 telemetry.info("snapshot_written", &[("offset", &snapshot_offset)]);
             }
-            // If the append took effect without an answer, the next check finds the snapshot.
+            // If the append took effect but its response was lost, the next check finds the
+            // snapshot.
             Err(e) => {
                 telemetry.warn("snapshot_failed", &[("why", &e)]);
                 Timer::after(to_duration(MAX_BACKOFF)).await;
