--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -19,7 +19,7 @@
         .start(&objects())
 }
 
-fn spoil(fleet: &Fleet, version: &str, bad_per_mille: u32) {
+fn set_bad_share(fleet: &Fleet, version: &str, bad_per_mille: u32) {
     for engine in fleet.engines.values() {
         engine.set(|f| {
             f.bad.insert(version.to_owned(), bad_per_mille);
@@ -58,17 +58,17 @@
 #[test]
 fn bad_version_is_stopped_in_its_first_step() {
     let fleet = fleet(1000);
-    spoil(&fleet, "slip-2", 1000);
+    set_bad_share(&fleet, "slip-2", 1000);
     roll_out(&fleet, 50);
     let traffic = traffic(&fleet);
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-2"));
     fleet.wait_in_force();
-    let known = now_us();
+    let in_force_at_us = now_us();
     traffic.wait_for(100);
     let calls = traffic.stop();
     assert_eq!(share(&fleet), 50);
-    let by_bad = |c: &&Call| c.answered.header("x-model-version") == Some("slip-2");
-    assert!(calls.iter().filter(by_bad).all(|c| c.sent_us < known));
+    let from_bad_version = |c: &&Call| c.answered.header("x-model-version") == Some("slip-2");
+    assert!(calls.iter().filter(from_bad_version).all(|c| c.sent_us < in_force_at_us));
     assert!(calls.iter().all(|c| c.answered.status == 200));
     let audit = String::from_utf8_lossy(&fleet.ctl(&["audit"]).stdout).into_owned();
     assert!(audit.contains("entry entry-") && audit.contains("rated answers were bad"), "{audit}");
@@ -97,7 +97,7 @@
 #[test]
 fn evidence_of_two_entries_adds_up() {
     let fleet = fleet(1);
-    spoil(&fleet, "slip-1", 1000);
+    set_bad_share(&fleet, "slip-1", 1000);
     for n in 0..10 {
         let answered =
             fleet.caller(n % 2).send_blocking(&Ask::chat("ani", "slip", &format!("slip {n}")));
@@ -114,7 +114,7 @@
     let fleet = fleet(1000);
     let traffic = traffic(&fleet);
     traffic.wait_for(60);
-    spoil(&fleet, "slip-1", 900);
+    set_bad_share(&fleet, "slip-1", 900);
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-1"));
     traffic.stop();
 }
