--- a/src/entry/decisions.rs
+++ b/src/entry/decisions.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The traces of this entry's most recent requests, at most `max`.
+/// The traces of this entry's most recent requests, at most `max_traces`.
 #[derive(Debug)]
 pub(crate) struct Decisions {
     max_traces: usize,
--- a/src/platform/log.rs
+++ b/src/platform/log.rs
@@ -102,8 +102,9 @@
         Self { addr: settings.address, timeout: settings.timeout_ms, http: Client::default() }
     }
 
-    /// Appends a record, without retries. After [`LogError::Unknown`], the caller must read the
-    /// stream to find out whether the append took effect before it retries.
+    /// Appends a record, without retries. After [`LogError::Unknown`], the append may have taken
+    /// effect: unless a duplicate of the record has no effect, the caller must read the stream
+    /// before it retries.
     pub(crate) async fn append(&self, stream: &str, record: Vec<u8>) -> Result<Offset, LogError> {
         let target = format!("/streams/{stream}/append");
         let timeout = CallTimeout::Total(to_duration(self.timeout));
