--- a/gateway/src/exchange/page.rs
+++ b/gateway/src/exchange/page.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Makes the handler of the pages with this gateway's copy of the store's feeds.
+/// Creates the handler of the pages with this gateway's copy of the store's feeds.
 pub fn feed_pages(gw: Rc<Gateway>) -> impl Fn(&Uri) -> Option<GatewayResponse> + Clone {
     move |uri| {
         let query = FeedQuery::parse(uri.query().unwrap_or_default());
--- a/gateway/src/feeds.rs
+++ b/gateway/src/feeds.rs
@@ -13,7 +13,7 @@
     Orders,
     /// Backend servers. Records arrive many times a second and mostly repeat known state: messages carry the changes.
     Servers,
-    /// Marks of requests during which servers ended. They are rare and short: messages carry them.
+    /// Marks of requests during which servers terminated. They are rare and short: messages carry them.
     Marks,
 }
 
@@ -46,7 +46,8 @@
     pub orders: Millis,
     /// Servers. A draining server may still get requests for a while.
     pub servers: Millis,
-    /// Marks of requests. All gateways must have them shortly after a third server has ended during the same request.
+    /// Marks of requests. All gateways must have them shortly after a third server has terminated during the same
+    /// request.
     pub marks: Millis,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl Feeds {
-    /// Makes the feeds of a gateway that has read nothing yet.
+    /// Creates the state of a gateway that has not read any feed yet.
     pub(crate) fn new(periods: FeedPeriods) -> Self {
         Self {
             orders: FeedView::new(periods.orders),
@@ -122,7 +123,7 @@
         self.view(feed).highest_next()
     }
 
-    /// Returns the time as of which a feed is known, if it ever was.
+    /// Returns the time as of which a feed is known; `None` if it never was.
     pub fn as_of(&mut self, feed: Feed) -> Option<Millis> {
         self.view(feed).as_of()
     }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -28,7 +28,7 @@
 use crate::turns::TurnWaiters;
 
 /// Longest time after its start for which a gateway's requests wait for the marks of requests during which servers
-/// ended.
+/// terminated.
 const MARKS_WAIT_LIMIT: Millis = Millis(1_000);
 
 /// Whether a gateway accepts requests.
@@ -82,7 +82,7 @@
     pub(crate) session_keepers: SessionKeepers,
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<OrderSnapshots>,
-    /// Runs whose connections broke off, and the servers that ended.
+    /// Runs whose connections broke off, and the servers that terminated.
     pub(crate) interrupted_runs: Rc<RefCell<InterruptedRuns>>,
     /// Notified when a server whose runs broke off was probed.
     pub(crate) server_probed: Event,
@@ -130,7 +130,7 @@
 }
 
 impl Gateway {
-    /// Makes a gateway without a configuration.
+    /// Creates a gateway without a configuration.
     pub fn new(
         settings: GatewaySettings,
         header_codec: HeaderCodec,
@@ -140,7 +140,8 @@
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
         let connect_timeout = ConnectTimeout::new(settings.connect_timeout);
-        // Many gateways detect the end of a server at once. A random delay keeps their writes of marks from contending.
+        // Many gateways detect the termination of a server at once. A random delay keeps their writes of marks from
+        // contending.
         let write_delay = settings.quarantine.write_delay;
         let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
         let quarantine = Quarantine::new(QuarantinePolicy { write_delay, ..settings.quarantine });
@@ -247,8 +248,8 @@
 
     /// Handles a restore of the store from an older copy, which shows in its era.
     ///
-    /// The state in force is kept until the rewritten store differs from it. Lost records are rewritten by their
-    /// authors: those of gateways by the tasks that wrote them.
+    /// The state in force is kept until the rewritten store differs from it. Lost records are written again by
+    /// their authors; those of gateways by the tasks that wrote them.
     pub fn store_restored(&self, before: u64, era: u64) {
         let now = self.now();
         self.telemetry.count("store.restored", 1);
@@ -317,7 +318,7 @@
         self.pressure.set(pressure);
     }
 
-    /// Returns the pressure on the engines, measured by first attempts.
+    /// Returns the pressure on the backend servers, measured by first attempts.
     pub(crate) fn pressure(&self) -> f64 {
         self.pressure.get().value()
     }
@@ -375,11 +376,11 @@
         }
     }
 
-    /// Waits until the marks of requests during which servers ended are known. The wait is short and happens only after
-    /// the start, as the store may be unavailable while other gateways send the marks.
+    /// Waits until the marks of requests during which servers terminated are known. The wait is short and happens only
+    /// after the start, as the store may be unavailable while other gateways send the marks.
     ///
-    /// Load pattern: all gateways restart while a request that ends servers is repeated. Without the wait, the first
-    /// ready gateway sent it to servers before it had read its marks.
+    /// Load pattern: all gateways restart while a request that terminates servers is repeated. Without the wait, the
+    /// first ready gateway sent it to servers before it had read its marks.
     pub(crate) async fn wait_for_marks(&self) {
         let until = self.started_at.after(MARKS_WAIT_LIMIT);
         while self.now() < until {
--- a/gateway/src/peer_table.rs
+++ b/gateway/src/peer_table.rs
@@ -11,7 +11,7 @@
 pub struct PeerTable(Rc<RefCell<Members<SocketAddr>>>);
 
 impl PeerTable {
-    /// Makes an empty table for the gateway at `own`.
+    /// Creates an empty table for the gateway at `own`.
     ///
     /// ```
     /// use redwingfold_core::Millis;
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -57,7 +57,7 @@
     Cut(String),
 }
 
-/// The next event in the relay of a stream.
+/// What occurs next while a stream is forwarded.
 enum RelayStep {
     CallerGone,
     Deadline,
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -95,10 +95,10 @@
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
         let deadline = received_at.after(metadata.timeout.unwrap_or(longest).min(longest));
         let is_chosen_here = metadata.model == RequestedModel::Any && !route.sizes.is_empty();
-        // Starts with the smallest model, also when a caller resumes a broken stream. The gateway does not
-        // know which model produced its beginning, but the smallest one reports again how confident it is.
+        // Starts with the smallest model, also when a caller resumes a broken stream. Which model
+        // produced its beginning is unknown, but the smallest one reports its confidence again.
         // After a restart of all processes, hundreds of streams are resumed at once; sending all of them to
-        // the largest model kept the engines full for ten seconds.
+        // the largest model kept the servers full for ten seconds.
         let size = is_chosen_here.then_some(0);
         gw.in_flight.set(gw.in_flight.get() + 1);
         gw.request_body_bytes.set(gw.request_body_bytes.get() + parts.body.len());
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -26,7 +26,7 @@
     EventGap(Millis),
 }
 
-/// An observation on an answer, with what it is compared by.
+/// An observation on an answer, with the attributes by which it is compared.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSample<'a> {
     pub(crate) service: &'a ServiceName,
@@ -169,7 +169,7 @@
             self.end_rollout(&service, Phase::RolledBack, now);
         }
         match stored_status {
-            // Other gateways may report what the store said before it was restored from an older copy.
+            // Other gateways may report a status from before the store was restored from an older copy.
             StoredStatus::Ended(phase) if may_be_outdated => self.end_rollout(&service, phase, now),
             _ if may_be_outdated => {}
             StoredStatus::Ended(phase) => self.record_status(&service, &target, Some(phase), now),
--- a/gateway/src/rollouts/mod.rs
+++ b/gateway/src/rollouts/mod.rs
@@ -200,7 +200,7 @@
         self.has_urgent_report = true;
     }
 
-    /// Returns whether a report must be sent without delay, and clears that mark.
+    /// Returns whether a report must be sent without delay, and clears that flag.
     pub(crate) fn take_urgent_report(&mut self) -> bool {
         std::mem::take(&mut self.has_urgent_report)
     }
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Queries the session's keepers whether it has moved to the new version, and records their reply.
+    /// Asks the session's keepers whether it has moved to the new version, and records their reply.
     async fn ask_keepers(&mut self, wait_deadline: Millis) {
         self.keepers_reply = Some(match self.binding_inputs().session {
             Some(session) => self.gw.ask_keepers(session, wait_deadline).await,
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Discards the load and health of a server's previous incarnation, and records that it ended.
+    /// Discards the load and health of a server's previous incarnation, and records that it terminated.
     fn reset_restarted_server(&self, id: &BackendId) {
         self.loads.forget(id);
         self.record_server_end(id);
--- a/gateway/src/session_keepers.rs
+++ b/gateway/src/session_keepers.rs
@@ -35,7 +35,8 @@
 /// Most messages waiting to be sent. New ones beyond it are dropped.
 const OUTBOX_CAPACITY: usize = 1_024;
 
-/// A message between gateways on a session, which is named by its key. The sender of a query chooses the query id.
+/// A message between gateways about a session, which is identified by its key. The sender of a query chooses the
+/// query id.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum SessionMessage {
     /// The session has moved.
@@ -80,7 +81,7 @@
 struct KeeperReply {
     from: SocketAddr,
     has_moved: bool,
-    /// Number of gateways that may reply, by the sender's table of peers.
+    /// Number of gateways that may reply, according to the sender's table of peers.
     keepers: usize,
 }
 
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Queries the keepers of a session whether it has moved. A gateway that has just started repeats the query until
+    /// Asks the keepers of a session whether it has moved. A gateway that has just started repeats the query until
     /// `until`.
     pub(crate) async fn ask_keepers(&self, session: SessionKey, until: Millis) -> KeepersReply {
         self.telemetry.count("sessions.asked", 1);
