--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -312,9 +312,9 @@
     }
 
     /// Records the time to the first byte of a request's first attempt, and the target for it.
-    pub(crate) fn record_first_attempt(&self, took: Millis, aim: Millis) {
+    pub(crate) fn record_first_attempt(&self, took: Millis, target: Millis) {
         let mut pressure = self.pressure.get();
-        pressure.record(took, aim);
+        pressure.record(took, target);
         self.pressure.set(pressure);
     }
 
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -221,7 +221,10 @@
         now: Millis,
     ) -> Vec<u32> {
         let Tables { peers, unreached, .. } = &mut *self.0.borrow_mut();
-        update.sent.into_iter().for_each(|(server, takes)| peers.record_sent(server, takes, now));
+        update
+            .sent
+            .into_iter()
+            .for_each(|(server, prefill_time)| peers.record_sent(server, prefill_time, now));
         for (server, report) in update.reports {
             peers.record_report(server, report, now);
             unreached.record_answer(server);
--- a/gateway/src/peer_message.rs
+++ b/gateway/src/peer_message.rs
@@ -345,8 +345,11 @@
     /// Sets the fields on loads.
     pub(crate) fn set_loads(&mut self, update: LoadUpdate, now: Millis) {
         let short = |n: u64| n.min(u64::from(u16::MAX)) as u16;
-        self.sent =
-            update.sent.into_iter().map(|(server, takes)| (server, short(takes.0))).collect();
+        self.sent = update
+            .sent
+            .into_iter()
+            .map(|(server, prefill_time)| (server, short(prefill_time.0)))
+            .collect();
         let report = |(server, r): (u32, ServerReport)| {
             (server, short(u64::from(r.running)), short(u64::from(r.waiting)))
         };
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -138,8 +138,8 @@
     metadata: &RequestMetadata,
 ) -> Result<(), RequestError> {
     let longest = route.timeout.unwrap_or(Millis(u64::MAX));
-    let takes = metadata.timeout.unwrap_or(longest).min(longest);
-    if gw.lifecycle() != Lifecycle::Stopping || gw.now().after(takes) < gw.stop_deadline() {
+    let max_duration = metadata.timeout.unwrap_or(longest).min(longest);
+    if gw.lifecycle() != Lifecycle::Stopping || gw.now().after(max_duration) < gw.stop_deadline() {
         return Ok(());
     }
     let failed = RequestError::new(ErrorKind::Stopping, "this process stops");
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -106,18 +106,19 @@
         }
     }
 
-    /// Applies marks that this gateway read from the store. The read started at `began` and ended at offset `next`; `all_of`
-    /// is the copy of the store that it came from if it returned all marks, or `None` if it returned only new ones.
+    /// Applies marks that this gateway read from the store. The read started at `began` and ended at offset `next`;
+    /// `snapshot_source` is the copy of the store that it came from if it returned all marks, or `None` if it returned
+    /// only new ones.
     pub fn apply_read_marks(
         &self,
         began: Millis,
         next: u64,
-        all_of: Option<StoreCopy>,
+        snapshot_source: Option<StoreCopy>,
         marks: Vec<MarkChange>,
     ) {
         let now = self.now();
         let fleet = self.with_feeds(|feeds| feeds.fleet_size());
-        let quarantined = self.with_quarantine(|q| match all_of {
+        let quarantined = self.with_quarantine(|q| match snapshot_source {
             None => q.apply_changes(&marks, now),
             Some(StoreCopy::Current) => q.apply_snapshot(&marks, now),
             Some(StoreCopy::Older) => {
@@ -125,7 +126,7 @@
             }
         });
         self.log_quarantined(&quarantined, None);
-        let forwarded = if all_of.is_some() { Vec::new() } else { marks };
+        let forwarded = if snapshot_source.is_some() { Vec::new() } else { marks };
         self.with_feeds(|feeds| feeds.record_marks_read(began, next, forwarded));
         self.state_changed.notify(usize::MAX);
         self.gossip_due.notify(usize::MAX);
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -304,8 +304,8 @@
 /// Readmits all excluded servers if their share exceeds `max_share`. When most servers seem to fail, the fault is more
 /// likely on the network path, and the few remaining servers could not handle the load.
 fn limit_excluded_share(places: &mut [Place], max_share: f64) {
-    let out = places.iter().filter(|p| p.is_ejected).count();
-    if out as f64 > places.len() as f64 * max_share {
+    let excluded_count = places.iter().filter(|p| p.is_ejected).count();
+    if excluded_count as f64 > places.len() as f64 * max_share {
         places.iter_mut().for_each(|p| p.is_ejected = false);
     }
 }
