--- a/src/entry/start.rs
+++ b/src/entry/start.rs
@@ -154,7 +154,8 @@
     serde_json::to_vec(&value).unwrap_or_default()
 }
 
-/// Drains requests in flight, then flushes the bills to the log or hands them over to a side.
+/// Drains requests in flight, then flushes the bills to the log. Bills that remain are
+/// transferred to a side.
 async fn shut_down(entry: &Arc<Entry>) {
     entry.drain.begin();
     let limits = &entry.settings.limits;
@@ -172,15 +173,15 @@
         entry.daemon.telemetry.warn("drain_cut", &[("under_way", &left)]);
     }
     if !entry.bills.flush(FLUSH_TIMEOUT).await {
-        hand_over_bills(entry).await;
+        transfer_bills(entry).await;
     }
     if entry.bills.len() > 0 {
         entry.daemon.telemetry.warn("bills_left", &[("bills", &entry.bills.len())]);
     }
 }
 
-/// Hands over the unconfirmed bills to the first side that accepts them.
-async fn hand_over_bills(entry: &Arc<Entry>) {
+/// Transfers the unconfirmed bills to the first side that accepts them.
+async fn transfer_bills(entry: &Arc<Entry>) {
     let bills = entry.bills.unconfirmed();
     let ids: Vec<_> = bills.iter().map(|bill| bill.id).collect();
     for link in entry.sides.all() {
