--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -155,13 +155,13 @@
     max: usize,
 ) -> Result<Option<Bytes>, String> {
     let connected = HttpConnection::connect(&gw.executor, peer, gw.settings.connect_timeout).await;
-    let mut caller = connected.map_err(|e| e.to_string())?;
+    let mut connection = connected.map_err(|e| e.to_string())?;
     let req = Request::get(target).header("host", peer.to_string());
     let req = req.body(Full::default()).map_err(|e| e.to_string())?;
-    let mut reading =
-        caller.send_and_read(req, max, IDLE_TIMEOUT).await.map_err(|e| e.to_string())?;
-    let body = reading.read_to_end().await.map_err(|e| e.to_string())?;
-    match reading.status() {
+    let mut response =
+        connection.send_and_read(req, max, IDLE_TIMEOUT).await.map_err(|e| e.to_string())?;
+    let body = response.read_to_end().await.map_err(|e| e.to_string())?;
+    match response.status() {
         StatusCode::OK => Ok(Some(body)),
         StatusCode::NO_CONTENT => Ok(None),
         status => Err(format!("the gateway responded with status {status}")),
