--- a/gateway/src/exchange/fetch.rs
+++ b/gateway/src/exchange/fetch.rs
@@ -54,7 +54,7 @@
         };
         match request_orders(gw, peer, base).await {
             Ok(Some(fetched)) => return fetched,
-            // It is no longer ahead, as this gateway has caught up meanwhile.
+            // The peer is no longer ahead, as this gateway has caught up meanwhile.
             Ok(None) => gw.record_peer_failure(Feed::Orders, peer),
             Err(why) => {
                 record_fetch_failure(gw, Feed::Orders, peer, &why);
--- a/gateway/src/exchange/servers.rs
+++ b/gateway/src/exchange/servers.rs
@@ -41,7 +41,7 @@
 }
 
 impl EncodedServerList {
-    /// Returns the bytes if the list is of offset `next`.
+    /// Returns the bytes if the list is complete up to offset `next`.
     pub(super) fn bytes_at(&self, next: u64) -> Option<Bytes> {
         (self.next == next).then(|| self.bytes.clone())
     }
--- a/gateway/src/restored_rollouts_tests.rs
+++ b/gateway/src/restored_rollouts_tests.rs
@@ -343,7 +343,7 @@
     assert!(!order(&mut rollouts, version(2), StoreCopy::Older));
 }
 
-/// Guards against a lost end of a rollout that nobody writes again, because a gateway that has not noticed the restore
+/// Guards against a lost end of a rollout that no gateway writes again, because a gateway that has not noticed the restore
 /// reports it as stored.
 #[test]
 fn word_of_an_earlier_era_lets_an_end_be_written_again() {
