--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -60,7 +60,7 @@
     FleetEvidence, HealthPolicy, Idempotency, IdleTimeout, InterruptedRuns, LargerModel,
     LatencySums, LeavingServers, LimitChange, LimitPolicy, Mark, MarkChange, Members,
     MovedSessions, OrderAge, PeerLoad, PeerLoads, PeerServerList, Phase, Place, PlacementPolicy,
-    Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, ReadRates, Registry,
+    PrefillRates, Pressure, Priority, PutOutcome, Quarantine, QuarantinePolicy, Registry,
     RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, RolloutOrder, RolloutStatuses,
     Route, RouteEvidence, RouteName, SendCounts, SendTurns, ServerHealth, ServerLimits,
     ServerReport, ServerState, Service, ServiceName, SessionKey, SilencePolicy, SilenceWatch,
--- a/core/src/serving/evacuations.rs
+++ b/core/src/serving/evacuations.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EvacuationChange {
     /// The domain gets no new requests from now on.
-    Emptied(FailureDomain),
+    Evacuated(FailureDomain),
     /// The domain gets requests again.
     Returned(FailureDomain),
 }
@@ -32,13 +32,13 @@
 /// let mut evacuations = Evacuations::default();
 /// let domain: redwingfold_core::FailureDomain = "hall-1".parse()?;
 /// let changes = evacuations.replace(&[domain.clone()], Millis(5));
-/// assert_eq!(changes, [EvacuationChange::Emptied(domain.clone())]);
-/// assert!(evacuations.is_emptied(&domain));
+/// assert_eq!(changes, [EvacuationChange::Evacuated(domain.clone())]);
+/// assert!(evacuations.is_evacuated(&domain));
 /// # Ok::<(), redwingfold_core::ParseIdError>(())
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    emptied: HashMap<FailureDomain, Order>,
+    evacuated: HashMap<FailureDomain, Order>,
     /// Domains whose order has ended, with the time of its end.
     returned: HashMap<FailureDomain, Millis>,
 }
@@ -53,15 +53,15 @@
 impl Evacuations {
     /// Adds an order; `None` if it was already in force.
     pub fn add_order(&mut self, domain: &FailureDomain, now: Millis) -> Option<EvacuationChange> {
-        let is_new = !self.emptied.contains_key(domain);
-        let order = self.emptied.entry(domain.clone());
+        let is_new = !self.evacuated.contains_key(domain);
+        let order = self.evacuated.entry(domain.clone());
         order.or_insert(Order { since: now, expires_at: None }).expires_at = None;
-        is_new.then(|| EvacuationChange::Emptied(domain.clone()))
+        is_new.then(|| EvacuationChange::Evacuated(domain.clone()))
     }
 
     /// Ends an order; `None` if it wasn't in force.
     pub fn end_order(&mut self, domain: &FailureDomain, now: Millis) -> Option<EvacuationChange> {
-        self.emptied.remove(domain)?;
+        self.evacuated.remove(domain)?;
         self.returned.retain(|_, at| now.since(*at) < RETURNED_RETENTION);
         self.returned.insert(domain.clone(), now);
         Some(EvacuationChange::Returned(domain.clone()))
@@ -71,7 +71,7 @@
     pub fn replace(&mut self, orders: &[FailureDomain], now: Millis) -> Vec<EvacuationChange> {
         let is_in_grace = |order: &Order| order.expires_at.is_some_and(|at| now < at);
         let mut missing = self.unlisted(orders);
-        missing.retain(|domain| !self.emptied.get(domain).is_some_and(is_in_grace));
+        missing.retain(|domain| !self.evacuated.get(domain).is_some_and(is_in_grace));
         let mut changes: Vec<_> = orders.iter().filter_map(|d| self.add_order(d, now)).collect();
         changes.extend(missing.iter().filter_map(|d| self.end_order(d, now)));
         changes
@@ -85,7 +85,7 @@
         now: Millis,
     ) -> Vec<EvacuationChange> {
         for domain in self.unlisted(orders) {
-            let order = self.emptied.get_mut(&domain);
+            let order = self.evacuated.get_mut(&domain);
             order.into_iter().for_each(|order| {
                 order.expires_at.get_or_insert(now.after(REWRITE_GRACE));
             });
@@ -94,27 +94,27 @@
     }
 
     fn unlisted(&self, orders: &[FailureDomain]) -> Vec<FailureDomain> {
-        self.emptied.keys().filter(|domain| !orders.contains(domain)).cloned().collect()
+        self.evacuated.keys().filter(|domain| !orders.contains(domain)).cloned().collect()
     }
 
     /// Ends the orders whose grace period is over.
     pub fn expire(&mut self, now: Millis) -> Vec<EvacuationChange> {
         let is_over = |order: &Order| order.expires_at.is_some_and(|at| now >= at);
-        let over = self.emptied.iter().filter(|(_, order)| is_over(order));
+        let over = self.evacuated.iter().filter(|(_, order)| is_over(order));
         let over: Vec<_> = over.map(|(domain, _)| domain.clone()).collect();
         self.returned.retain(|_, at| now.since(*at) < RETURNED_RETENTION);
         over.iter().filter_map(|domain| self.end_order(domain, now)).collect()
     }
 
     /// Returns whether a domain gets no new requests.
-    pub fn is_emptied(&self, domain: &FailureDomain) -> bool {
-        self.emptied.contains_key(domain)
+    pub fn is_evacuated(&self, domain: &FailureDomain) -> bool {
+        self.evacuated.contains_key(domain)
     }
 
     /// Returns the domains with an order in force, each with the time at which this gateway
     /// received the order.
-    pub fn emptied(&self) -> impl Iterator<Item = (&FailureDomain, Millis)> {
-        self.emptied.iter().map(|(domain, order)| (domain, order.since))
+    pub fn evacuated(&self) -> impl Iterator<Item = (&FailureDomain, Millis)> {
+        self.evacuated.iter().map(|(domain, order)| (domain, order.since))
     }
 
     /// Returns whether the order of any domain ended within the last minute.
--- a/core/src/serving/limits.rs
+++ b/core/src/serving/limits.rs
@@ -39,7 +39,7 @@
 
 impl LimitPolicy {
     /// Returns the maximum number of requests per window under a limit.
-    pub fn most(&self, limit: RequestRate) -> f64 {
+    pub fn max_per_window(&self, limit: RequestRate) -> f64 {
         limit.per_second() * self.window.0 as f64 / 1000.0 * self.over + self.slack
     }
 
@@ -62,7 +62,8 @@
     pub fn rate(&self, limit: RequestRate, fleet: usize) -> RequestRate {
         let min_rate = self.rate_for_mean(self.poisson_mean(RequestRate::default()));
         let max_fleet = fleet as f64 * self.max_fleet_ratio;
-        let periodic_mean = self.most(limit) - self.std_deviations * max_fleet.sqrt() / 2.0;
+        let periodic_mean =
+            self.max_per_window(limit) - self.std_deviations * max_fleet.sqrt() / 2.0;
         let mean = self.poisson_mean(limit).max(periodic_mean);
         let rate = self.rate_for_mean(mean).min(limit.per_second().max(min_rate));
         RequestRate::new(rate).unwrap_or_default()
@@ -70,7 +71,7 @@
 
     /// Returns the mean of a Poisson count that is `std_deviations` below the maximum.
     fn poisson_mean(&self, limit: RequestRate) -> f64 {
-        let root = (self.std_deviations.powi(2) + 4.0 * self.most(limit)).sqrt();
+        let root = (self.std_deviations.powi(2) + 4.0 * self.max_per_window(limit)).sqrt();
         ((root - self.std_deviations) / 2.0).powi(2)
     }
 
@@ -143,7 +144,7 @@
     }
 
     /// Returns whether a current or recently cleared limit of a server is recorded.
-    pub fn has(&self, server: u64) -> bool {
+    pub fn has_record(&self, server: u64) -> bool {
         self.0.contains_key(&server)
     }
 
--- a/core/src/serving/load.rs
+++ b/core/src/serving/load.rs
@@ -10,7 +10,7 @@
 /// The times include waits and omit cached parts, so a low quantile is tracked: neither a queue nor a cache hit changes
 /// it much.
 #[derive(Clone, Debug, Default)]
-pub struct ReadRates(HashMap<(ServiceName, usize), f64>);
+pub struct PrefillRates(HashMap<(ServiceName, usize), f64>);
 
 /// The tracked quantile.
 const QUANTILE: f64 = 0.35;
@@ -24,12 +24,12 @@
 /// Default in milliseconds per token; common engines read some tens of tokens a millisecond.
 const DEFAULT_RATE: f64 = 0.02;
 
-impl ReadRates {
+impl PrefillRates {
     /// Records the time from a send to the first byte for a prompt of `tokens`.
     ///
     /// ```
-    /// use redwingfold_core::{Millis, ReadRates};
-    /// let mut rates = ReadRates::default();
+    /// use redwingfold_core::{Millis, PrefillRates};
+    /// let mut rates = PrefillRates::default();
     /// (0..200).for_each(|_| rates.record(&"slips".into(), 0, 4_000, Millis(200)));
     /// let ms = rates.estimate(&"slips".into(), 0, 2_000);
     /// assert!((80..=120).contains(&ms.0));
--- a/core/src/serving/mod.rs
+++ b/core/src/serving/mod.rs
@@ -58,7 +58,7 @@
 pub use interrupted_runs::{BrokenRun, EndedRun, InterruptedRuns};
 pub use leaving::LeavingServers;
 pub use limits::{LimitChange, LimitPolicy, ServerLimits};
-pub use load::{PeerLoad, PeerLoads, ReadRates, ServerReport};
+pub use load::{PeerLoad, PeerLoads, PrefillRates, ServerReport};
 pub use members::Members;
 pub use placement::{Place, PlacementPolicy, Work, is_in_first_half, lead_servers, place};
 pub use quarantine::{Admission, Mark, MarkChange, Quarantine, QuarantinePolicy};
--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -313,7 +313,7 @@
 
     /// Returns whether a record changes nothing. A record of a server that is waiting for its removal is a change,
     /// because it shows that the server is running.
-    pub fn has(&self, server: &BackendServer, now: Millis) -> bool {
+    pub fn is_up_to_date(&self, server: &BackendServer, now: Millis) -> bool {
         let Some(entry) = self.servers.get(&server.id).filter(|entry| entry.expires_at.is_none())
         else {
             return false;
--- a/core/src/serving/turns.rs
+++ b/core/src/serving/turns.rs
@@ -69,7 +69,7 @@
 /// let id = "i-1".into();
 /// assert_eq!(turns.wait(&id, rate, Millis(5_000), 700), Millis(700));
 /// assert_eq!(turns.wait(&id, rate, Millis(5_700), 0), Millis(0));
-/// turns.sent(&id, rate, Millis(5_700));
+/// turns.record_send(&id, rate, Millis(5_700));
 /// assert_eq!(turns.wait(&id, rate, Millis(5_700), 0), Millis(1_000));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -124,7 +124,7 @@
     }
 
     /// Records a send to a server, which uses up the current turn.
-    pub fn sent(&mut self, id: &BackendId, rate: RequestRate, now: Millis) {
+    pub fn record_send(&mut self, id: &BackendId, rate: RequestRate, now: Millis) {
         let period = self.period(rate, now);
         if let Some(turn) = self.turns.get_mut(id) {
             turn.opens_at = turn.opens_at.after(period);
--- a/core/tests/evacuations.rs
+++ b/core/tests/evacuations.rs
@@ -140,14 +140,14 @@
                 gateway.orders_read.clone_from(&wanted);
             }
             let due = wanted.iter().filter(|order| gateway.orders_read.contains(order));
-            violations += due.filter(|(domain, _)| !gateway.orders.is_emptied(domain)).count();
+            violations += due.filter(|(domain, _)| !gateway.orders.is_evacuated(domain)).count();
         }
     }
     let orders_in_force = topic.orders_in_force();
     for gateway in &gateways {
         (0..4).for_each(|n| {
-            let is_emptied = gateway.orders.is_emptied(&domain(n));
-            assert_eq!(is_emptied, orders_in_force.contains(&domain(n)), "{n}, seed {seed}");
+            let is_evacuated = gateway.orders.is_evacuated(&domain(n));
+            assert_eq!(is_evacuated, orders_in_force.contains(&domain(n)), "{n}, seed {seed}");
         });
     }
     violations
@@ -207,7 +207,7 @@
     evacuations.add_order(&domain(1), Millis(0));
     evacuations.replace_by_restored(&[], Millis(1_000));
     assert!(evacuations.replace(&[], Millis(1_200)).is_empty());
-    assert!(evacuations.is_emptied(&domain(1)));
+    assert!(evacuations.is_evacuated(&domain(1)));
     assert_eq!(evacuations.replace(&[], Millis(12_000)), [EvacuationChange::Returned(domain(1))]);
 }
 
@@ -219,7 +219,7 @@
     evacuations.add_order(&domain(1), Millis(0));
     evacuations.end_order(&domain(1), Millis(1_000));
     evacuations.replace_by_restored(&[domain(1)], Millis(2_000));
-    assert!(evacuations.is_emptied(&domain(1)));
+    assert!(evacuations.is_evacuated(&domain(1)));
 }
 
 /// After any sequence of single orders, a read of the complete list leaves a gateway with the
@@ -232,7 +232,7 @@
         let mut take = |changes: Vec<EvacuationChange>| {
             for change in changes {
                 match change {
-                    EvacuationChange::Emptied(domain) => assert!(reported.insert(domain)),
+                    EvacuationChange::Evacuated(domain) => assert!(reported.insert(domain)),
                     EvacuationChange::Returned(domain) => assert!(reported.remove(&domain)),
                 }
             }
@@ -248,7 +248,7 @@
         let last: Vec<_> = last.iter().map(|n| domain(n % 5)).collect();
         take(evacuations.replace(&last, Millis(1_000_000)));
         for n in 0..5 {
-            assert_eq!(evacuations.is_emptied(&domain(n)), last.contains(&domain(n)));
+            assert_eq!(evacuations.is_evacuated(&domain(n)), last.contains(&domain(n)));
             assert_eq!(reported.contains(&domain(n)), last.contains(&domain(n)));
         }
     });
--- a/core/tests/limits.rs
+++ b/core/tests/limits.rs
@@ -30,7 +30,7 @@
 }
 
 fn allowed(limit: f64) -> usize {
-    LimitPolicy::default().most(RequestRate::new(limit).unwrap()) as usize
+    LimitPolicy::default().max_per_window(RequestRate::new(limit).unwrap()) as usize
 }
 
 fn assert_within_limit(fault: Fault, load: Load, seeds: u64) {
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -219,10 +219,10 @@
     registry.put(server("a", ServerState::Ready), Millis(0));
     registry.record_outage(Millis(1_000));
     registry.remove(&BackendId::from("a"), Millis(1_500));
-    assert!(!registry.has(&server("a", ServerState::Ready), Millis(9_000)));
+    assert!(!registry.is_up_to_date(&server("a", ServerState::Ready), Millis(9_000)));
     registry.put(server("a", ServerState::Ready), Millis(0));
     assert!(registry.expire(Millis(9_000)).is_empty());
-    assert!(registry.has(&server("a", ServerState::Ready), Millis(9_000)));
+    assert!(registry.is_up_to_date(&server("a", ServerState::Ready), Millis(9_000)));
 }
 
 /// Guards against a server that has left and gets requests again. The store is restored from a copy that lists it, and
@@ -252,8 +252,11 @@
     let (id, mut registry) = (BackendId::from("a"), Registry::default());
     registry.put(cold(3_000), Millis(1_000));
     assert_eq!(registry.cold_left(&id, Millis(1_500)), Millis(2_500));
-    assert!(registry.has(&cold(1_800), Millis(2_300)) && registry.has(&cold(0), Millis(2_300)));
-    assert!(!registry.has(&cold(3_000), Millis(2_300)));
+    assert!(
+        registry.is_up_to_date(&cold(1_800), Millis(2_300))
+            && registry.is_up_to_date(&cold(0), Millis(2_300))
+    );
+    assert!(!registry.is_up_to_date(&cold(3_000), Millis(2_300)));
     registry.set_cold(&id, Millis(3_000), Millis(2_300));
     registry.put(cold(0), Millis(2_400));
     assert_eq!(registry.cold_left(&id, Millis(2_400)), Millis(2_900));
--- a/core/tests/turn_fleet/mod.rs
+++ b/core/tests/turn_fleet/mod.rs
@@ -151,7 +151,7 @@
 
     fn sent(&mut self, server: usize, at: u64, load: Load) {
         let rate = (load.target_rate)(load.limit, self.turns.fleet(Millis(at)));
-        self.turns.sent(&self.ids[server], rate, Millis(at));
+        self.turns.record_send(&self.ids[server], rate, Millis(at));
         self.sent_at.insert(server, at as f64);
     }
 }
--- a/gateway/src/evacuation.rs
+++ b/gateway/src/evacuation.rs
@@ -36,7 +36,7 @@
     fn log_evacuations(&self, changes: &[EvacuationChange]) {
         for change in changes {
             let (event, domain) = match change {
-                EvacuationChange::Emptied(domain) => ("domain_emptied", domain),
+                EvacuationChange::Evacuated(domain) => ("domain_emptied", domain),
                 EvacuationChange::Returned(domain) => ("domain_returned", domain),
             };
             let servers = self.with_registry(|r| {
@@ -55,9 +55,9 @@
     /// Updates the gauges of the number of evacuated domains and of the longest evacuation in milliseconds.
     pub fn update_evacuation_gauges(&self) {
         let evacuations = self.evacuations.borrow();
-        let first = evacuations.emptied().map(|(_, since)| since).min();
+        let first = evacuations.evacuated().map(|(_, since)| since).min();
         let longest = first.map_or(Millis(0), |since| self.now().since(since));
-        self.telemetry.gauge("domains.emptied", evacuations.emptied().count() as u64);
+        self.telemetry.gauge("domains.emptied", evacuations.evacuated().count() as u64);
         self.telemetry.gauge("domains.emptied_ms", longest.0);
     }
 }
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use event_listener::Event;
 use redwingfold_core::{
     Catalog, ConfidenceGains, ConnectTimeout, DomainRegions, Evacuations, FeedPositions,
-    InterruptedRuns, LeavingServers, Millis, Pressure, Quarantine, QuarantinePolicy, ReadRates,
+    InterruptedRuns, LeavingServers, Millis, PrefillRates, Pressure, Quarantine, QuarantinePolicy,
     Registry, RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, SendTurns, ServerLimits,
     ServiceName, StreamTimes,
 };
@@ -111,7 +111,7 @@
     pub(crate) peer_ahead: Event,
     resend_budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
     pub(crate) connect_timeout: Cell<ConnectTimeout>,
-    pub(crate) read_rates: RefCell<ReadRates>,
+    pub(crate) prefill_rates: RefCell<PrefillRates>,
     pub(crate) confidence_gains: RefCell<ConfidenceGains>,
     pub(crate) stream_times: RefCell<StreamTimes>,
     pressure: Cell<Pressure>,
@@ -182,7 +182,7 @@
             peer_ahead: Event::new(),
             resend_budgets: RefCell::default(),
             connect_timeout: Cell::new(connect_timeout),
-            read_rates: RefCell::default(),
+            prefill_rates: RefCell::default(),
             confidence_gains: RefCell::default(),
             stream_times: RefCell::default(),
             pressure: Cell::default(),
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -21,7 +21,7 @@
         let update = LimitUpdate { limit, reported_at: self.now() };
         let change = self.server_limits.borrow_mut().record(hash, limit, update.reported_at);
         // Repeated with every response, for gateways that have just started or missed a message.
-        if self.server_limits.borrow().has(hash) {
+        if self.server_limits.borrow().has_record(hash) {
             self.loads.queue_limit(hash, update);
         }
         self.log_limit(server, change, None);
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -264,7 +264,7 @@
             self.gw.record_first_attempt(response.time_to_first_byte, self.route.latency_target);
         }
         let own = self.unshared_tokens();
-        self.gw.read_rates.borrow_mut().record(
+        self.gw.prefill_rates.borrow_mut().record(
             &self.service,
             size,
             own,
@@ -278,7 +278,7 @@
 
     /// Estimates the prefill time of the prompt, without its shared parts, which are mostly cached.
     pub(crate) fn prefill_time(&self, size: usize) -> Millis {
-        self.gw.read_rates.borrow().estimate(&self.service, size, self.unshared_tokens())
+        self.gw.prefill_rates.borrow().estimate(&self.service, size, self.unshared_tokens())
     }
 
     /// Returns the number of prompt tokens that are not shared with other requests.
@@ -293,7 +293,7 @@
         let size = size.unwrap_or(0);
         Work {
             shared_prompt: shared.last().map(|part| part.id),
-            shared: self.gw.read_rates.borrow().estimate(&self.service, size, tokens),
+            shared: self.gw.prefill_rates.borrow().estimate(&self.service, size, tokens),
             shared_tokens: tokens,
         }
     }
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -292,7 +292,7 @@
             s.service == self.service
                 && s.state == ServerState::Ready
                 && !self.gw.is_leaving(s)
-                && !evacuations.is_emptied(&s.domain)
+                && !evacuations.is_evacuated(&s.domain)
                 && may_run_in(&s.domain)
                 && !self.excluded_servers.contains(&s.id)
                 && has_model(s)
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -69,7 +69,7 @@
                 true
             }
             ServerChange::Put(server) => {
-                let is_new = changed.contains(&server.id) || !registry.has(server, now);
+                let is_new = changed.contains(&server.id) || !registry.is_up_to_date(server, now);
                 if is_new {
                     changed.insert(server.id.clone());
                 }
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -73,7 +73,7 @@
         if self.limit_of(server).is_some() {
             self.telemetry.count("limit.sent", 1);
         }
-        self.send_turns.borrow_mut().sent(&server.id, rate, now);
+        self.send_turns.borrow_mut().record_send(&server.id, rate, now);
     }
 
     /// Returns the target rate of all gateways combined for a server, if it is cold or limited.
