--- a/core/src/serving/exposure.rs
+++ b/core/src/serving/exposure.rs
@@ -120,9 +120,9 @@
     /// Returns whether one more request may go to the target, with the budget for full traffic of
     /// `reserved_time` left over.
     pub fn may_send(&self, reserved_time: Millis, now: Millis) -> bool {
-        let reserved_time = reserve(self.per_s(now), reserved_time, self.share);
+        let reserved_requests = reserve(self.per_s(now), reserved_time, self.share);
         let allowed = self.share * (self.all + 1) as f64 + self.rounding;
-        (self.target + 1) as f64 + reserved_time <= allowed
+        (self.target + 1) as f64 + reserved_requests <= allowed
     }
 
     /// Returns the send counts of this gateway.
--- a/core/src/serving/limits.rs
+++ b/core/src/serving/limits.rs
@@ -16,7 +16,7 @@
     /// Sliding window over which requests are counted.
     pub window: Millis,
     /// Multiple of the reported limit that may be sent within a window.
-    pub over: f64,
+    pub max_ratio: f64,
     /// Additional requests allowed per window.
     pub slack: f64,
     /// Maximum ratio of the actual fleet size to the size that a gateway counts.
@@ -29,7 +29,7 @@
     fn default() -> Self {
         Self {
             window: Millis(4_000),
-            over: 1.5,
+            max_ratio: 1.5,
             slack: 5.0,
             max_fleet_ratio: 2.0,
             std_deviations: 4.5,
@@ -40,7 +40,7 @@
 impl LimitPolicy {
     /// Returns the maximum number of requests per window under a limit.
     pub fn max_per_window(&self, limit: RequestRate) -> f64 {
-        limit.per_second() * self.window.0 as f64 / 1000.0 * self.over + self.slack
+        limit.per_second() * self.window.0 as f64 / 1000.0 * self.max_ratio + self.slack
     }
 
     /// Returns the target rate of all gateways combined for a server that reports `limit`, given `fleet` known
--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SilencePolicy {
     /// Timeout for the head of a stream, as a share of the target latency, at zero pressure.
-    pub head_aim_share: f64,
+    pub head_target_share: f64,
     /// Increase of that share per unit of pressure; at a pressure of one, first bytes take the whole target latency.
-    pub head_aim_share_per_pressure: f64,
+    pub head_target_share_per_pressure: f64,
     /// Increase of the timeout for the head, as a multiple of the time that the server is expected to need.
     pub head_expected_factor: u64,
     /// Timeout for the next event, as a share of the longest gap that still meets its target.
@@ -28,8 +28,8 @@
     /// 100 gaps between events were shorter than 0.6 s.
     fn default() -> Self {
         Self {
-            head_aim_share: 0.5,
-            head_aim_share_per_pressure: 2.0,
+            head_target_share: 0.5,
+            head_target_share_per_pressure: 2.0,
             head_expected_factor: 3,
             event_gap_share: 0.75,
             min_event: Millis(750),
@@ -69,14 +69,21 @@
     /// assert!(wait(Awaited::Head(Millis(100)), 0.2) > wait(Awaited::Head(Millis(100)), 0.1));
     /// assert_eq!(wait(Awaited::Head(Millis(100)), 0.5), None);
     /// ```
-    pub fn request_timeout(&self, awaited: Awaited, aim: Millis, pressure: f64) -> Option<Millis> {
+    pub fn request_timeout(
+        &self,
+        awaited: Awaited,
+        target_latency: Millis,
+        pressure: f64,
+    ) -> Option<Millis> {
         let part = |whole: Millis, part: f64| Millis((whole.0 as f64 * part) as u64);
         match awaited {
-            Awaited::Plain => Some(self.min_plain_silence.max(Millis(aim.0 * 2))),
+            Awaited::Plain => Some(self.min_plain_silence.max(Millis(target_latency.0 * 2))),
             _ if pressure >= self.max_pressure => None,
             Awaited::Head(expected) => {
-                let base =
-                    part(aim, self.head_aim_share + self.head_aim_share_per_pressure * pressure);
+                let base = part(
+                    target_latency,
+                    self.head_target_share + self.head_target_share_per_pressure * pressure,
+                );
                 Some(base.after(Millis(expected.0 * self.head_expected_factor)))
             }
             Awaited::Event(gap) => Some(self.min_event.max(part(gap, self.event_gap_share))),
@@ -84,13 +91,13 @@
     }
 
     /// Returns the time without data on any request after which a server counts as hanging.
-    pub fn hang_timeout(&self, awaited: Awaited, aim: Millis) -> Millis {
+    pub fn hang_timeout(&self, awaited: Awaited, target_latency: Millis) -> Millis {
         let min = if awaited == Awaited::Plain {
             self.min_plain_silence
         } else {
             self.min_engine_silence
         };
-        min.max(Millis(aim.0 * 3 / 2))
+        min.max(Millis(target_latency.0 * 3 / 2))
     }
 }
 
@@ -142,12 +149,12 @@
         &self,
         policy: &SilencePolicy,
         awaited: Awaited,
-        aim: Millis,
+        target_latency: Millis,
         pressure: f64,
     ) -> bool {
         let is_request_silent = policy
-            .request_timeout(awaited, aim, pressure)
+            .request_timeout(awaited, target_latency, pressure)
             .is_some_and(|wait| self.request_silence >= wait);
-        is_request_silent || self.server_silence >= policy.hang_timeout(awaited, aim)
+        is_request_silent || self.server_silence >= policy.hang_timeout(awaited, target_latency)
     }
 }
--- a/core/src/serving/sizes.rs
+++ b/core/src/serving/sizes.rs
@@ -52,8 +52,8 @@
     /// (0..100).for_each(|_| pressure.record(Millis(500), Millis(1_000)));
     /// assert!((pressure.value() - 0.5).abs() < 0.01);
     /// ```
-    pub fn record(&mut self, took: Millis, aim: Millis) {
-        let part = (took.0 as f64 / aim.0.max(1) as f64).min(MAX_RATIO);
+    pub fn record(&mut self, took: Millis, target_latency: Millis) {
+        let part = (took.0 as f64 / target_latency.0.max(1) as f64).min(MAX_RATIO);
         self.0 += (part - self.0) * NEWEST_WEIGHT;
     }
 
