--- a/core/src/serving/canary.rs
+++ b/core/src/serving/canary.rs
@@ -314,10 +314,10 @@
     ///
     /// Most requests of a session reach a gateway that has not served the session before. So no
     /// session moves in the first half of the window, and in the second half the draw alone decides
-    /// which sessions move. The gateways that keep the session's entry must be queried whether it has
-    /// moved if this gateway has used up its exposure budget, may have recorded a lower age of the
-    /// order than others, or has just started and has no age of the order. After a rollback,
-    /// sessions return to the version in service.
+    /// which sessions move. This gateway must query the gateways that keep the session's entry
+    /// whether the session has moved in three cases: it has used up its exposure budget, it may have
+    /// recorded a lower age of the order than others, or it has just started and has no age of the
+    /// order. After a rollback, sessions return to the version in service.
     pub fn choose_arm(&self, affinity: Affinity, draw: u64, now: Millis) -> ArmChoice {
         let is_half_over = self.is_past(SESSION_MOVES_FROM, now);
         let share = match affinity {
--- a/core/src/serving/catalog.rs
+++ b/core/src/serving/catalog.rs
@@ -36,7 +36,7 @@
 }
 
 text_type!(
-    /// Id of a backend server; it may start again under it.
+    /// Id of a backend server, which may restart under the same id.
     BackendId
 );
 text_type!(
--- a/core/src/serving/members.rs
+++ b/core/src/serving/members.rs
@@ -22,9 +22,9 @@
 /// Load pattern: all gateways of a fleet start within half a second. A few of them read the addresses of the others
 /// from the store and forward them by gossip, to eight gateways at a time. Gateways that are not up yet miss these
 /// messages. All gateways that have the list send to them, which adds those to their lists, but not each other: 19 of
-/// 103 gateways stayed in that state. As each of them received messages from all but the 18, no other gateway read the
-/// store any more, and these read it 20 times as often as one would. So a gateway that receives a message from a new
-/// gateway sends it the member list, with a probability such that about eight of the fleet do.
+/// 103 gateways stayed in that state. What each of them read from the store reached all but the other 18, so no other
+/// gateway read the store any more, and these 19 read it 20 times as often as one would. So a gateway that receives a
+/// message from a new gateway sends it the member list, with a probability such that about eight of the fleet do.
 #[derive(Clone, Debug)]
 pub struct Members<A> {
     own: A,
--- a/core/src/serving/turns.rs
+++ b/core/src/serving/turns.rs
@@ -29,8 +29,8 @@
 
 /// The number of gateways to assume, erring on the high side.
 ///
-/// Failure: nearly all gateways restart while servers are cold. Each of them has no other on its list yet; if it assumed to
-/// be the only one, it would send all that a server accepts.
+/// Failure: nearly all gateways restart while servers are cold. Each of them has no other on its list yet; if each assumed
+/// that it was the only one, it would send all that a server accepts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fleet {
     largest: usize,
--- a/core/tests/evacuations.rs
+++ b/core/tests/evacuations.rs
@@ -155,7 +155,7 @@
 
 /// Gateways read late, in parts or the complete list, are partitioned and restart, while the store
 /// is restored from copies and written again. No gateway that has read an order sends requests to
-/// the emptied domain, and in the end all gateways have the store's orders.
+/// the evacuated domain, and in the end all gateways have the store's orders.
 #[test]
 fn orders_hold_through_cuts_restarts_and_restores() {
     for (n, seeds) in [(3, 30), (27, 10), (103, 3), (330, 1)] {
