--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Queries the session's keepers whether it has moved to the new version, and records their reply.
+    /// Asks the session's keepers whether it has moved to the new version, and records their reply.
     async fn ask_keepers(&mut self, wait_deadline: Millis) {
         self.keepers_reply = Some(match self.binding_inputs().session {
             Some(session) => self.gw.ask_keepers(session, wait_deadline).await,
@@ -292,7 +292,7 @@
             s.service == self.service
                 && s.state == ServerState::Ready
                 && !self.gw.is_leaving(s)
-                && !evacuations.is_emptied(&s.domain)
+                && !evacuations.is_evacuated(&s.domain)
                 && may_run_in(&s.domain)
                 && !self.excluded_servers.contains(&s.id)
                 && has_model(s)
@@ -304,8 +304,8 @@
 /// Readmits all excluded servers if their share exceeds `max_share`. When most servers seem to fail, the fault is more
 /// likely on the network path, and the few remaining servers could not handle the load.
 fn limit_excluded_share(places: &mut [Place], max_share: f64) {
-    let out = places.iter().filter(|p| p.is_ejected).count();
-    if out as f64 > places.len() as f64 * max_share {
+    let excluded_count = places.iter().filter(|p| p.is_ejected).count();
+    if excluded_count as f64 > places.len() as f64 * max_share {
         places.iter_mut().for_each(|p| p.is_ejected = false);
     }
 }
--- a/gateway/src/server_list.rs
+++ b/gateway/src/server_list.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Discards the load and health of a server's previous incarnation, and records that it ended.
+    /// Discards the load and health of a server's previous incarnation, and records that it terminated.
     fn reset_restarted_server(&self, id: &BackendId) {
         self.loads.forget(id);
         self.record_server_end(id);
@@ -69,7 +69,7 @@
                 true
             }
             ServerChange::Put(server) => {
-                let is_new = changed.contains(&server.id) || !registry.has(server, now);
+                let is_new = changed.contains(&server.id) || !registry.is_up_to_date(server, now);
                 if is_new {
                     changed.insert(server.id.clone());
                 }
