--- a/core/src/budget.rs
+++ b/core/src/budget.rs
@@ -1,8 +1,8 @@
-//! Budgets: retries as a share of requests, and bytes a second.
+//! Token buckets: retries as a share of requests, and bytes per second.
 
 use crate::ids::Millis;
 
-/// A bucket that each request fills by a share of a token, and each retry empties by one.
+/// A token bucket for retries: each request adds a fraction of a token, each retry takes one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     per_request: f64,
@@ -11,26 +11,26 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of `per_request` retries for each request, with at most `max` saved up.
+    /// Creates a full budget of `per_request` retries per request that holds at most `max` tokens.
     ///
     /// ```
     /// let mut budget = redwingfold_core::RetryBudget::new(0.5, 1.0);
     /// assert!(budget.try_retry());
     /// assert!(!budget.try_retry());
-    /// budget.request();
-    /// budget.request();
+    /// budget.record_request();
+    /// budget.record_request();
     /// assert!(budget.try_retry());
     /// ```
     pub fn new(per_request: f64, max: f64) -> Self {
         Self { per_request, max, tokens: max }
     }
 
-    /// Counts a first attempt.
-    pub fn request(&mut self) {
+    /// Adds the share of a token for a first attempt.
+    pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.per_request).min(self.max);
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes a token for a retry; returns whether there was one.
     pub fn try_retry(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -40,28 +40,28 @@
     }
 }
 
-/// A bucket that fills with time, for bytes a second.
+/// A token bucket for bytes per second.
 #[derive(Clone, Copy, Debug)]
 pub struct ByteBudget {
     per_second: u64,
-    /// What it holds when it is full.
-    depth: u64,
+    /// Capacity of the bucket.
+    burst_bytes: u64,
     millibytes: u64,
-    filled: Millis,
+    last_refill: Millis,
 }
 
 impl ByteBudget {
-    /// Makes a full budget of `per_second` bytes a second, with one second's worth saved up.
+    /// Creates a full budget of `per_second` bytes per second with a burst of one second's worth.
     pub fn new(per_second: u64, now: Millis) -> Self {
-        Self::with_depth(per_second, per_second, now)
+        Self::with_burst(per_second, per_second, now)
     }
 
-    /// Makes a full budget of `per_second` bytes a second that saves up `depth` bytes.
-    pub fn with_depth(per_second: u64, depth: u64, now: Millis) -> Self {
-        Self { per_second, depth, millibytes: depth * 1000, filled: now }
+    /// Creates a full budget of `per_second` bytes per second with a burst of `burst_bytes`.
+    pub fn with_burst(per_second: u64, burst_bytes: u64, now: Millis) -> Self {
+        Self { per_second, burst_bytes, millibytes: burst_bytes * 1000, last_refill: now }
     }
 
-    /// Takes `bytes` out of the budget, if they are there.
+    /// Takes `bytes` from the budget if it holds as many; returns whether it did.
     ///
     /// ```
     /// use redwingfold_core::{ByteBudget, Millis};
@@ -71,23 +71,24 @@
     /// assert!(budget.try_take(100, Millis(100)));
     /// ```
     pub fn try_take(&mut self, bytes: u64, now: Millis) -> bool {
-        self.try_take_leaving(bytes, 0, now)
+        self.try_take_with_reserve(bytes, 0, now)
     }
 
-    /// Takes `bytes` out of the budget, if `rest` bytes are left then for what is more urgent.
+    /// Takes `bytes` from the budget if at least `reserve` bytes are left for more urgent traffic;
+    /// returns whether it did.
     ///
     /// ```
     /// use redwingfold_core::{ByteBudget, Millis};
-    /// let mut budget = ByteBudget::with_depth(1_000, 2_000, Millis(0));
-    /// assert!(budget.try_take_leaving(1_500, 500, Millis(0)));
-    /// assert!(!budget.try_take_leaving(1, 500, Millis(0)));
+    /// let mut budget = ByteBudget::with_burst(1_000, 2_000, Millis(0));
+    /// assert!(budget.try_take_with_reserve(1_500, 500, Millis(0)));
+    /// assert!(!budget.try_take_with_reserve(1, 500, Millis(0)));
     /// assert!(budget.try_take(500, Millis(0)));
     /// ```
-    pub fn try_take_leaving(&mut self, bytes: u64, rest: u64, now: Millis) -> bool {
-        let gained = now.since(self.filled).0 * self.per_second;
-        self.millibytes = (self.millibytes + gained).min(self.depth * 1000);
-        self.filled = now;
-        if self.millibytes < (bytes + rest) * 1000 {
+    pub fn try_take_with_reserve(&mut self, bytes: u64, reserve: u64, now: Millis) -> bool {
+        let refilled = now.since(self.last_refill).0 * self.per_second;
+        self.millibytes = (self.millibytes + refilled).min(self.burst_bytes * 1000);
+        self.last_refill = now;
+        if self.millibytes < (bytes + reserve) * 1000 {
             return false;
         }
         self.millibytes -= bytes * 1000;
--- a/core/src/config/mod.rs
+++ b/core/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration: its objects, the changes to them, and the fold of the log into a state.
+//! The configuration: its objects, the records that change them, and the fold of those records
+//! into a state.
 
 mod change;
 mod fold;
@@ -6,8 +7,10 @@
 mod object;
 mod validate;
 
-pub use change::{Change, Record, StreamsOnWithdrawal, Withdrawal};
-pub use fold::{AuditEntry, Config, Fold, RULES, SeenIds, Snapshot, Stored, Verdict};
+pub use change::{Change, ConfigRecord, StreamsOnWithdrawal, Withdrawal};
+pub use fold::{
+    AuditEntry, Config, ConfigFold, FOLD_RULES_VERSION, SeenIds, Snapshot, StoredObject, Verdict,
+};
 pub use matches::SelectorMatch;
 pub use object::{
     CascadeSpec, CustomerSpec, GrantSpec, HostSelector, ModelSpec, Object, ObjectKey,
--- a/core/src/config/validate.rs
+++ b/core/src/config/validate.rs
@@ -1,16 +1,16 @@
-//! Checks that a set of objects makes sense as a whole.
+//! Validation of a set of objects: references and values.
 
 use std::collections::BTreeMap;
 
-use super::fold::Stored;
+use super::fold::StoredObject;
 use super::object::{ObjectKey, Spec};
 use crate::ids::PerMille;
 
 const MAX_NAME_LEN: usize = 128;
 const SHA256_HEX_LEN: usize = 64;
 
-/// Returns what is wrong with the objects, or nothing.
-pub(crate) fn problems(objects: &BTreeMap<ObjectKey, Stored>) -> Vec<String> {
+/// Returns the problems of the objects; empty if they are valid.
+pub(crate) fn problems(objects: &BTreeMap<ObjectKey, StoredObject>) -> Vec<String> {
     let mut found = Vec::new();
     for (key, stored) in objects {
         if key.name.len() > MAX_NAME_LEN {
@@ -22,7 +22,7 @@
 }
 
 fn check_object(
-    objects: &BTreeMap<ObjectKey, Stored>,
+    objects: &BTreeMap<ObjectKey, StoredObject>,
     key: &ObjectKey,
     spec: &Spec,
     found: &mut Vec<String>,
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -1,17 +1,17 @@
-//! Which version may and should answer a request.
+//! Access checks and the choice of the version that answers a request.
 
 use crate::config::{Config, ObjectKey, Spec, VersionSpec};
 use crate::error::ErrorKind;
 use crate::ids::{CustomerName, ModelName, PerMille, SessionId, VersionName};
 use crate::label::Labels;
 
-/// Why no version may answer.
+/// The reason why no version may answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Denied {
-    /// The kind of answer.
+pub struct AccessDenied {
+    /// The error kind for the caller.
     pub kind: ErrorKind,
-    /// What was looked at.
-    pub why: String,
+    /// The requested name and the error kind, as text.
+    pub detail: String,
 }
 
 /// The versions that may answer a request, in the order in which to try them.
@@ -19,7 +19,8 @@
 pub struct Plan {
     /// One version for each step.
     pub steps: Vec<VersionName>,
-    /// Quality to reach before the next step is left out; `None` if the first answer is final.
+    /// Quality from which an answer is final, so that the next step is skipped; `None` if the first
+    /// answer is final.
     pub target: Option<PerMille>,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Returns the customer that owns a key, given the key's SHA-256 as lower-case hex.
+    /// Returns the customer that owns an API key, given the key's SHA-256 as lower-case hex.
     pub fn customer_of_key(&self, sha256: &str) -> Option<CustomerName> {
         self.of_kind("customer").find_map(|(key, spec)| match spec {
             Spec::Customer(c) if c.key_sha256.iter().any(|k| k == sha256) => key.name.parse().ok(),
@@ -81,14 +82,14 @@
         }
     }
 
-    /// Checks that a caller may use a version now.
+    /// Checks whether a caller may use a version.
     ///
-    /// Entry and side both ask this, each of the newest configuration that it has.
+    /// The entry and the side both check this, each with the latest configuration that it has.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::UnknownModel`], [`ErrorKind::Withdrawn`] or [`ErrorKind::NotAllowed`].
-    pub fn may_run(
+    pub fn check_access(
         &self,
         customer: &CustomerName,
         session: Option<&SessionId>,
@@ -129,28 +130,29 @@
     matches!(spec, Spec::Session(s) if s.customer == *customer)
 }
 
-/// Returns the point of a session in 0..1000; a roll-out at share `s` takes sessions below `s`.
+/// Returns the bucket of a session in 0..1000; a rollout with share `s` applies to buckets below
+/// `s`.
 ///
-/// It depends on the session alone, so that entries which do not know each other agree, and a
-/// session whose pin was lost is most likely given the same version again.
-pub fn session_share(model: &ModelName, who: &str) -> PerMille {
-    let text = format!("{model}\0{who}");
+/// The bucket is a hash of the model and `bucket_key`, so all entries compute the same one, and a
+/// session whose pin was lost most likely gets the same version again.
+pub fn rollout_bucket(model: &ModelName, bucket_key: &str) -> PerMille {
+    let text = format!("{model}\0{bucket_key}");
     PerMille((xxhash_rust::xxh3::xxh3_64(text.as_bytes()) % 1000) as u16)
 }
 
 /// Chooses the version of one model for a new session, or for a request without one.
 ///
-/// `who` is the session id, or the request id where there is no session.
+/// `bucket_key` is the session ID, or the request ID if there is no session.
 ///
 /// # Errors
 ///
-/// The kind that keeps the last candidate out.
+/// Returns the error kind of the last candidate.
 pub fn choose_version(
     config: &Config,
     customer: &CustomerName,
     session: Option<&SessionId>,
     model: &ModelName,
-    who: &str,
+    bucket_key: &str,
 ) -> Result<VersionName, ErrorKind> {
     let current = match config.objects.get(&ObjectKey::new("model", model)) {
         Some(stored) => match &stored.object.spec {
@@ -159,15 +161,15 @@
         },
         None => return Err(ErrorKind::UnknownModel),
     };
-    let point = session_share(model, who);
+    let bucket = rollout_bucket(model, bucket_key);
     let rolled = config.of_kind("rollout").find_map(|(_, spec)| match spec {
-        Spec::Rollout(r) if r.model == *model && point < r.share => Some(r.to.clone()),
+        Spec::Rollout(r) if r.model == *model && bucket < r.share => Some(r.to.clone()),
         _ => None,
     });
     let pinned = config.pinned_by_operator(customer, session, model);
     let mut last = ErrorKind::UnknownModel;
     for version in pinned.into_iter().chain(rolled).chain([current]) {
-        match config.may_run(customer, session, &version) {
+        match config.check_access(customer, session, &version) {
             Ok(()) => return Ok(version),
             Err(kind) => last = kind,
         }
@@ -178,27 +180,28 @@
 /// Plans the versions that may answer a request for `name`: a version, a model or a cascade.
 ///
 /// `quality` gives the lower confidence bound of a version's quality for this kind of request.
-/// Steps of a cascade that are not expected to reach the target are left out, but for the last.
+/// A cascade starts at the cheapest step that is expected to reach its target, or at the first step
+/// if none is.
 ///
 /// # Errors
 ///
-/// [`Denied`] if no step may run.
+/// [`AccessDenied`] if no step may run.
 pub fn plan(
     config: &Config,
     customer: &CustomerName,
     session: Option<&SessionId>,
     name: &str,
-    who: &str,
+    bucket_key: &str,
     quality: impl Fn(&VersionName, &VersionSpec) -> PerMille,
-) -> Result<Plan, Denied> {
-    let denied = |kind: ErrorKind| Denied { kind, why: format!("{name}: {kind}") };
+) -> Result<Plan, AccessDenied> {
+    let denied = |kind: ErrorKind| AccessDenied { kind, detail: format!("{name}: {kind}") };
     if let Some(stored) = config.objects.get(&ObjectKey::new("cascade", name))
         && let Spec::Cascade(cascade) = &stored.object.spec
     {
         let mut last = ErrorKind::UnknownModel;
         let mut steps = Vec::new();
         for model in &cascade.models {
-            match choose_version(config, customer, session, model, who) {
+            match choose_version(config, customer, session, model, bucket_key) {
                 Ok(version) => steps.push(version),
                 Err(kind) => last = kind,
             }
@@ -211,7 +214,8 @@
         let good = |v: &VersionName| {
             config.version(v).is_some_and(|spec| quality(v, spec) >= cascade.target)
         };
-        // The cheapest step that is believed good comes first; what is dearer stays as escalation.
+        // Starts at the cheapest step expected to reach the target; the more expensive ones follow
+        // as escalation.
         let first = steps.iter().position(good).unwrap_or(0);
         steps.drain(..first);
         return Ok(Plan { steps, target: Some(cascade.target) });
@@ -219,10 +223,11 @@
     if config.objects.contains_key(&ObjectKey::new("model", name))
         && let Ok(model) = name.parse()
     {
-        let version = choose_version(config, customer, session, &model, who).map_err(denied)?;
+        let version =
+            choose_version(config, customer, session, &model, bucket_key).map_err(denied)?;
         return Ok(Plan { steps: vec![version], target: None });
     }
     let version: VersionName = name.parse().map_err(|_| denied(ErrorKind::UnknownModel))?;
-    config.may_run(customer, session, &version).map_err(denied)?;
+    config.check_access(customer, session, &version).map_err(denied)?;
     Ok(Plan { steps: vec![version], target: None })
 }
--- a/core/src/serving/registry.rs
+++ b/core/src/serving/registry.rs
@@ -35,7 +35,7 @@
     /// Models that it has loaded; empty if it is not a model engine.
     pub models: Vec<ModelName>,
     /// Incarnation of its process, if the platform reports it: a server may restart under the same id.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Remaining time for which it is cold, as of its record.
     pub cold_left: Millis,
 }
@@ -47,7 +47,7 @@
     /// the load and the failures of a process that no longer exists, and a server that once drained would never be used
     /// again.
     pub fn is_restart_of(&self, earlier: &Self) -> bool {
-        matches!((self.born, earlier.born), (Some(now), Some(then)) if now > then)
+        matches!((self.incarnation, earlier.incarnation), (Some(now), Some(then)) if now > then)
     }
 }
 
@@ -104,12 +104,12 @@
     removed: HashMap<BackendId, Millis>,
 }
 
-/// Time for which a removed server is remembered; longer than the age of the copies that the store is restored from,
-/// which is some seconds.
+/// Time for which the removal of a server stays on record; longer than the age of the copies that the store is restored
+/// from, which is some seconds.
 const REMOVED_RETENTION: Millis = Millis(60_000);
 
-/// Time for which a list from an older copy may still be sent around; by its end all running servers have renewed their
-/// records.
+/// Time for which gateways may still send each other a list from an older copy; by its end all running servers have
+/// renewed their records.
 const RESTORED_LIST_LIFETIME: Millis = Millis(10_000);
 
 /// Tolerance between heartbeats of a cold server about when it is warm, because they are read with varying delay.
@@ -255,7 +255,7 @@
     /// ```
     pub fn replace(&mut self, servers: Vec<BackendServer>, now: Millis) -> Vec<BackendId> {
         self.first_list_at.get_or_insert(now);
-        // Another gateway that has just started has only the restored copy, and sends it around.
+        // Another gateway that has just started has only the restored copy, and sends it to its peers.
         let has_left = |server: &BackendServer| {
             let left_at = self.removed.get(&server.id);
             now < self.stale_until && left_at.is_some_and(|at| now.since(*at) < REMOVED_RETENTION)
@@ -313,7 +313,7 @@
 
     /// Returns whether a record changes nothing. A record of a server that is waiting for its removal is a change,
     /// because it shows that the server is running.
-    pub fn has(&self, server: &BackendServer, now: Millis) -> bool {
+    pub fn is_up_to_date(&self, server: &BackendServer, now: Millis) -> bool {
         let Some(entry) = self.servers.get(&server.id).filter(|entry| entry.expires_at.is_none())
         else {
             return false;
--- a/core/src/serving/silence.rs
+++ b/core/src/serving/silence.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SilencePolicy {
     /// Timeout for the head of a stream, as a share of the target latency, at zero pressure.
-    pub head_aim_share: f64,
+    pub head_target_share: f64,
     /// Increase of that share per unit of pressure; at a pressure of one, first bytes take the whole target latency.
-    pub head_aim_share_per_pressure: f64,
+    pub head_target_share_per_pressure: f64,
     /// Increase of the timeout for the head, as a multiple of the time that the server is expected to need.
     pub head_expected_factor: u64,
     /// Timeout for the next event, as a share of the longest gap that still meets its target.
@@ -28,8 +28,8 @@
     /// 100 gaps between events were shorter than 0.6 s.
     fn default() -> Self {
         Self {
-            head_aim_share: 0.5,
-            head_aim_share_per_pressure: 2.0,
+            head_target_share: 0.5,
+            head_target_share_per_pressure: 2.0,
             head_expected_factor: 3,
             event_gap_share: 0.75,
             min_event: Millis(750),
@@ -69,14 +69,21 @@
     /// assert!(wait(Awaited::Head(Millis(100)), 0.2) > wait(Awaited::Head(Millis(100)), 0.1));
     /// assert_eq!(wait(Awaited::Head(Millis(100)), 0.5), None);
     /// ```
-    pub fn request_timeout(&self, awaited: Awaited, aim: Millis, pressure: f64) -> Option<Millis> {
+    pub fn request_timeout(
+        &self,
+        awaited: Awaited,
+        target_latency: Millis,
+        pressure: f64,
+    ) -> Option<Millis> {
         let part = |whole: Millis, part: f64| Millis((whole.0 as f64 * part) as u64);
         match awaited {
-            Awaited::Plain => Some(self.min_plain_silence.max(Millis(aim.0 * 2))),
+            Awaited::Plain => Some(self.min_plain_silence.max(Millis(target_latency.0 * 2))),
             _ if pressure >= self.max_pressure => None,
             Awaited::Head(expected) => {
-                let base =
-                    part(aim, self.head_aim_share + self.head_aim_share_per_pressure * pressure);
+                let base = part(
+                    target_latency,
+                    self.head_target_share + self.head_target_share_per_pressure * pressure,
+                );
                 Some(base.after(Millis(expected.0 * self.head_expected_factor)))
             }
             Awaited::Event(gap) => Some(self.min_event.max(part(gap, self.event_gap_share))),
@@ -84,13 +91,13 @@
     }
 
     /// Returns the time without data on any request after which a server counts as hanging.
-    pub fn hang_timeout(&self, awaited: Awaited, aim: Millis) -> Millis {
+    pub fn hang_timeout(&self, awaited: Awaited, target_latency: Millis) -> Millis {
         let min = if awaited == Awaited::Plain {
             self.min_plain_silence
         } else {
             self.min_engine_silence
         };
-        min.max(Millis(aim.0 * 3 / 2))
+        min.max(Millis(target_latency.0 * 3 / 2))
     }
 }
 
@@ -105,13 +112,13 @@
 }
 
 impl SilenceWatch {
-    /// Starts a watch that is polled at the interval `every`.
+    /// Starts a measurement that is polled at the interval `every`.
     pub fn new(now: Millis, every: Millis) -> Self {
         let max_step = Millis(every.0 * 2);
         Self { polled_at: now, max_step, request_silence: Millis(0), server_silence: Millis(0) }
     }
 
-    /// Polls the watch; `heard_at` is the time of the last data from the server on any request.
+    /// Adds the time since the last poll; `last_data_at` is the time of the last data from the server on any request.
     ///
     /// Failure: the process itself was stopped for seconds, and the data that servers sent in that time waits unread in
     /// its sockets. By the clock, all servers sent nothing, and each request would be sent again. So the time between
@@ -124,11 +131,11 @@
     /// watch.poll(Millis(9_000), Millis(0));
     /// assert_eq!(watch.waited(), Millis(750));
     /// ```
-    pub fn poll(&mut self, now: Millis, heard_at: Millis) {
+    pub fn poll(&mut self, now: Millis, last_data_at: Millis) {
         let step = now.since(self.polled_at).min(self.max_step);
         self.request_silence = self.request_silence.after(step);
         self.server_silence =
-            if heard_at > self.polled_at { Millis(0) } else { self.server_silence.after(step) };
+            if last_data_at > self.polled_at { Millis(0) } else { self.server_silence.after(step) };
         self.polled_at = now;
     }
 
@@ -142,12 +149,12 @@
         &self,
         policy: &SilencePolicy,
         awaited: Awaited,
-        aim: Millis,
+        target_latency: Millis,
         pressure: f64,
     ) -> bool {
         let is_request_silent = policy
-            .request_timeout(awaited, aim, pressure)
+            .request_timeout(awaited, target_latency, pressure)
             .is_some_and(|wait| self.request_silence >= wait);
-        is_request_silent || self.server_silence >= policy.hang_timeout(awaited, aim)
+        is_request_silent || self.server_silence >= policy.hang_timeout(awaited, target_latency)
     }
 }
--- a/core/src/subset.rs
+++ b/core/src/subset.rs
@@ -1,11 +1,11 @@
-//! Who talks to whom: stable, bounded subsets by rendezvous hashing, spread over failure domains.
+//! Selection of peers: stable, bounded subsets by rendezvous hashing, spread over failure domains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{FailureDomain, HostId};
 use crate::pin::PinKey;
 
-/// A host as far as the choice of peers goes.
+/// A host with its failure domain, as a candidate peer.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Member {
     /// The host.
@@ -14,14 +14,15 @@
     pub domain: FailureDomain,
 }
 
-fn score(seed: &str, host: &HostId) -> u64 {
+fn rendezvous_score(seed: &str, host: &HostId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(format!("{seed}\0{host}").as_bytes())
 }
 
-/// Ranks members for a seed, so that the first few are in different failure domains.
+/// Ranks members for a seed, so that the first ones are in different failure domains.
 ///
-/// Each domain is ranked by hash, then the best of each, the second best of each and so on are
-/// taken in turn. A member that comes or goes moves only itself and those behind it in its domain.
+/// The members of each domain are ranked by hash. The result has the first of each domain, then the
+/// second of each, and so on. A member that joins or leaves affects only the position of members
+/// ranked after it in its domain.
 ///
 /// ```
 /// use redwingfold_core::{Member, rank};
@@ -34,7 +35,7 @@
 /// assert_ne!(ranked[0].domain, ranked[1].domain);
 /// ```
 pub fn rank<'a>(seed: &str, members: &'a [Member]) -> Vec<&'a Member> {
-    let mut scored: Vec<_> = members.iter().map(|m| (score(seed, &m.host), m)).collect();
+    let mut scored: Vec<_> = members.iter().map(|m| (rendezvous_score(seed, &m.host), m)).collect();
     scored.sort_by(|a, b| (b.0, &b.1.host).cmp(&(a.0, &a.1.host)));
     let mut depth = std::collections::HashMap::new();
     let mut layered: Vec<_> = scored
@@ -61,9 +62,9 @@
 /// Returns the sides that an entry connects to.
 ///
 /// Each side chooses `fan_in` entries in different failure domains, and an entry connects to the
-/// sides that chose it: were entries to choose, some sides would be chosen by none and stand idle
-/// (one in seven at 24 entries with 24 choices among 306 sides). Beside these an entry takes its
-/// own first `per_pool` sides of each pool, so that it can serve every version.
+/// sides that chose it. If entries chose sides, some sides would be chosen by none and stay idle:
+/// one in seven with 24 entries that choose 24 of 306 sides each. In addition, an entry connects to
+/// the `per_pool` sides of each pool that it ranks first, so that it can serve every version.
 ///
 /// ```
 /// use redwingfold_core::{Member, PooledSide, sides_of_entry};
@@ -87,32 +88,32 @@
         let chosen = rank(side.member.host.as_str(), entries);
         chosen.iter().take(fan_in).any(|entry| entry.host == *own)
     };
-    let mut taken: BTreeSet<_> =
+    let mut connected: BTreeSet<_> =
         sides.iter().filter(chose_own).map(|side| side.member.host.clone()).collect();
     let mut pools = BTreeMap::<&str, Vec<Member>>::new();
     for side in sides {
         pools.entry(&side.pool).or_default().push(side.member.clone());
     }
     for members in pools.values() {
-        taken.extend(rank(own.as_str(), members).iter().take(per_pool).map(|m| m.host.clone()));
+        connected.extend(rank(own.as_str(), members).iter().take(per_pool).map(|m| m.host.clone()));
     }
-    taken
+    connected
 }
 
-/// Says whether `own` is among the `per_domain` members of its failure domain that read the log
+/// Returns whether `own` is among the `per_domain` members of its failure domain that read the log
 /// for the others.
 pub fn is_log_reader(own: &Member, members: &[Member], per_domain: usize) -> bool {
     let mut scores: Vec<_> = members
         .iter()
         .filter(|m| m.domain == own.domain && m.host != own.host)
-        .map(|m| score("log-reader", &m.host))
+        .map(|m| rendezvous_score("log-reader", &m.host))
         .collect();
     scores.sort_unstable_by(|a, b| b.cmp(a));
-    let mine = score("log-reader", &own.host);
-    scores.iter().take_while(|s| **s > mine).count() < per_domain
+    let own_score = rendezvous_score("log-reader", &own.host);
+    scores.iter().take_while(|s| **s > own_score).count() < per_domain
 }
 
-/// Returns the hosts that hold a session's pin, the first to be asked first.
+/// Returns the `copies` hosts that hold a session's pin, in the order in which to query them.
 pub fn pin_holders<'a>(key: &PinKey, members: &'a [Member], copies: usize) -> Vec<&'a Member> {
     let seed = format!("pin\0{}\0{}\0{}", key.customer, key.session, key.name);
     let mut ranked = rank(&seed, members);
--- a/core/tests/claims.rs
+++ b/core/tests/claims.rs
@@ -1,13 +1,13 @@
-//! Calls that may not be repeated, under random schedules of entries, sides and the log.
+//! Calls that run at most once, under random schedules of entries, sides and the log.
 //!
-//! Entries claim, are paused for any time between any two steps, lose answers of the log, and die;
-//! sides start anew and forget. All of it happens in virtual time, thousands of schedules a run.
+//! Entries append claims, are paused between any two steps, lose responses of the log, and crash.
+//! Sides restart and lose their tables. Each run executes thousands of schedules in virtual time.
 
 use std::collections::BTreeMap;
 
 use redwingfold_core::{
-    CallAnswer, CallState, CallTable, Claim, ClaimFold, ClaimId, Incarnation, KeyHash, Offset,
-    RequestId, Standing,
+    CallAnswer, CallState, CallTable, Claim, ClaimFold, ClaimId, ClaimStatus, Incarnation, KeyHash,
+    Offset, RequestId,
 };
 use todc_utils::{Action, History, Specification, WGLChecker};
 
@@ -17,18 +17,18 @@
 const MAX_ROUNDS: usize = 3;
 const KEY: KeyHash = KeyHash(7);
 
-/// Draws numbers from the bytes of a schedule.
-struct Draw<'a>(&'a [u8], usize);
+/// Derives random numbers from the bytes of a schedule.
+struct ScheduleRng<'a>(&'a [u8], usize);
 
-impl Draw<'_> {
+impl ScheduleRng<'_> {
     fn below(&mut self, n: usize) -> usize {
         self.1 += 1;
         let byte = self.0.get(self.1 % self.0.len().max(1)).copied().unwrap_or(0);
-        // The position is mixed in, so that short inputs still make long schedules.
+        // The position is mixed in, so that short inputs still give long schedules.
         (usize::from(byte) ^ (self.1.wrapping_mul(0x9e37) >> 7)) % n
     }
 
-    fn once_in(&mut self, n: usize) -> bool {
+    fn one_in(&mut self, n: usize) -> bool {
         self.below(n) == 0
     }
 }
@@ -39,12 +39,12 @@
     Read { claim: Claim, rounds: usize },
     Settle { holder: Claim, rounds: usize },
     Send { claim: Claim },
-    Over,
+    Finished,
 }
 
 /// How a caller's request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum End {
+enum Outcome {
     NotRun,
     Ran,
     Replayed,
@@ -56,16 +56,16 @@
     incarnation: Incarnation,
 }
 
-struct World {
+struct Simulation {
     log: Vec<Claim>,
     sides: Vec<Side>,
     runs: usize,
     next: u128,
-    /// Whether the side looks into its table before it runs; off in the planted violation.
+    /// Whether the side checks its table before it runs a call; false for the injected fault.
     is_checked: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(is_checked: bool) -> Self {
         let side = |n: usize| {
             let incarnation = Incarnation(n as u64 + 1);
@@ -99,12 +99,12 @@
         fold
     }
 
-    /// Takes one step of an entry's request.
-    fn step(&mut self, step: Step, draw: &mut Draw<'_>) -> (Step, Option<End>) {
+    /// Executes one step of an entry's request.
+    fn step(&mut self, step: Step, rng: &mut ScheduleRng<'_>) -> (Step, Option<Outcome>) {
         match step {
-            Step::Append { rounds: MAX_ROUNDS, .. } => (Step::Over, Some(End::NotRun)),
+            Step::Append { rounds: MAX_ROUNDS, .. } => (Step::Finished, Some(Outcome::NotRun)),
             Step::Append { replaces, rounds } => {
-                let n = draw.below(SIDES);
+                let n = rng.below(SIDES);
                 let claim = Claim {
                     id: ClaimId(self.next),
                     key: KEY,
@@ -114,31 +114,32 @@
                     replaces,
                 };
                 self.next += 1;
-                if draw.once_in(8) {
-                    // The log is away: nothing took effect, and the caller is told so.
-                    return (Step::Over, Some(End::NotRun));
+                if rng.one_in(8) {
+                    // The log service is unavailable: the append had no effect, and the caller gets
+                    // an error that says so.
+                    return (Step::Finished, Some(Outcome::NotRun));
                 }
                 self.log.push(claim.clone());
                 (Step::Read { claim, rounds }, None)
             }
-            Step::Read { claim, rounds } => match self.fold().standing(&claim) {
-                Standing::Holds => (Step::Send { claim }, None),
-                Standing::Absent => (Step::Over, Some(End::NotRun)),
-                Standing::Behind(holder) => (Step::Settle { holder, rounds }, None),
+            Step::Read { claim, rounds } => match self.fold().status(&claim) {
+                ClaimStatus::HoldsKey => (Step::Send { claim }, None),
+                ClaimStatus::Absent => (Step::Finished, Some(Outcome::NotRun)),
+                ClaimStatus::HeldByOther(holder) => (Step::Settle { holder, rounds }, None),
             },
             Step::Settle { holder, rounds } => {
                 let table = &mut self.side_of(&holder).table;
                 match table.state(&holder) {
-                    Some(CallState::Done(_)) => (Step::Over, Some(End::Replayed)),
+                    Some(CallState::Done(_)) => (Step::Finished, Some(Outcome::Replayed)),
                     Some(CallState::Running | CallState::Unknown) => {
-                        (Step::Over, Some(End::Unknown))
+                        (Step::Finished, Some(Outcome::Unknown))
                     }
                     None | Some(CallState::Closed) => match table.close(&holder) {
                         Some(true) => {
                             let replaces = Some(holder.id);
                             (Step::Append { replaces, rounds: rounds + 1 }, None)
                         }
-                        _ => (Step::Over, Some(End::Unknown)),
+                        _ => (Step::Finished, Some(Outcome::Unknown)),
                     },
                 }
             }
@@ -146,73 +147,73 @@
                 let is_checked = self.is_checked;
                 let side = self.side_of(&claim);
                 if side.table.begin(&claim).is_err() && is_checked {
-                    return (Step::Over, Some(End::Unknown));
+                    return (Step::Finished, Some(Outcome::Unknown));
                 }
                 self.runs += 1;
-                if draw.once_in(6) {
-                    self.side_of(&claim).table.lost(claim.id);
-                    return (Step::Over, Some(End::Unknown));
+                if rng.one_in(6) {
+                    self.side_of(&claim).table.mark_unknown(claim.id);
+                    return (Step::Finished, Some(Outcome::Unknown));
                 }
                 let answer = CallAnswer { status: 200, content_type: None, body: None };
-                self.side_of(&claim).table.done(claim.id, answer);
-                (Step::Over, Some(End::Ran))
+                self.side_of(&claim).table.mark_done(claim.id, answer);
+                (Step::Finished, Some(Outcome::Ran))
             }
-            Step::Over => (Step::Over, None),
+            Step::Finished => (Step::Finished, None),
         }
     }
 }
 
-/// A call that may not be repeated, as one object: it runs once, or is refused.
+/// Sequential specification of a call that runs at most once.
 struct OneCall;
 
 impl Specification for OneCall {
-    type Operation = End;
+    type Operation = Outcome;
     type State = bool;
 
     fn init() -> bool {
         false
     }
 
-    fn apply(end: &End, has_run: &bool) -> (bool, bool) {
-        match end {
-            End::Ran => (!has_run, true),
-            End::Replayed => (*has_run, true),
-            End::NotRun | End::Unknown => (true, *has_run),
+    fn apply(outcome: &Outcome, has_run: &bool) -> (bool, bool) {
+        match outcome {
+            Outcome::Ran => (!has_run, true),
+            Outcome::Replayed => (*has_run, true),
+            Outcome::NotRun | Outcome::Unknown => (true, *has_run),
         }
     }
 }
 
 /// Runs a schedule; returns the number of runs and the history of the calls.
-fn schedule(bytes: &[u8], is_checked: bool) -> (usize, Vec<(usize, Action<End>)>) {
-    let mut draw = Draw(bytes, 0);
-    let mut world = World::new(is_checked);
+fn run_schedule(bytes: &[u8], is_checked: bool) -> (usize, Vec<(usize, Action<Outcome>)>) {
+    let mut rng = ScheduleRng(bytes, 0);
+    let mut simulation = Simulation::new(is_checked);
     let mut entries = BTreeMap::<usize, Step>::new();
     let mut calls = Vec::new();
-    let mut ends = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     let mut next_call = 0;
     for _ in 0..STEPS {
-        if draw.once_in(20) {
-            let n = draw.below(SIDES);
-            world.restart(n);
+        if rng.one_in(20) {
+            let n = rng.below(SIDES);
+            simulation.restart(n);
         }
-        if entries.len() < ENTRIES && draw.once_in(3) {
+        if entries.len() < ENTRIES && rng.one_in(3) {
             entries.insert(next_call, Step::Append { replaces: None, rounds: 0 });
             calls.push((next_call, true));
             next_call += 1;
         }
-        let Some(&call) = entries.keys().nth(draw.below(entries.len().max(1))) else { continue };
-        if draw.once_in(25) {
-            // The entry dies; its caller never hears.
+        let Some(&call) = entries.keys().nth(rng.below(entries.len().max(1))) else { continue };
+        if rng.one_in(25) {
+            // The entry crashes; its caller gets no response.
             entries.remove(&call);
             calls.push((call, false));
-            ends.insert(call, End::Unknown);
+            outcomes.insert(call, Outcome::Unknown);
             continue;
         }
         let step = entries.remove(&call).unwrap();
-        match world.step(step, &mut draw) {
-            (_, Some(end)) => {
+        match simulation.step(step, &mut rng) {
+            (_, Some(outcome)) => {
                 calls.push((call, false));
-                ends.insert(call, end);
+                outcomes.insert(call, outcome);
             }
             (next, None) => {
                 entries.insert(call, next);
@@ -221,40 +222,40 @@
     }
     for call in entries.into_keys() {
         calls.push((call, false));
-        ends.insert(call, End::Unknown);
+        outcomes.insert(call, Outcome::Unknown);
     }
     let action = |&(call, begins): &(usize, bool)| match begins {
-        true => (call, Action::Call(ends[&call])),
-        false => (call, Action::Response(ends[&call])),
+        true => (call, Action::Call(outcomes[&call])),
+        false => (call, Action::Response(outcomes[&call])),
     };
-    (world.runs, calls.iter().map(action).collect())
+    (simulation.runs, calls.iter().map(action).collect())
 }
 
-/// A family sees one confirmation at most, whatever entries, sides and the log do, and in whatever
-/// order: runs are counted at the sides.
+/// A call runs at most once in any interleaving of the steps of entries, sides and the log. A
+/// second run would, for example, send a second confirmation. Runs are counted at the sides.
 #[test]
 fn a_call_runs_at_most_once() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let (runs, _) = schedule(bytes, true);
+        let (runs, _) = run_schedule(bytes, true);
         assert!(runs <= 1, "ran {runs} times");
     });
 }
 
-/// What callers are told fits one order of events: one "ran", replays only after it. Schedules in
-/// which the fate of a run stayed unknown are left out, since that run may be what was replayed.
+/// The responses to callers are linearizable: one call runs, and replays of its answer come after
+/// it. Schedules with an unknown outcome are skipped, since that run may be the one replayed.
 #[test]
 fn what_callers_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let (_, history) = schedule(bytes, true);
+        let (_, history) = run_schedule(bytes, true);
         let is_known =
-            history.iter().all(|(_, action)| !matches!(action, Action::Call(End::Unknown)));
+            history.iter().all(|(_, action)| !matches!(action, Action::Call(Outcome::Unknown)));
         if is_known && !history.is_empty() {
             assert!(WGLChecker::<OneCall>::is_linearizable(History::from_actions(history)));
         }
     });
 }
 
-/// The check above finds a violation: sides that run whatever they are sent run a call twice.
+/// The schedules can find a violation: sides that don't check their tables run a call twice.
 #[test]
 fn a_side_that_does_not_look_is_caught() {
     let mut worst = 0;
@@ -262,19 +263,19 @@
         let bytes: Vec<u8> = (0..64)
             .map(|i| xxhash_rust::xxh3::xxh3_64(&[seed.to_be_bytes(), [i, 0, 0, 0]].concat()) as u8)
             .collect();
-        worst = worst.max(schedule(&bytes, false).0);
+        worst = worst.max(run_schedule(&bytes, false).0);
     }
     assert!(worst > 1, "no schedule ran a call twice");
 }
 
-/// A history with two runs is not linearizable, so the checker can say no.
+/// The checker rejects a history with two runs.
 #[test]
 fn the_checker_refuses_two_runs() {
     let two = vec![
-        (0, Action::Call(End::Ran)),
-        (0, Action::Response(End::Ran)),
-        (1, Action::Call(End::Ran)),
-        (1, Action::Response(End::Ran)),
+        (0, Action::Call(Outcome::Ran)),
+        (0, Action::Response(Outcome::Ran)),
+        (1, Action::Call(Outcome::Ran)),
+        (1, Action::Response(Outcome::Ran)),
     ];
     assert!(!WGLChecker::<OneCall>::is_linearizable(History::from_actions(two)));
 }
--- a/core/tests/fold.rs
+++ b/core/tests/fold.rs
@@ -5,8 +5,8 @@
 use todc_utils::{Action, History, Specification, WGLChecker};
 
 use redwingfold_core::{
-    Change, Fold, Millis, ModelSpec, Object, ObjectKey, Offset, PerMille, Record, RequestId, Spec,
-    StreamsOnWithdrawal, Verdict, VersionSpec, Withdrawal,
+    Change, ConfigFold, ConfigRecord, Millis, ModelSpec, Object, ObjectKey, Offset, PerMille,
+    RequestId, Spec, StreamsOnWithdrawal, Verdict, VersionSpec, Withdrawal,
 };
 
 fn version(name: &str, cost: u64) -> Object {
@@ -28,7 +28,7 @@
 
 fn change(id: u128, expects: &[(&str, u64)], put: Vec<Object>) -> Vec<u8> {
     let expects = expects.iter().map(|(key, offset)| (key.parse().unwrap(), Offset(*offset)));
-    let record = Record::Change(Change {
+    let record = ConfigRecord::Change(Change {
         id: RequestId(id),
         author: format!("desk-{id}"),
         reason: "test".to_owned(),
@@ -41,7 +41,7 @@
 }
 
 fn withdraw(id: u128, version: &str) -> Vec<u8> {
-    let record = Record::Withdraw(Withdrawal {
+    let record = ConfigRecord::Withdraw(Withdrawal {
         id: RequestId(id),
         author: "desk".to_owned(),
         reason: "bad".to_owned(),
@@ -52,16 +52,16 @@
     serde_json::to_vec(&record).unwrap()
 }
 
-fn first() -> Vec<u8> {
+fn first_record() -> Vec<u8> {
     change(1, &[("model/slip", 0), ("version/a", 0)], vec![model("a"), version("a", 1)])
 }
 
-/// Two operators change one object from the same state: the log's order decides, and the second is
-/// told by whom and what it was changed.
+/// Two operators change one object from the same revision: the first in log order wins, and the
+/// rejection of the second names the author of the first.
 #[test]
 fn one_of_two_racing_changes_wins() {
-    let mut fold = Fold::default();
-    assert_eq!(fold.apply(Offset(1), &first()), Some(Verdict::Accepted));
+    let mut fold = ConfigFold::default();
+    assert_eq!(fold.apply(Offset(1), &first_record()), Some(Verdict::Accepted));
     let price = |id, cost| change(id, &[("version/a", 1)], vec![version("a", cost)]);
     assert_eq!(fold.apply(Offset(2), &price(2, 5)), Some(Verdict::Accepted));
     match fold.apply(Offset(3), &price(3, 6)) {
@@ -71,25 +71,26 @@
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().cost_per_ktok, 5);
 }
 
-/// A withdrawal wins over a change that was made from the state before it, whichever the operator
-/// sent first: putting a bad version back by accident would harm callers again.
+/// A change made from a revision before a withdrawal is rejected. It would otherwise put a bad
+/// version back in service by accident.
 #[test]
 fn stale_change_cannot_undo_a_withdrawal() {
-    let mut fold = Fold::default();
-    fold.apply(Offset(1), &first());
+    let mut fold = ConfigFold::default();
+    fold.apply(Offset(1), &first_record());
     fold.apply(Offset(2), &withdraw(2, "a"));
     let stale = change(3, &[("version/a", 1)], vec![version("a", 9)]);
     assert!(matches!(fold.apply(Offset(3), &stale), Some(Verdict::Rejected { .. })));
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().withdrawn_at, Some(Offset(2)));
-    let knowing = change(4, &[("version/a", 2)], vec![version("a", 9)]);
-    assert_eq!(fold.apply(Offset(4), &knowing), Some(Verdict::Accepted));
+    let current = change(4, &[("version/a", 2)], vec![version("a", 9)]);
+    assert_eq!(fold.apply(Offset(4), &current), Some(Verdict::Accepted));
     assert_eq!(fold.config().version(&"a".parse().unwrap()).unwrap().withdrawn_at, None);
 }
 
-/// Objects that do not fit together are rejected as a whole, with every reason.
+/// A change that leaves a reference to a missing object is rejected as a whole, and the rejection
+/// names the object.
 #[test]
 fn dangling_references_are_rejected() {
-    let mut fold = Fold::default();
+    let mut fold = ConfigFold::default();
     let dangling = change(1, &[("model/slip", 0)], vec![model("nowhere")]);
     match fold.apply(Offset(1), &dangling) {
         Some(Verdict::Rejected { why }) => assert!(why.contains("version/nowhere"), "{why}"),
@@ -98,7 +99,8 @@
     assert!(fold.config().objects.is_empty());
 }
 
-/// A record made of a few bytes: changes from a right or stale state, withdrawals, copies, garbage.
+/// Derives a record from a byte: a change from a current or stale revision, a withdrawal, a
+/// duplicate or malformed bytes.
 fn record(byte: u8, at: u64) -> Vec<u8> {
     let id = u128::from(byte % 32) + 10;
     match byte % 7 {
@@ -112,24 +114,24 @@
     }
 }
 
-/// Every daemon has the same state at the same offset, whether it read each record, began from a
-/// snapshot, or was sent old records again; and its offset never goes back.
+/// Daemons have the same state at the same offset, whether they read every record, started from a
+/// snapshot, or received old records again. The offset never decreases.
 #[test]
 fn all_ways_lead_to_one_state() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let mut records = vec![first()];
+        let mut records = vec![first_record()];
         records.extend(bytes.iter().take(40).zip(2..).map(|(byte, at)| record(*byte, at)));
-        let mut straight = Fold::default();
+        let mut straight = ConfigFold::default();
         for (raw, offset) in records.iter().zip(1..) {
             straight.apply(Offset(offset), raw);
         }
         let cut = bytes.first().map_or(0, |b| usize::from(*b) % records.len());
-        let mut early = Fold::default();
+        let mut early = ConfigFold::default();
         for (raw, offset) in records.iter().zip(1..).take(cut) {
             early.apply(Offset(offset), raw);
         }
         let json = serde_json::to_vec(&early.snapshot()).unwrap();
-        let mut late = Fold::from_snapshot(serde_json::from_slice(&json).unwrap()).unwrap();
+        let mut late = ConfigFold::from_snapshot(serde_json::from_slice(&json).unwrap()).unwrap();
         let from = cut.saturating_sub(3);
         for (raw, offset) in records.iter().zip(1..).skip(from) {
             let before = late.config().offset;
@@ -141,24 +143,24 @@
     });
 }
 
-/// Whatever stands in the log, the fold takes it or passes over it, and goes on.
+/// The fold applies or skips any bytes in the log, and continues.
 #[test]
 fn any_bytes_are_survived() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let mut fold = Fold::default();
+        let mut fold = ConfigFold::default();
         fold.apply(Offset(1), bytes);
-        assert_eq!(fold.apply(Offset(2), &first()), Some(Verdict::Accepted));
+        assert_eq!(fold.apply(Offset(2), &first_record()), Some(Verdict::Accepted));
     });
 }
 
-/// A change of one object as its author saw it: what it expected, and the revision it got.
+/// A compare-and-swap of one object: the expected revision, and the new one if it succeeded.
 #[derive(Clone, Debug)]
 struct Cas {
     expected: u64,
     won: Option<u64>,
 }
 
-/// The revision of one object.
+/// Sequential specification of the revision of one object.
 struct Revision;
 
 impl Specification for Revision {
@@ -177,15 +179,15 @@
     }
 }
 
-/// Operators look at the object, append their changes some time later, some of them twice, and hear
-/// the verdict later still, in any interleaving: what they are told fits one order of changes.
+/// Operators read an object, append their changes later, some of them twice, and read the verdict
+/// later still, in any interleaving. The verdicts are linearizable.
 #[test]
 fn what_racing_operators_are_told_is_linearizable() {
     bolero::check!().for_each(|bytes: &[u8]| {
-        let mut fold = Fold::default();
-        fold.apply(Offset(1), &first());
+        let mut fold = ConfigFold::default();
+        fold.apply(Offset(1), &first_record());
         let (mut log, mut actions) = (1, Vec::new());
-        // Each operator: what it expects, and where its record stands once it is appended.
+        // For each operator: the revision it expects, and the offset of its record once appended.
         let mut operators: Vec<Option<(u64, Option<u64>)>> = vec![None; 3];
         for (n, byte) in bytes.iter().enumerate().take(40) {
             let who = usize::from(byte % 3);
@@ -219,7 +221,7 @@
         }
         for (who, operator) in operators.iter().enumerate() {
             if operator.is_some() {
-                // It never heard; its call is taken out, if nothing can have seen its effect.
+                // The operator has read no verdict; its call is removed if it was not appended.
                 let call =
                     actions.iter().rposition(|(w, a)| *w == who && matches!(a, Action::Call(_)));
                 let expected = operator.unwrap().0;
@@ -240,7 +242,7 @@
     });
 }
 
-/// Two changes that won from the same revision are found, so the checker can say no.
+/// The checker rejects two changes that succeeded from the same revision.
 #[test]
 fn the_checker_refuses_two_winners() {
     let one = |who, won| {
--- a/core/tests/membership.rs
+++ b/core/tests/membership.rs
@@ -1,10 +1,10 @@
-//! Subsets of peers, holders of sessions, readers of the log, and the failure detector.
+//! Subsets of peers, holders of session pins, readers of the log, and the failure detector.
 
 use std::collections::BTreeSet;
 
 use redwingfold_core::{
-    Detector, Health, HostId, Member, Millis, Pin, PinKey, PinTable, Policy, PooledSide,
-    is_log_reader, pin_holders, sides_of_entry,
+    FailureDetector, HeartbeatPolicy, HostId, Member, Millis, PeerHealth, Pin, PinKey, PinTable,
+    PooledSide, is_log_reader, pin_holders, sides_of_entry,
 };
 
 const DOMAINS: usize = 8;
@@ -34,47 +34,47 @@
     fleet(hosts).into_iter().enumerate().map(pooled).collect()
 }
 
-fn of(own: usize, entries: &[Member], sides: &[PooledSide]) -> BTreeSet<HostId> {
+fn sides_of(own: usize, entries: &[Member], sides: &[PooledSide]) -> BTreeSet<HostId> {
     let own = format!("entry-{own}").parse().unwrap();
     sides_of_entry(&own, entries, sides, FAN_IN, PER_POOL)
 }
 
-/// No side stands idle, and every entry can serve every pool, at the size of the users' target; no
-/// entry has more than 65 connections.
+/// At the target size of 24 entries and 306 sides, every side has connections, every entry reaches
+/// every pool, and no entry has more than 65 connections.
 #[test]
 fn every_side_has_entries_and_every_entry_all_pools() {
     let (entries, sides) = (entries(24), sides(306));
-    let taken: Vec<_> = (0..24).map(|n| of(n, &entries, &sides)).collect();
+    let connected: Vec<_> = (0..24).map(|n| sides_of(n, &entries, &sides)).collect();
     for side in &sides {
-        let fan_in = taken.iter().filter(|t| t.contains(&side.member.host)).count();
+        let fan_in = connected.iter().filter(|t| t.contains(&side.member.host)).count();
         assert!(fan_in >= FAN_IN, "{} has {fan_in}", side.member.host);
     }
-    for taken in &taken {
+    for connected in &connected {
         let of_pool = |pool: usize| {
             let pool = format!("pool-{pool}");
-            sides.iter().filter(|s| s.pool == pool && taken.contains(&s.member.host)).count()
+            sides.iter().filter(|s| s.pool == pool && connected.contains(&s.member.host)).count()
         };
         assert!((0..POOLS).all(|pool| of_pool(pool) >= PER_POOL));
-        assert!(taken.len() <= 65, "{}", taken.len());
+        assert!(connected.len() <= 65, "{}", connected.len());
     }
 }
 
-/// An entry keeps almost all of its connections when a side or another entry goes.
+/// An entry keeps almost all of its connections when a side or another entry is removed.
 #[test]
 fn connections_move_little() {
     let (all_entries, all_sides) = (entries(24), sides(306));
     for own in 0..6 {
-        let before = of(own, &all_entries, &all_sides);
+        let before = sides_of(own, &all_entries, &all_sides);
         for gone in [0, 17, 299] {
             let mut left = all_sides.clone();
             let gone = left.remove(gone).member.host;
-            let mut lost: BTreeSet<_> = &before - &of(own, &all_entries, &left);
+            let mut lost: BTreeSet<_> = &before - &sides_of(own, &all_entries, &left);
             lost.remove(&gone);
             assert!(lost.is_empty(), "{lost:?}");
         }
         let mut left = all_entries.clone();
         left.remove(23);
-        let after = of(own, &left, &all_sides);
+        let after = sides_of(own, &left, &all_sides);
         assert!((&before - &after).len() <= 2, "{:?}", &before - &after);
         assert!((&after - &before).len() <= 8, "{:?}", &after - &before);
     }
@@ -101,7 +101,7 @@
     assert_eq!(readers, 2 * DOMAINS);
 }
 
-/// Holders that got pins in different orders agree in the end.
+/// Holders that merge the same pins in different orders converge.
 #[test]
 fn pins_that_crossed_end_up_equal() {
     bolero::check!().for_each(|bytes: &[u8]| {
@@ -144,36 +144,36 @@
     assert!(table.get(&key(1), Millis(6)).is_some());
 }
 
-fn policy(misses: u32) -> Policy {
-    Policy { interval: Millis(100), idle_interval: Millis(300), misses, dead_misses: 5 }
+fn policy(misses: u32) -> HeartbeatPolicy {
+    HeartbeatPolicy { interval: Millis(100), idle_interval: Millis(300), misses, dead_misses: 5 }
 }
 
 #[test]
 fn an_idle_peer_is_asked_less_often() {
-    let detector = Detector::new(policy(1), Millis(0));
-    assert!(!detector.should_ask(Millis(200), false));
-    assert!(detector.should_ask(Millis(200), true));
-    assert!(detector.should_ask(Millis(300), false));
+    let detector = FailureDetector::new(policy(1), Millis(0));
+    assert!(!detector.is_heartbeat_due(Millis(200), false));
+    assert!(detector.is_heartbeat_due(Millis(200), true));
+    assert!(detector.is_heartbeat_due(Millis(300), false));
 }
 
-/// A process that was frozen itself, and wakes long after, does not take its peers for dead: it has
-/// asked nothing in the meantime.
+/// A process that was itself paused for a long time does not suspect its peers when it resumes, as
+/// it has sent no heartbeat in the meantime.
 #[test]
 fn a_sleeper_suspects_nobody() {
     let policy = policy(1);
-    let detector = Detector::new(policy, Millis(0));
-    assert_eq!(detector.health(Millis(60_000)), Health::Live);
-    assert!(detector.should_ask(Millis(60_000), false));
+    let detector = FailureDetector::new(policy, Millis(0));
+    assert_eq!(detector.health(Millis(60_000)), PeerHealth::Live);
+    assert!(detector.is_heartbeat_due(Millis(60_000), false));
 }
 
 #[test]
 fn a_silent_peer_is_suspected_and_then_dead() {
     let policy = policy(3);
-    let mut detector = Detector::new(policy, Millis(0));
-    detector.asked(Millis(100));
-    assert_eq!(detector.health(Millis(399)), Health::Live);
-    assert_eq!(detector.health(Millis(400)), Health::Suspect);
-    assert_eq!(detector.health(Millis(600)), Health::Dead);
-    detector.heard(Millis(601));
-    assert_eq!(detector.health(Millis(601)), Health::Live);
+    let mut detector = FailureDetector::new(policy, Millis(0));
+    detector.record_heartbeat(Millis(100));
+    assert_eq!(detector.health(Millis(399)), PeerHealth::Live);
+    assert_eq!(detector.health(Millis(400)), PeerHealth::Suspect);
+    assert_eq!(detector.health(Millis(600)), PeerHealth::Dead);
+    detector.record_receipt(Millis(601));
+    assert_eq!(detector.health(Millis(601)), PeerHealth::Live);
 }
--- a/core/tests/serving.rs
+++ b/core/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Decisions of a gateway, each under the load or failure that it is for.
+//! Decisions of a gateway, each under the load or the failure that it is designed for.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,7 +19,7 @@
         slots: 64,
         state,
         models: Vec::new(),
-        born: None,
+        incarnation: None,
         cold_left: Millis(0),
     }
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// The longest prefix decides, the host's case and port do not.
+/// The route with the longest matching prefix is chosen; the case and the port of the host are ignored.
 #[test]
 fn longest_prefix_decides() {
     let routes = [route("short", "/a/"), route("long", "/a/b/"), route("other", "/c/")];
@@ -60,7 +60,7 @@
     assert!(catalog.customer("key").is_some() && catalog.customer("KEY").is_none());
 }
 
-/// Weights share the requests of a route out.
+/// Requests of a route are distributed by weight.
 #[test]
 fn weights_share_requests_out() {
     let route = route("r", "/");
@@ -72,159 +72,162 @@
     assert!((850..1_150).contains(&counts[&ServiceName::from("other")]));
 }
 
-/// Whatever the pieces in which bytes arrive, the same whole events come out, none twice, and the
-/// rest of an event that was cut is never passed on.
+/// However the bytes are split, the same complete events are emitted, none twice, and an incomplete event is never
+/// forwarded.
 #[test]
 fn events_survive_any_cut() {
     bolero::check!().with_type::<(Vec<u8>, u8)>().for_each(|(cuts, events)| {
         let text: String =
             (0..events % 20).map(|id| format!("id: {id}\r\ndata: {id}\r\n\r\n")).collect();
         let mut splitter = EventSplitter::after(None);
-        let (mut from, mut out) = (0, Vec::new());
+        let (mut from, mut emitted) = (0, Vec::new());
         for cut in cuts {
             let to = (from + usize::from(*cut)).min(text.len());
-            out.extend(splitter.push(&text.as_bytes()[from..to]).bytes);
+            emitted.extend(splitter.push(&text.as_bytes()[from..to]).bytes);
             from = to;
         }
-        let whole = text[..from].rfind("\r\n\r\n").map_or(0, |at| at + 4);
-        assert_eq!(out, &text.as_bytes()[..whole]);
-        assert_eq!(splitter.has_partial(), whole < from);
-        // Another server goes on, and repeats the last two events.
+        let complete = text[..from].rfind("\r\n\r\n").map_or(0, |at| at + 4);
+        assert_eq!(emitted, &text.as_bytes()[..complete]);
+        assert_eq!(splitter.has_partial(), complete < from);
+        // Another server resumes and repeats the last two events.
         splitter.discard_partial();
         let last = splitter.last();
-        let again = last.map_or(0, |id| id.0.saturating_sub(1));
-        let rest: String = (again..u64::from(events % 20))
+        let resumed_from = last.map_or(0, |id| id.0.saturating_sub(1));
+        let rest: String = (resumed_from..u64::from(events % 20))
             .map(|id| format!("id: {id}\r\ndata: {id}\r\n\r\n"))
             .collect();
-        out.extend(splitter.push(rest.as_bytes()).bytes);
-        assert_eq!(out, text.as_bytes());
+        emitted.extend(splitter.push(rest.as_bytes()).bytes);
+        assert_eq!(emitted, text.as_bytes());
     });
 }
 
-/// No bytes make the splitter fail or pass on more than it got.
+/// No input makes the splitter panic or emit more bytes than it received.
 #[test]
 fn any_bytes_are_events_or_held_back() {
     bolero::check!().with_type::<Vec<Vec<u8>>>().for_each(|pieces| {
         let mut splitter = EventSplitter::after(Some(EventId(3)));
-        let got: usize = pieces.iter().map(|piece| splitter.push(piece).bytes.len()).sum();
-        assert!(got <= pieces.iter().map(Vec::len).sum());
+        let emitted: usize = pieces.iter().map(|piece| splitter.push(piece).bytes.len()).sum();
+        assert!(emitted <= pieces.iter().map(Vec::len).sum());
     });
 }
 
-/// In any ten seconds there are never more second sends than the share of the requests of those
-/// ten seconds and the slack; the larger models' part leaves room for failures.
+/// Guards against retries that amplify an overload: in any ten seconds, retries are at most the configured share of the
+/// requests plus a fixed allowance. The limit for larger models leaves room for retries after failures.
 #[test]
 fn budget_holds_in_every_window() {
     const WINDOW: u64 = 10_000;
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut budget = ResendBudget::new(Millis(WINDOW), 0.8, 0.5, 2.0);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut resends) = (Vec::new(), Vec::new());
         let mut now = 0;
         for _ in 0..4_000 {
             // Bursts and pauses.
             now += if rng.u32(..100) == 0 { rng.u64(..8_000) } else { rng.u64(..10) };
             budget.record_request(Millis(now));
             requests.push(now);
-            let what = if rng.bool() { ResendReason::Failure } else { ResendReason::Quality };
-            if budget.try_take(what, Millis(now)) {
-                repeats.push(now);
-                let within = |at: &&u64| **at + WINDOW > now;
-                let sent = repeats.iter().filter(within).count() as f64;
-                // A slice more than the window is counted: never less.
-                let known = requests.iter().filter(|at| **at + WINDOW + 1_000 > now).count() as f64;
-                assert!(sent <= known * 0.8 + 2.0, "seed {seed} at {now}: {sent} of {known}");
+            let reason = if rng.bool() { ResendReason::Failure } else { ResendReason::Quality };
+            if budget.try_take(reason, Millis(now)) {
+                resends.push(now);
+                let is_in_window = |at: &&u64| **at + WINDOW > now;
+                let sent = resends.iter().filter(is_in_window).count() as f64;
+                // The budget counts one slice more than the window, never less.
+                let counted =
+                    requests.iter().filter(|at| **at + WINDOW + 1_000 > now).count() as f64;
+                assert!(sent <= counted * 0.8 + 2.0, "seed {seed} at {now}: {sent} of {counted}");
             }
         }
     }
 }
 
-/// Random histories of a store that is down, forgets and comes back, while servers renew their
-/// records, drain and leave. Whatever happens: a server that was seen draining never takes work
-/// again; one that lives is known two seconds after the store's return; one that left is not.
+/// Random histories of a store that fails, loses records and returns, while servers renew their records, drain and
+/// leave. A server that was draining never gets new requests; a running one is in the registry two seconds after the
+/// return of the store; one that left is not.
 #[test]
 fn registry_survives_outages() {
     const GRACE: u64 = 2_000;
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut registry = Registry::new(RegistryPolicy { return_grace: Millis(GRACE) });
-        // The truth: what servers are, and what the store holds.
-        let mut alive: BTreeMap<String, ServerState> = BTreeMap::new();
-        let mut drained: Vec<String> = Vec::new();
-        let (mut is_down, mut back_at) = (false, 0_u64);
+        // Actual states of the servers.
+        let mut running: BTreeMap<String, ServerState> = BTreeMap::new();
+        let mut ever_draining: Vec<String> = Vec::new();
+        let (mut is_unavailable, mut returned_at) = (false, 0_u64);
         let mut next_id = 0;
         for now in (0..60_000_u64).step_by(250) {
             match rng.u32(..40) {
-                0 if !is_down => is_down = true,
-                1..=8 if is_down => (is_down, back_at) = (false, now),
-                9 | 10 if alive.len() < 6 => {
-                    alive.insert(format!("s{next_id}"), ServerState::Ready);
+                0 if !is_unavailable => is_unavailable = true,
+                1..=8 if is_unavailable => (is_unavailable, returned_at) = (false, now),
+                9 | 10 if running.len() < 6 => {
+                    running.insert(format!("s{next_id}"), ServerState::Ready);
                     next_id += 1;
                 }
                 11 => {
-                    if let Some(state) = alive.values_mut().next() {
+                    if let Some(state) = running.values_mut().next() {
                         *state = ServerState::Draining;
                     }
                 }
                 12 => {
-                    alive.pop_first();
+                    running.pop_first();
                 }
                 _ => {}
             }
-            if is_down {
+            if is_unavailable {
                 registry.record_outage(Millis(now));
                 registry.expire(Millis(now));
                 continue;
             }
-            // Records that lapsed come back one after the other within the grace.
-            let is_back = |i: usize| now >= back_at + (i as u64 + 1) * 300 || back_at == 0;
-            let listed: Vec<_> = alive
+            // Expired records are registered again one after the other within the grace period.
+            let is_registered_again =
+                |i: usize| now >= returned_at + (i as u64 + 1) * 300 || returned_at == 0;
+            let listed: Vec<_> = running
                 .iter()
                 .enumerate()
-                .filter(|(i, _)| is_back(*i))
+                .filter(|(i, _)| is_registered_again(*i))
                 .map(|(_, (id, state))| server(id, *state))
                 .collect();
             for server in &listed {
                 if server.state == ServerState::Draining {
-                    drained.push(server.id.to_string());
+                    ever_draining.push(server.id.to_string());
                 }
             }
             registry.replace(listed, Millis(now));
             registry.expire(Millis(now));
-            for known in registry.servers(Millis(now)) {
-                let is_drained = drained.iter().any(|id| *id == known.id.as_str());
+            for registered in registry.servers(Millis(now)) {
+                let was_draining = ever_draining.iter().any(|id| *id == registered.id.as_str());
                 assert!(
-                    !(is_drained && known.state == ServerState::Ready),
-                    "seed {seed} at {now}: {} takes work again",
-                    known.id
+                    !(was_draining && registered.state == ServerState::Ready),
+                    "seed {seed} at {now}: {} is ready again after it was draining",
+                    registered.id
                 );
             }
-            if now > back_at + GRACE + 250 {
-                let known: Vec<_> =
+            if now > returned_at + GRACE + 250 {
+                let registered: Vec<_> =
                     registry.servers(Millis(now)).map(|s| s.id.to_string()).collect();
-                assert_eq!(known.len(), alive.len(), "seed {seed} at {now}");
-                assert!(alive.keys().all(|id| known.contains(id)), "seed {seed} at {now}");
+                assert_eq!(registered.len(), running.len(), "seed {seed} at {now}");
+                assert!(running.keys().all(|id| registered.contains(id)), "seed {seed} at {now}");
             }
         }
     }
 }
 
-/// A server's record lapsed while the store was away, and comes back unchanged: it must not be
-/// taken as gone when the grace ends. It was, as the record brought nothing new.
+/// Guards against the removal of a running server at the end of the grace period: its record expired while the store
+/// was unavailable and is registered again unchanged.
 #[test]
 fn returned_record_ends_the_grace() {
     let mut registry = Registry::default();
     registry.put(server("a", ServerState::Ready), Millis(0));
     registry.record_outage(Millis(1_000));
     registry.remove(&BackendId::from("a"), Millis(1_500));
-    assert!(!registry.has(&server("a", ServerState::Ready), Millis(9_000)));
+    assert!(!registry.is_up_to_date(&server("a", ServerState::Ready), Millis(9_000)));
     registry.put(server("a", ServerState::Ready), Millis(0));
     assert!(registry.expire(Millis(9_000)).is_empty());
-    assert!(registry.has(&server("a", ServerState::Ready), Millis(9_000)));
+    assert!(registry.is_up_to_date(&server("a", ServerState::Ready), Millis(9_000)));
 }
 
-/// A server has left, and the store comes back from a copy that lists it. A gateway that has just started knows only the copy
-/// and passes it on: the server was taken back, and got work while it stopped. It is taken back with its next heartbeat.
+/// Guards against a server that has left and gets requests again. The store is restored from a copy that lists it, and
+/// a gateway that has just started sends the list of the copy around. The server is accepted only with its next
+/// heartbeat.
 #[test]
 fn server_that_has_left_does_not_come_back_with_a_copy_that_is_passed_on() {
     let mut registry = Registry::default();
@@ -241,45 +244,47 @@
     assert_eq!(registry.servers(Millis(21_000)).count(), 2);
 }
 
-/// A server says in its record how much longer it is cold, and later in answers. A record that was written before, and one
-/// of the same time that is read later, change nothing and are nothing new; a longer time is.
+/// A server announces the remaining cold time in its record, and later in answers. A record that was written before, or
+/// a later read of the same time, changes nothing; a longer time does.
 #[test]
 fn server_stays_cold_as_long_as_it_ever_said() {
     let cold = |left| BackendServer { cold_left: Millis(left), ..server("a", ServerState::Ready) };
     let (id, mut registry) = (BackendId::from("a"), Registry::default());
     registry.put(cold(3_000), Millis(1_000));
     assert_eq!(registry.cold_left(&id, Millis(1_500)), Millis(2_500));
-    assert!(registry.has(&cold(1_800), Millis(2_300)) && registry.has(&cold(0), Millis(2_300)));
-    assert!(!registry.has(&cold(3_000), Millis(2_300)));
+    assert!(
+        registry.is_up_to_date(&cold(1_800), Millis(2_300))
+            && registry.is_up_to_date(&cold(0), Millis(2_300))
+    );
+    assert!(!registry.is_up_to_date(&cold(3_000), Millis(2_300)));
     registry.set_cold(&id, Millis(3_000), Millis(2_300));
     registry.put(cold(0), Millis(2_400));
     assert_eq!(registry.cold_left(&id, Millis(2_400)), Millis(2_900));
     assert!(registry.has_cold(Millis(5_299)) && !registry.has_cold(Millis(5_300)));
 }
 
-/// A server that fails two in five of its answers while its health is good is left out within
-/// about twenty answers; one that fails one in seven, as some calls do by themselves, stays in
-/// nearly always.
+/// A server that fails two in five of its answers while its health checks pass is excluded within about twenty answers.
+/// One that fails one in seven, a rate that the requests themselves can cause on any server, is almost never excluded.
 #[test]
 fn failing_server_is_told_from_failing_calls() {
     let policy = HealthPolicy::default();
-    let time_out = |rate: f64| {
+    let ejected_share = |rate: f64| {
         let mut rng = fastrand::Rng::with_seed(11);
         let mut health = ServerHealth::default();
-        let mut out = 0;
+        let mut ejected_checks = 0;
         for ms in (0..120_000).step_by(50) {
             match health.is_ejected(Millis(ms)) {
-                true => out += 1,
+                true => ejected_checks += 1,
                 false if rng.f64() < rate => {
                     health.record_failure(Fault::Answered, &policy, Millis(ms));
                 }
                 false => health.record_success(),
             }
         }
-        f64::from(out) / 2_400.0
+        f64::from(ejected_checks) / 2_400.0
     };
-    let (grey, usual) = (time_out(0.4), time_out(0.14));
-    assert!(grey > 0.5 && usual < 0.05, "{grey} {usual}");
+    let (failing, usual) = (ejected_share(0.4), ejected_share(0.14));
+    assert!(failing > 0.5 && usual < 0.05, "{failing} {usual}");
 }
 
 fn places(n: usize) -> Vec<Place> {
@@ -288,16 +293,16 @@
             id: format!("s{i}").as_str().into(),
             running: 0.0,
             waiting: 0.0,
-            unread: Millis(0),
+            prefill_wait: Millis(0),
             slots: 64,
-            is_out: false,
+            is_ejected: false,
         })
         .collect()
 }
 
-/// Load pattern: one prompt in fifty takes two seconds to read, all others thirty milliseconds, at
-/// 70% of what the servers can read. Servers read one prompt after the other. Placed by the number
-/// of requests, a short one in ten waits behind a long one; by what is left to read, few do.
+/// Load pattern: one prompt in fifty takes two seconds of prefill, all others thirty milliseconds, at 70% of the
+/// capacity of the servers, which read one prompt after the other. Placed by the number of requests, one short prompt
+/// in ten waits behind a long one; placed by backlog, few do.
 #[test]
 fn short_prompts_do_not_wait_behind_long_ones() {
     let p99 = |by_time: bool| {
@@ -309,18 +314,18 @@
             let now = n * 8;
             let mut places = places(12);
             for (place, free) in places.iter_mut().zip(&free_at) {
-                let left = free.saturating_sub(now);
+                let backlog_ms = free.saturating_sub(now);
                 match by_time {
-                    true => place.unread = Millis(left),
-                    false => place.running = f64::from(u8::from(left > 0)),
+                    true => place.prefill_wait = Millis(backlog_ms),
+                    false => place.running = f64::from(u8::from(backlog_ms > 0)),
                 }
             }
             let chosen = place(&places, Work::default(), &policy, |k| rng.usize(..k)).unwrap();
             let i = places.iter().position(|p| p.id == chosen.id).unwrap();
-            let takes = if rng.u32(..50) == 0 { 2_000 } else { 30 };
+            let prefill_ms = if rng.u32(..50) == 0 { 2_000 } else { 30 };
             let start = free_at[i].max(now);
-            free_at[i] = start + takes;
-            if takes == 30 {
+            free_at[i] = start + prefill_ms;
+            if prefill_ms == 30 {
                 waits.push(start - now);
             }
         }
@@ -331,63 +336,68 @@
     assert!(by_time * 5 / 2 < by_count, "{by_time} ms against {by_count} ms");
 }
 
-/// Requests with the same shared prompt meet at one server while it is idle, spread when it is
-/// loaded, and only the prompts of a server that leaves move.
+/// Requests with the same shared prompt go to one server while it is idle and spread when it is loaded, and only the
+/// prompts of a server that leaves move.
 #[test]
 fn shared_prompts_meet_and_spread() {
     let policy = PlacementPolicy::default();
     let work =
         |prompt| Work { shared_prompt: Some(prompt), shared: Millis(60), shared_tokens: 5_000 };
     let idle = places(12);
-    let home =
+    let choose =
         |places: &[Place], prompt| place(places, work(prompt), &policy, |_| 0).unwrap().id.clone();
-    let homes: Vec<_> = (0..300).map(|prompt| home(&idle, prompt)).collect();
-    let fewer: Vec<_> = idle[1..].to_vec();
-    let moved = (0..300).filter(|p| homes[*p as usize] != home(&fewer, *p)).count();
-    let of_gone = homes.iter().filter(|id| **id == idle[0].id).count();
-    assert_eq!(moved, of_gone);
+    let chosen: Vec<_> = (0..300).map(|prompt| choose(&idle, prompt)).collect();
+    let remaining: Vec<_> = idle[1..].to_vec();
+    let moved = (0..300).filter(|p| chosen[*p as usize] != choose(&remaining, *p)).count();
+    let on_removed = chosen.iter().filter(|id| **id == idle[0].id).count();
+    assert_eq!(moved, on_removed);
     let mut loaded = places(12);
-    let at = loaded.iter().position(|p| p.id == homes[0]).unwrap();
-    loaded[at].unread = Millis(2_000);
-    assert_ne!(home(&loaded, 0), homes[0]);
+    let at = loaded.iter().position(|p| p.id == chosen[0]).unwrap();
+    loaded[at].prefill_wait = Millis(2_000);
+    assert_ne!(choose(&loaded, 0), chosen[0]);
 }
 
-/// Load pattern: a third of the engines leaves. As first tries wait longer, the bar falls, and it
-/// comes back with the calm; it never gains above its setting.
+/// Load pattern: a third of the engines leaves. As the latency of first sends rises, the required confidence falls; it
+/// recovers with the latency and never exceeds its setting.
 #[test]
 fn bar_of_confidence_follows_the_pressure() {
     let policy = SizePolicy::default();
     let mut pressure = Pressure::default();
-    let mut bars = Vec::new();
-    for took in [50, 600, 50] {
-        (0..60).for_each(|_| pressure.record(Millis(took), Millis(1_000)));
-        bars.push(policy.min_confidence_at(pressure.value()));
+    let mut required = Vec::new();
+    for latency_ms in [50, 600, 50] {
+        (0..60).for_each(|_| pressure.record(Millis(latency_ms), Millis(1_000)));
+        required.push(policy.min_confidence_at(pressure.value()));
     }
-    assert!(bars[0] == policy.min_confidence && bars[1] == 0.0 && bars[2] > 45.0, "{bars:?}");
+    assert!(
+        required[0] == policy.min_confidence && required[1] == 0.0 && required[2] > 45.0,
+        "{required:?}"
+    );
 }
 
-/// Others' prompts count until the server has read them, without anybody saying so.
+/// The prompts of other gateways count until the server has read them, without a message about it.
 #[test]
 fn backlog_of_others_runs_off() {
     let mut peers = PeerLoads::default();
     let mut rng = fastrand::Rng::with_seed(9);
-    let (mut truth, mut now) = (0_u64, 0_u64);
+    let (mut expected, mut now) = (0_u64, 0_u64);
     for _ in 0..1_000 {
-        let pause = rng.u64(..200);
-        (now, truth) = (now + pause, truth.saturating_sub(pause));
-        let takes = rng.u64(..300);
-        peers.record_sent(1, Millis(takes), Millis(now));
-        truth += takes;
-        assert_eq!(peers.backlog(1, Millis(now)), Millis(truth));
+        let elapsed = rng.u64(..200);
+        (now, expected) = (now + elapsed, expected.saturating_sub(elapsed));
+        let prefill = rng.u64(..300);
+        peers.record_sent(1, Millis(prefill), Millis(now));
+        expected += prefill;
+        assert_eq!(peers.backlog(1, Millis(now)), Millis(expected));
     }
 }
 
-/// A server ends while it drains and starts again under its id. Placement would pass it over for good,
-/// since a server that drains stays so; a later start is another server. A heartbeat of the start before
-/// that was written late must not bring that one back.
+/// Guards against a server that is never used again because it was draining before it restarted under the same id. A
+/// late heartbeat of the earlier process must not restore its state.
 #[test]
 fn later_start_ends_what_was_believed() {
-    let start = |born, state| BackendServer { born: Some(Incarnation(born)), ..server("a", state) };
+    let start = |incarnation, state| BackendServer {
+        incarnation: Some(Incarnation(incarnation)),
+        ..server("a", state)
+    };
     let state = |registry: &Registry| registry.servers(Millis(0)).next().map(|s| s.state);
     let mut registry = Registry::default();
     assert_eq!(registry.put(start(1, ServerState::Ready), Millis(0)), PutOutcome::Applied);
@@ -401,9 +411,9 @@
     assert_eq!(registry.replace(list, Millis(0)), vec![BackendId::from("a")]);
 }
 
-/// A configuration has grown to thousands of routes, among them some that differ by an ending only. The
-/// longest prefix decides as among few, also for a path of nothing but slashes and for one that names the
-/// prefix without its last slash; of two routes with the same prefix the first stands.
+/// With thousands of routes, some of which differ only in their ending, the longest matching prefix is chosen. This
+/// includes paths of only slashes and paths without the trailing slash of the prefix; of two routes with the same
+/// prefix the first is used.
 #[test]
 fn longest_prefix_decides_among_thousands() {
     let mut rng = fastrand::Rng::with_seed(11);
@@ -421,14 +431,15 @@
     let catalog = Catalog::new(1, CallLimits::default(), routes, [], []);
     for _ in 0..2_000 {
         let parts = rng.usize(..10);
-        let mut asked = path(&mut rng, parts);
+        let mut requested = path(&mut rng, parts);
         if rng.bool() {
-            asked.pop();
+            requested.pop();
         }
-        let fitting = prefixes.iter().enumerate().filter(|(_, p)| asked.starts_with(p.as_str()));
-        let longest = fitting.rev().max_by_key(|(_, prefix)| prefix.len());
-        let found = catalog.route("a.example", &asked).map(|route| route.name.to_string());
-        assert_eq!(found, longest.map(|(n, _)| n.to_string()), "{asked}");
+        let matching =
+            prefixes.iter().enumerate().filter(|(_, p)| requested.starts_with(p.as_str()));
+        let longest = matching.rev().max_by_key(|(_, prefix)| prefix.len());
+        let found = catalog.route("a.example", &requested).map(|route| route.name.to_string());
+        assert_eq!(found, longest.map(|(n, _)| n.to_string()), "{requested}");
     }
     assert_eq!(
         catalog.route("a.example", &"/".repeat(9_000)).is_some(),
--- a/gateway/src/gateway.rs
+++ b/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use event_listener::Event;
 use redwingfold_core::{
     Catalog, ConfidenceGains, ConnectTimeout, DomainRegions, Evacuations, FeedPositions,
-    InterruptedRuns, LeavingServers, Millis, Pressure, Quarantine, QuarantinePolicy, ReadRates,
+    InterruptedRuns, LeavingServers, Millis, PrefillRates, Pressure, Quarantine, QuarantinePolicy,
     Registry, RegistryPolicy, ResendBudget, ResendReason, RetryAfterTimes, SendTurns, ServerLimits,
     ServiceName, StreamTimes,
 };
@@ -28,7 +28,7 @@
 use crate::turns::TurnWaiters;
 
 /// Longest time after its start for which a gateway's requests wait for the marks of requests during which servers
-/// ended.
+/// terminated.
 const MARKS_WAIT_LIMIT: Millis = Millis(1_000);
 
 /// Whether a gateway accepts requests.
@@ -73,7 +73,7 @@
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) loads: LoadTable,
     pub(crate) connections: Cell<usize>,
-    pub(crate) held_bytes: Cell<usize>,
+    pub(crate) request_body_bytes: Cell<usize>,
     pub(crate) in_flight: Cell<usize>,
     catalog: RefCell<Option<Rc<Catalog>>>,
     pub(crate) registry: RefCell<Registry>,
@@ -82,14 +82,14 @@
     pub(crate) session_keepers: SessionKeepers,
     feeds: RefCell<Feeds>,
     pub(crate) orders: RefCell<OrderSnapshots>,
-    /// Runs and servers that ended.
-    pub(crate) ends: Rc<RefCell<InterruptedRuns>>,
-    /// Notified when a server whose runs broke off was checked.
-    pub(crate) server_checked: Event,
+    /// Runs whose connections broke off, and the servers that terminated.
+    pub(crate) interrupted_runs: Rc<RefCell<InterruptedRuns>>,
+    /// Notified when a server whose runs broke off was probed.
+    pub(crate) server_probed: Event,
     pub(crate) quarantine: RefCell<Quarantine>,
-    pub(crate) claims: RefCell<VecDeque<TrialClaim>>,
+    pub(crate) trial_claims: RefCell<VecDeque<TrialClaim>>,
     pub(crate) evacuations: RefCell<Evacuations>,
-    pub(crate) regions: RefCell<DomainRegions>,
+    pub(crate) domain_regions: RefCell<DomainRegions>,
     pub(crate) send_turns: RefCell<SendTurns>,
     pub(crate) turn_waiters: TurnWaiters,
     pub(crate) server_limits: RefCell<ServerLimits>,
@@ -109,10 +109,10 @@
     pub(crate) encoded_servers: RefCell<Option<EncodedServers>>,
     /// Notified when another gateway is ahead in one of these feeds.
     pub(crate) peer_ahead: Event,
-    budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
-    pub(crate) connect_times: Cell<ConnectTimeout>,
-    pub(crate) rates: RefCell<ReadRates>,
-    pub(crate) rises: RefCell<ConfidenceGains>,
+    resend_budgets: RefCell<HashMap<ServiceName, ResendBudget>>,
+    pub(crate) connect_timeout: Cell<ConnectTimeout>,
+    pub(crate) prefill_rates: RefCell<PrefillRates>,
+    pub(crate) confidence_gains: RefCell<ConfidenceGains>,
     pub(crate) stream_times: RefCell<StreamTimes>,
     pressure: Cell<Pressure>,
     lifecycle: Cell<Lifecycle>,
@@ -130,7 +130,7 @@
 }
 
 impl Gateway {
-    /// Makes a gateway without a configuration.
+    /// Creates a gateway without a configuration.
     pub fn new(
         settings: GatewaySettings,
         header_codec: HeaderCodec,
@@ -139,8 +139,9 @@
     ) -> Self {
         let rollouts = Rollouts::new(settings.canary, settings.session_retention);
         let feeds = Feeds::new(settings.feeds);
-        let connect_times = ConnectTimeout::new(settings.connect_timeout);
-        // Many gateways notice the end of a server at once. A random hold keeps their writes of marks from contending.
+        let connect_timeout = ConnectTimeout::new(settings.connect_timeout);
+        // Many gateways detect the termination of a server at once. A random delay keeps their writes of marks from
+        // contending.
         let write_delay = settings.quarantine.write_delay;
         let write_delay = write_delay.after(Millis(fastrand::u64(0..=write_delay.0 / 2)));
         let quarantine = Quarantine::new(QuarantinePolicy { write_delay, ..settings.quarantine });
@@ -153,7 +154,7 @@
             executor,
             loads: LoadTable::default(),
             connections: Cell::new(0),
-            held_bytes: Cell::new(0),
+            request_body_bytes: Cell::new(0),
             in_flight: Cell::new(0),
             catalog: RefCell::new(None),
             registry: RefCell::new(Registry::new(RegistryPolicy::default())),
@@ -162,12 +163,12 @@
             session_keepers: SessionKeepers::default(),
             feeds: RefCell::new(feeds),
             orders: RefCell::default(),
-            ends: Rc::default(),
-            server_checked: Event::new(),
+            interrupted_runs: Rc::default(),
+            server_probed: Event::new(),
             quarantine: RefCell::new(quarantine),
-            claims: RefCell::default(),
+            trial_claims: RefCell::default(),
             evacuations: RefCell::default(),
-            regions: RefCell::default(),
+            domain_regions: RefCell::default(),
             send_turns: RefCell::default(),
             turn_waiters: TurnWaiters::default(),
             server_limits: RefCell::default(),
@@ -180,10 +181,10 @@
             servers_positions: RefCell::default(),
             encoded_servers: RefCell::default(),
             peer_ahead: Event::new(),
-            budgets: RefCell::default(),
-            connect_times: Cell::new(connect_times),
-            rates: RefCell::default(),
-            rises: RefCell::default(),
+            resend_budgets: RefCell::default(),
+            connect_timeout: Cell::new(connect_timeout),
+            prefill_rates: RefCell::default(),
+            confidence_gains: RefCell::default(),
             stream_times: RefCell::default(),
             pressure: Cell::default(),
             lifecycle: Cell::default(),
@@ -205,7 +206,7 @@
 
     /// Sets the regions of failure domains.
     pub fn set_regions(&self, regions: DomainRegions) {
-        *self.regions.borrow_mut() = regions;
+        *self.domain_regions.borrow_mut() = regions;
     }
 
     /// Returns the configuration in force.
@@ -247,8 +248,8 @@
 
     /// Handles a restore of the store from an older copy, which shows in its era.
     ///
-    /// The state in force is kept until the rewritten store differs from it. Lost records are rewritten by their
-    /// authors: those of gateways by the tasks that wrote them.
+    /// The state in force is kept until the rewritten store differs from it. Lost records are written again by
+    /// their authors; those of gateways by the tasks that wrote them.
     pub fn store_restored(&self, before: u64, era: u64) {
         let now = self.now();
         self.telemetry.count("store.restored", 1);
@@ -280,40 +281,44 @@
         f(&mut self.registry.borrow_mut())
     }
 
-    fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut ResendBudget) -> T) -> T {
+    fn with_resend_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut ResendBudget) -> T,
+    ) -> T {
         let s = &self.settings;
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.resend_budgets.borrow_mut();
         f(budgets.entry(service.clone()).or_insert_with(|| {
             ResendBudget::new(s.retry_window, s.retry_ratio, s.larger_model_ratio, s.retry_reserve)
         }))
     }
 
     pub(crate) fn count_request(&self, service: &ServiceName) {
-        self.with_budget(service, |budget| budget.record_request(self.now()));
+        self.with_resend_budget(service, |budget| budget.record_request(self.now()));
     }
 
-    pub(crate) fn try_repeat(&self, service: &ServiceName, what: ResendReason) -> bool {
-        self.with_budget(service, |budget| budget.try_take(what, self.now()))
+    pub(crate) fn try_take_resend(&self, service: &ServiceName, what: ResendReason) -> bool {
+        self.with_resend_budget(service, |budget| budget.try_take(what, self.now()))
     }
 
     /// Records how long connecting to a server took; `None` if it timed out.
     pub(crate) fn record_connect_time(&self, took: Option<Millis>) {
-        let mut times = self.connect_times.get();
+        let mut times = self.connect_timeout.get();
         match took {
             Some(took) => times.record_connected(took),
             None => times.record_timeout(),
         }
-        self.connect_times.set(times);
+        self.connect_timeout.set(times);
     }
 
     /// Records the time to the first byte of a request's first attempt, and the target for it.
-    pub(crate) fn record_first_attempt(&self, took: Millis, aim: Millis) {
+    pub(crate) fn record_first_attempt(&self, took: Millis, target: Millis) {
         let mut pressure = self.pressure.get();
-        pressure.record(took, aim);
+        pressure.record(took, target);
         self.pressure.set(pressure);
     }
 
-    /// Returns the pressure on the engines, measured by first attempts.
+    /// Returns the pressure on the backend servers, measured by first attempts.
     pub(crate) fn pressure(&self) -> f64 {
         self.pressure.get().value()
     }
@@ -371,11 +376,11 @@
         }
     }
 
-    /// Waits until the marks of requests during which servers ended are known. The wait is short and happens only after
-    /// the start, as the store may be unavailable while other gateways send the marks.
+    /// Waits until the marks of requests during which servers terminated are known. The wait is short and happens only
+    /// after the start, as the store may be unavailable while other gateways send the marks.
     ///
-    /// Load pattern: all gateways restart while a request that ends servers is repeated. Without the wait, the first
-    /// ready gateway sent it to servers before it had read its marks.
+    /// Load pattern: all gateways restart while a request that terminates servers is repeated. Without the wait, the
+    /// first ready gateway sent it to servers before it had read its marks.
     pub(crate) async fn wait_for_marks(&self) {
         let until = self.started_at.after(MARKS_WAIT_LIMIT);
         while self.now() < until {
--- a/gateway/src/gossip.rs
+++ b/gateway/src/gossip.rs
@@ -52,7 +52,7 @@
 const ADDRESSES_INTERVAL_TURNS: u32 = 25;
 
 /// Bytes of the budget that address messages to newcomers leave unused. Without this reserve, 298 gateways that
-/// restarted at once spent their whole budget on addresses. Messages on reads of the store then reached nobody, each
+/// restarted at once spent their whole budget on addresses. Messages on reads of the store then reached no peer, each
 /// gateway read the store itself, and callers waited 30 s instead of 8.5 s.
 const BYTES_RESERVED_FROM_ADDRESSES: u64 = 10_000;
 
@@ -70,7 +70,7 @@
 /// The result of a read of the store is sent at once to all, as any delay lets further gateways read the same. So is
 /// the end of a rollout. Other messages that exceed the byte budget reach a random part of the peers in each turn.
 pub async fn send_gossip(gw: Rc<Gateway>, socket: UdpSocket, peers: PeerTable) {
-    let budget = ByteBudget::with_depth(BYTES_PER_SECOND, BURST_BYTES, gw.now());
+    let budget = ByteBudget::with_burst(BYTES_PER_SECOND, BURST_BYTES, gw.now());
     let mut sender =
         GossipSender { gw: gw.clone(), socket, peers, budget, last_sent_at: Millis(0), turn: 0 };
     let mut next_turn = gw.now();
@@ -177,7 +177,7 @@
             return;
         };
         for peer in peers {
-            if !self.budget.try_take_leaving(bytes.len() as u64, reserved, self.gw.now()) {
+            if !self.budget.try_take_with_reserve(bytes.len() as u64, reserved, self.gw.now()) {
                 self.gw.telemetry.count("peers.left_out", 1);
             } else if self.socket.send_to(&bytes, *peer).await.is_err() {
                 // No retry: the next message supersedes this one.
@@ -211,7 +211,7 @@
 /// Builds the messages on rollouts, each with as many routes as a datagram takes.
 ///
 /// A configuration may have hundreds of routes, whose evidence does not fit into one message. If it were not sent, each
-/// gateway would judge a version by its own answers only.
+/// gateway would evaluate a version by its own answers only.
 fn rollout_messages(gw: &Gateway) -> Vec<PeerMessage> {
     let reports = gw.with_rollouts(|r| r.reports(gw.now()));
     let mut parts: Vec<_> =
--- a/gateway/src/limits.rs
+++ b/gateway/src/limits.rs
@@ -10,7 +10,7 @@
 
 /// Returns a hash of the server's id and incarnation, the same on every gateway.
 pub(crate) fn incarnation_hash(server: &BackendServer) -> u64 {
-    let incarnation = server.born.map_or(0, |born| born.0);
+    let incarnation = server.incarnation.map_or(0, |incarnation| incarnation.0);
     xxh3_64_with_seed(server.id.as_str().as_bytes(), incarnation)
 }
 
@@ -21,7 +21,7 @@
         let update = LimitUpdate { limit, reported_at: self.now() };
         let change = self.server_limits.borrow_mut().record(hash, limit, update.reported_at);
         // Repeated with every response, for gateways that have just started or missed a message.
-        if self.server_limits.borrow().has(hash) {
+        if self.server_limits.borrow().has_record(hash) {
             self.loads.queue_limit(hash, update);
         }
         self.log_limit(server, change, None);
--- a/gateway/src/load.rs
+++ b/gateway/src/load.rs
@@ -123,7 +123,7 @@
 
 impl From<&BackendServer> for ServerInstance {
     fn from(server: &BackendServer) -> Self {
-        Self { id: server.id.clone(), incarnation: server.born }
+        Self { id: server.id.clone(), incarnation: server.incarnation }
     }
 }
 
@@ -137,12 +137,12 @@
     /// Returns the entry of a server, reset if this is a later incarnation; `None` if the entry belongs to a later one than
     /// `server`.
     fn entry(&mut self, server: &BackendServer) -> Option<&mut ServerLoad> {
-        let born = server.born;
+        let incarnation = server.incarnation;
         let load = self.own.entry(server.id.clone()).or_default();
-        if load.incarnation < born {
-            *load = ServerLoad { incarnation: born, ..ServerLoad::default() };
+        if load.incarnation < incarnation {
+            *load = ServerLoad { incarnation, ..ServerLoad::default() };
         }
-        (load.incarnation == born).then_some(load)
+        (load.incarnation == incarnation).then_some(load)
     }
 }
 
@@ -165,9 +165,9 @@
             id: server.id.clone(),
             running: reported.max(f64::from(load.in_flight)),
             waiting: f64::from(waiting),
-            unread: load.prefill_wait.after(tables.peers.backlog(hash, now)),
+            prefill_wait: load.prefill_wait.after(tables.peers.backlog(hash, now)),
             slots: server.slots,
-            is_out: load.health.is_ejected(now) || tables.unreached.is_excluded(hash, now),
+            is_ejected: load.health.is_ejected(now) || tables.unreached.is_excluded(hash, now),
         }
     }
 
@@ -221,7 +221,10 @@
         now: Millis,
     ) -> Vec<u32> {
         let Tables { peers, unreached, .. } = &mut *self.0.borrow_mut();
-        update.sent.into_iter().for_each(|(server, takes)| peers.record_sent(server, takes, now));
+        update
+            .sent
+            .into_iter()
+            .for_each(|(server, prefill_time)| peers.record_sent(server, prefill_time, now));
         for (server, report) in update.reports {
             peers.record_report(server, report, now);
             unreached.record_answer(server);
--- a/gateway/src/pipeline.rs
+++ b/gateway/src/pipeline.rs
@@ -138,8 +138,8 @@
     metadata: &RequestMetadata,
 ) -> Result<(), RequestError> {
     let longest = route.timeout.unwrap_or(Millis(u64::MAX));
-    let takes = metadata.timeout.unwrap_or(longest).min(longest);
-    if gw.lifecycle() != Lifecycle::Stopping || gw.now().after(takes) < gw.stop_deadline() {
+    let max_duration = metadata.timeout.unwrap_or(longest).min(longest);
+    if gw.lifecycle() != Lifecycle::Stopping || gw.now().after(max_duration) < gw.stop_deadline() {
         return Ok(());
     }
     let failed = RequestError::new(ErrorKind::Stopping, "this process stops");
@@ -215,7 +215,7 @@
     let announced = body.size_hint().lower() as usize;
     match announced {
         n if n > limits.body_bytes => return Err(too_large()),
-        n if gw.held_bytes.get() + n > gw.settings.max_request_body_bytes => {
+        n if gw.request_body_bytes.get() + n > gw.settings.max_request_body_bytes => {
             return Err(RequestError::new(
                 ErrorKind::TooManyOpen,
                 "request bodies fill their memory",
--- a/gateway/src/quarantine.rs
+++ b/gateway/src/quarantine.rs
@@ -75,7 +75,7 @@
 
     /// Removes and returns the oldest pending claim.
     pub fn next_claim(&self) -> Option<TrialClaim> {
-        self.claims.borrow_mut().pop_front()
+        self.trial_claims.borrow_mut().pop_front()
     }
 
     /// Returns whether marks are due to be read or written, or claims are pending.
@@ -83,13 +83,13 @@
         let now = self.now();
         let is_write_due = self.with_quarantine(|q| q.next_due_at()).is_some_and(|at| at <= now);
         let is_read_due = self.with_feeds(|feeds| feeds.is_due(Feed::Marks, now));
-        is_write_due || is_read_due || !self.claims.borrow().is_empty()
+        is_write_due || is_read_due || !self.trial_claims.borrow().is_empty()
     }
 
     /// Waits until a claim is pending or marks are to be written, at most for `limit`.
     pub async fn wait_for_mark_work(&self, limit: Millis) {
         let changed = self.marks_changed.listen();
-        if self.claims.borrow().is_empty() {
+        if self.trial_claims.borrow().is_empty() {
             within(limit, changed).await;
         }
     }
@@ -98,7 +98,7 @@
     /// at about the same time into one write, and lets a gateway that missed many messages catch up with one read.
     pub async fn wait_for_next_mark_sync(&self) {
         let until = self.now().after(self.settings.feeds.marks);
-        while self.claims.borrow().is_empty()
+        while self.trial_claims.borrow().is_empty()
             && !self.with_quarantine(|q| q.is_urgent())
             && self.now() < until
         {
@@ -106,18 +106,19 @@
         }
     }
 
-    /// Applies marks that this gateway read from the store. The read started at `began` and ended at offset `next`; `all_of`
-    /// is the copy of the store that it came from if it returned all marks, or `None` if it returned only new ones.
+    /// Applies marks that this gateway read from the store. The read started at `began` and ended at offset `next`;
+    /// `snapshot_source` is the copy of the store that it came from if it returned all marks, or `None` if it returned
+    /// only new ones.
     pub fn apply_read_marks(
         &self,
         began: Millis,
         next: u64,
-        all_of: Option<StoreCopy>,
+        snapshot_source: Option<StoreCopy>,
         marks: Vec<MarkChange>,
     ) {
         let now = self.now();
         let fleet = self.with_feeds(|feeds| feeds.fleet_size());
-        let quarantined = self.with_quarantine(|q| match all_of {
+        let quarantined = self.with_quarantine(|q| match snapshot_source {
             None => q.apply_changes(&marks, now),
             Some(StoreCopy::Current) => q.apply_snapshot(&marks, now),
             Some(StoreCopy::Older) => {
@@ -125,7 +126,7 @@
             }
         });
         self.log_quarantined(&quarantined, None);
-        let forwarded = if all_of.is_some() { Vec::new() } else { marks };
+        let forwarded = if snapshot_source.is_some() { Vec::new() } else { marks };
         self.with_feeds(|feeds| feeds.record_marks_read(began, next, forwarded));
         self.state_changed.notify(usize::MAX);
         self.gossip_due.notify(usize::MAX);
@@ -177,12 +178,12 @@
 
     /// Queues a claim to a trial and waits for its result; the store grants each trial to one gateway.
     async fn claim_trial(&self, request: Fingerprint, trial: u8, time_left: Millis) -> bool {
-        if self.claims.borrow().len() >= MAX_PENDING_CLAIMS {
+        if self.trial_claims.borrow().len() >= MAX_PENDING_CLAIMS {
             return false;
         }
         let (result_tx, result_rx): (_, Receiver<bool>) = bounded(1);
         self.with_quarantine(|q| q.record_claim(request, self.now()));
-        self.claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
+        self.trial_claims.borrow_mut().push_back(TrialClaim { request, trial, result_tx });
         self.marks_changed.notify(usize::MAX);
         let is_granted =
             matches!(within(CLAIM_TIMEOUT.min(time_left), result_rx.recv()).await, Some(Ok(true)));
@@ -242,7 +243,7 @@
     }
 
     /// Releases the request's trial if nothing was sent. Otherwise records that the request ended, after which a mark that
-    /// was held back because the request might still complete is written.
+    /// was delayed because the request might still complete is written.
     pub(crate) fn settle_quarantine(&self) {
         let now = self.gw.now();
         self.gw.with_quarantine(|q| match self.trial {
--- a/gateway/src/request.rs
+++ b/gateway/src/request.rs
@@ -49,7 +49,7 @@
     pub(crate) sends: u32,
     /// The version that it was sent to; the target version if any attempt was sent there.
     pub(crate) sent_arm: Option<Arm>,
-    /// Answer of the keepers of its session, if they were asked.
+    /// Reply of the keepers of its session, if a query was sent to them.
     pub(crate) keepers_reply: Option<KeepersReply>,
     /// The version of its first send, and what bound the request to that version, for the log.
     pub(crate) first_send: Option<(VersionName, BindingReason)>,
@@ -95,13 +95,13 @@
         let longest = route.timeout.unwrap_or(Millis(u64::MAX));
         let deadline = received_at.after(metadata.timeout.unwrap_or(longest).min(longest));
         let is_chosen_here = metadata.model == RequestedModel::Any && !route.sizes.is_empty();
-        // Starts with the smallest model, also when a caller resumes a broken stream. The gateway does not
-        // know which model produced its beginning, but the smallest one reports again how confident it is.
+        // Starts with the smallest model, also when a caller resumes a broken stream. Which model
+        // produced its beginning is unknown, but the smallest one reports its confidence again.
         // After a restart of all processes, hundreds of streams are resumed at once; sending all of them to
-        // the largest model kept the engines full for ten seconds.
+        // the largest model kept the servers full for ten seconds.
         let size = is_chosen_here.then_some(0);
         gw.in_flight.set(gw.in_flight.get() + 1);
-        gw.held_bytes.set(gw.held_bytes.get() + parts.body.len());
+        gw.request_body_bytes.set(gw.request_body_bytes.get() + parts.body.len());
         gw.count_request(&service);
         Self {
             gw,
@@ -264,7 +264,12 @@
             self.gw.record_first_attempt(response.time_to_first_byte, self.route.latency_target);
         }
         let own = self.unshared_tokens();
-        self.gw.rates.borrow_mut().record(&self.service, size, own, response.time_to_first_byte);
+        self.gw.prefill_rates.borrow_mut().record(
+            &self.service,
+            size,
+            own,
+            response.time_to_first_byte,
+        );
         match response.metadata.confidence {
             Some(confidence) => self.accept_confidence(size, confidence),
             None => true,
@@ -273,7 +278,7 @@
 
     /// Estimates the prefill time of the prompt, without its shared parts, which are mostly cached.
     pub(crate) fn prefill_time(&self, size: usize) -> Millis {
-        self.gw.rates.borrow().estimate(&self.service, size, self.unshared_tokens())
+        self.gw.prefill_rates.borrow().estimate(&self.service, size, self.unshared_tokens())
     }
 
     /// Returns the number of prompt tokens that are not shared with other requests.
@@ -288,7 +293,7 @@
         let size = size.unwrap_or(0);
         Work {
             shared_prompt: shared.last().map(|part| part.id),
-            shared: self.gw.rates.borrow().estimate(&self.service, size, tokens),
+            shared: self.gw.prefill_rates.borrow().estimate(&self.service, size, tokens),
             shared_tokens: tokens,
         }
     }
@@ -368,7 +373,7 @@
     }
 
     fn take_retry_budget(&mut self) -> bool {
-        self.gw.try_repeat(&self.service, ResendReason::Failure)
+        self.gw.try_take_resend(&self.service, ResendReason::Failure)
     }
 
     fn record_unreachable(
--- a/gateway/src/rollouts/evidence.rs
+++ b/gateway/src/rollouts/evidence.rs
@@ -26,7 +26,7 @@
     EventGap(Millis),
 }
 
-/// An observation on an answer, with what it is compared by.
+/// An observation on an answer, with the attributes by which it is compared.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSample<'a> {
     pub(crate) service: &'a ServiceName,
@@ -58,8 +58,7 @@
             AnswerSignal::EventGap(gap) => Some(gap.0.max(1) as f64),
         };
         let is_event_gap = matches!(sample.signal, AnswerSignal::EventGap(_));
-        let usual =
-            versions.usual_times.entry((route, sample.size_index, is_event_gap)).or_default();
+        let usual = versions.baselines.entry((route, sample.size_index, is_event_gap)).or_default();
         let ratio = time.and_then(|time| match arm {
             Some(Arm::Current) => usual.ratio(time, sample.load),
             Some(Arm::Target) | None => usual.ratio_of_other_version(time, sample.load),
@@ -67,7 +66,7 @@
         if let (Some(Arm::Current), Some(time)) = (arm, time) {
             usual.record(time, sample.load);
         }
-        let recent = &mut versions.recent_factors[usize::from(is_event_gap)];
+        let recent = &mut versions.slowdowns[usize::from(is_event_gap)];
         let ratio = match arm {
             Some(Arm::Current) => ratio.inspect(|ratio| recent.record(*ratio, now)),
             Some(Arm::Target) | None => ratio.map(|ratio| ratio / recent.factor()),
@@ -170,7 +169,7 @@
             self.end_rollout(&service, Phase::RolledBack, now);
         }
         match stored_status {
-            // Other gateways may report what the store said before it was restored from an older copy.
+            // Other gateways may report a status from before the store was restored from an older copy.
             StoredStatus::Ended(phase) if may_be_outdated => self.end_rollout(&service, phase, now),
             _ if may_be_outdated => {}
             StoredStatus::Ended(phase) => self.record_status(&service, &target, Some(phase), now),
--- a/gateway/src/server_choice.rs
+++ b/gateway/src/server_choice.rs
@@ -28,7 +28,7 @@
     WaitForTurn(UpcomingTurns),
     /// All servers have requested a delay with `Retry-After`; this is the shortest remaining one.
     RetryAfter(Millis),
-    /// The version depends on whether the request's session has moved to the new version; its keepers must be asked.
+    /// The version depends on whether the request's session has moved to the new version; its keepers must be queried.
     AskKeepers,
 }
 
@@ -143,7 +143,7 @@
         let places = pool.lead_count.map_or(places.clone(), |count| lead_servers(places, count));
         let found = place(&places, self.prefill_work(self.size), policy, |n| fastrand::usize(..n))?;
         let server = pool.available.into_iter().find(|s| s.id == found.id)?;
-        Some(ServerChoice::Server(Box::new(server.clone()), found.unread))
+        Some(ServerChoice::Server(Box::new(server.clone()), found.prefill_wait))
     }
 
     /// Returns the servers of the version selected for this request.
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Asks the session's keepers whether it has moved to the new version, and records their answer.
+    /// Asks the session's keepers whether it has moved to the new version, and records their reply.
     async fn ask_keepers(&mut self, wait_deadline: Millis) {
         self.keepers_reply = Some(match self.binding_inputs().session {
             Some(session) => self.gw.ask_keepers(session, wait_deadline).await,
@@ -279,19 +279,20 @@
         let has_model = |s: &BackendServer| {
             s.models.is_empty() || model.is_none_or(|model| s.models.contains(model))
         };
-        let (evacuations, regions) = (self.gw.evacuations.borrow(), self.gw.regions.borrow());
-        let customer_homes = self.customer.as_ref().map(|customer| &customer.allowed_regions);
-        let homes: Vec<_> =
-            customer_homes.into_iter().chain([&self.route.allowed_regions]).collect();
-        let is_anywhere = homes.iter().all(|homes| homes.is_anywhere());
+        let (evacuations, regions) =
+            (self.gw.evacuations.borrow(), self.gw.domain_regions.borrow());
+        let customer_regions = self.customer.as_ref().map(|customer| &customer.allowed_regions);
+        let allowed_regions: Vec<_> =
+            customer_regions.into_iter().chain([&self.route.allowed_regions]).collect();
+        let is_anywhere = allowed_regions.iter().all(|allowed| allowed.is_anywhere());
         let may_run_in = |domain: &FailureDomain| {
-            is_anywhere || homes.iter().all(|homes| homes.allows(regions.of(domain)))
+            is_anywhere || allowed_regions.iter().all(|allowed| allowed.allows(regions.of(domain)))
         };
         let is_eligible = |s: &&BackendServer| {
             s.service == self.service
                 && s.state == ServerState::Ready
                 && !self.gw.is_leaving(s)
-                && !evacuations.is_emptied(&s.domain)
+                && !evacuations.is_evacuated(&s.domain)
                 && may_run_in(&s.domain)
                 && !self.excluded_servers.contains(&s.id)
                 && has_model(s)
@@ -300,11 +301,11 @@
     }
 }
 
-/// Readmits all excluded servers if their share exceeds `max_share`. When most servers look bad, the fault is more likely
-/// on the network path, and the few remaining servers could not handle the load.
+/// Readmits all excluded servers if their share exceeds `max_share`. When most servers seem to fail, the fault is more
+/// likely on the network path, and the few remaining servers could not handle the load.
 fn limit_excluded_share(places: &mut [Place], max_share: f64) {
-    let out = places.iter().filter(|p| p.is_out).count();
-    if out as f64 > places.len() as f64 * max_share {
-        places.iter_mut().for_each(|p| p.is_out = false);
+    let excluded_count = places.iter().filter(|p| p.is_ejected).count();
+    if excluded_count as f64 > places.len() as f64 * max_share {
+        places.iter_mut().for_each(|p| p.is_ejected = false);
     }
 }
--- a/gateway/src/upstream.rs
+++ b/gateway/src/upstream.rs
@@ -22,8 +22,8 @@
 pub enum CallError {
     /// No connection was established, so the server has not received the request.
     Unreachable(io::Error),
-    /// The server may have received the request, and sent nothing for the maximum silence.
-    Silent(String),
+    /// The server may have received the request, and sent nothing for the duration of the idle timeout.
+    TimedOut(String),
     /// The server may have received the request, but there is no complete response.
     Unknown(String),
 }
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(e) => write!(f, "unreachable: {e}"),
-            Self::Silent(why) | Self::Unknown(why) => write!(f, "answer unknown: {why}"),
+            Self::TimedOut(why) | Self::Unknown(why) => write!(f, "answer unknown: {why}"),
         }
     }
 }
@@ -92,33 +92,33 @@
         self.tx.send_request(req).await.map_err(|e| CallError::Unknown(error_chain(&e)))
     }
 
-    /// Sends a request and returns a reader for the response, whose body may have up to `max` bytes and pause for up to
-    /// `silence`.
+    /// Sends a request and returns a reader for the response, whose body may have up to `max` bytes, with no pause longer
+    /// than `idle_timeout`.
     ///
     /// # Errors
     ///
-    /// [`CallError::Silent`] if nothing was received for `silence`, else [`CallError::Unknown`]: the server may have
-    /// received the request.
+    /// [`CallError::TimedOut`] if nothing was received for `idle_timeout`, else [`CallError::Unknown`]. In both cases the
+    /// server may have received the request.
     pub async fn send_and_read(
         &mut self,
         req: Request<Full<Bytes>>,
         max: usize,
-        silence: Millis,
+        idle_timeout: Millis,
     ) -> Result<ResponseReader, CallError> {
         let began = Clock.now();
-        let silent = || Err(CallError::Silent(format!("no answer in {silence} ms")));
-        let res = within(silence, self.send(req)).await.unwrap_or_else(silent)?;
+        let timed_out = || Err(CallError::TimedOut(format!("no answer in {idle_timeout} ms")));
+        let res = within(idle_timeout, self.send(req)).await.unwrap_or_else(timed_out)?;
         let (head, body) = res.into_parts();
         let content_length = body.size_hint().exact();
-        let longest = Clock.now().since(began);
+        let longest_idle = Clock.now().since(began);
         Ok(ResponseReader {
             head,
             body,
             buf: BytesMut::new(),
             content_length,
             max,
-            silence,
-            longest,
+            idle_timeout,
+            longest_idle,
         })
     }
 }
@@ -134,9 +134,9 @@
     /// Length of the body, if the head declares it.
     content_length: Option<u64>,
     max: usize,
-    silence: Millis,
+    idle_timeout: Millis,
     /// The longest time without any bytes so far.
-    longest: Millis,
+    longest_idle: Millis,
 }
 
 impl ResponseReader {
@@ -156,16 +156,16 @@
     }
 
     /// Returns the longest time without any bytes, before or within the response.
-    pub fn longest_silence(&self) -> Millis {
-        self.longest
+    pub fn longest_idle(&self) -> Millis {
+        self.longest_idle
     }
 
     /// Reads until `len` bytes are buffered or the body ends, and returns the buffered bytes.
     ///
     /// # Errors
     ///
-    /// [`CallError::Silent`] if nothing was received for the maximum silence; [`CallError::Unknown`] if the body broke off or
-    /// is too long.
+    /// [`CallError::TimedOut`] if nothing was received for the duration of the idle timeout; [`CallError::Unknown`] if the
+    /// body broke off or is too long.
     pub async fn read_until(&mut self, len: usize) -> Result<&[u8], CallError> {
         while self.buf.len() < len && self.read_frame().await? {}
         Ok(&self.buf)
@@ -183,11 +183,11 @@
 
     async fn read_frame(&mut self) -> Result<bool, CallError> {
         let began = Clock.now();
-        let Some(frame) = within(self.silence, self.body.frame()).await else {
-            let why = format!("silent for {} ms after {}", self.silence, self.progress());
-            return Err(CallError::Silent(why));
+        let Some(frame) = within(self.idle_timeout, self.body.frame()).await else {
+            let why = format!("silent for {} ms after {}", self.idle_timeout, self.progress());
+            return Err(CallError::TimedOut(why));
         };
-        self.longest = self.longest.max(Clock.now().since(began));
+        self.longest_idle = self.longest_idle.max(Clock.now().since(began));
         match frame {
             None => Ok(false),
             Some(Err(e)) => {
--- a/lab/src/trial.rs
+++ b/lab/src/trial.rs
@@ -1,15 +1,15 @@
-//! What the experiments with decisions share.
+//! Setup shared by the experiments on routing, billing and rollouts.
 
 use std::time::Duration;
 
-use redwingfold::load::{Load, Pace, Shape};
+use redwingfold::load::{Load, Pace, RequestShape};
 use redwingfold_standins::fleet::key_of;
 use serde_json::{Value, json};
 
 use crate::objects::sha256_of;
-use crate::world::{World, get, post};
+use crate::testbed::{Testbed, get, post};
 
-/// What an engine of a trial is like.
+/// Parameters of a stand-in engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineKind {
     pub(crate) slots: usize,
@@ -17,7 +17,8 @@
     pub(crate) prefill_ms: u64,
 }
 
-/// Starts entries and sides, each side with an engine that has these versions.
+/// Starts entries and sides, publishes `objects` and waits until every entry is connected to all
+/// sides. Each side has one engine, which serves `versions`.
 pub(crate) fn start(
     entries: usize,
     sides: usize,
@@ -25,10 +26,10 @@
     versions: &str,
     entry_settings: &Value,
     objects: &Value,
-) -> eyre::Result<World> {
+) -> eyre::Result<Testbed> {
     let mut names: Vec<_> = (0..entries).map(|n| format!("entry-{n}")).collect();
     names.extend((0..sides).map(|n| format!("gpu-{n}")));
-    let mut world = World::start(&names)?;
+    let mut testbed = Testbed::start(&names)?;
     for n in 0..sides {
         let (slots, token, prefill) =
             (kind.slots.to_string(), kind.token_ms.to_string(), kind.prefill_ms.to_string());
@@ -43,35 +44,35 @@
             "--prefill-ms",
             &prefill,
         ];
-        let engine = world.backend(&format!("engine-{n}"), &args)?;
+        let engine = testbed.backend(&format!("engine-{n}"), &args)?;
         let backend = json!([
             {"name": "engine-0", "address": engine, "kind": "engine", "slots": kind.slots},
         ]);
         let domain = format!("hall-{}", n % 3);
-        world.daemon("side", &format!("gpu-{n}"), &domain, &json!({"backends": backend}))?;
+        testbed.daemon("side", &format!("gpu-{n}"), &domain, &json!({"backends": backend}))?;
     }
     for n in 0..entries {
         let mut settings = entry_settings.clone();
         if settings["rating"].is_object() {
-            settings["rating"]["address"] = json!(world.rating.addr);
+            settings["rating"]["address"] = json!(testbed.rating.addr);
         }
-        world.daemon("entry", &format!("entry-{n}"), &format!("hall-{}", n % 3), &settings)?;
+        testbed.daemon("entry", &format!("entry-{n}"), &format!("hall-{}", n % 3), &settings)?;
     }
-    world.list_hosts()?;
-    world.publish_json(objects)?;
-    world.wait_ready(sides)?;
-    Ok(world)
+    testbed.list_hosts()?;
+    testbed.publish_json(objects)?;
+    testbed.wait_ready(sides)?;
+    Ok(testbed)
 }
 
-/// Returns customers with weight 1.
+/// Returns customer objects with the label `org=all` and the default weight, 1.
 pub(crate) fn customers(names: &[String]) -> Vec<Value> {
     let customer = |name: &String| json!({"kind": "customer", "name": name, "labels": {"org": "all"}, "spec": {"key_sha256": [sha256_of(name)]}});
     names.iter().map(customer).collect()
 }
 
-/// Makes a load by one customer on the first entry.
+/// Returns a load that one customer sends to the first entry.
 pub(crate) fn load(
-    world: &World,
+    testbed: &Testbed,
     customer: &str,
     model: &str,
     tokens: u64,
@@ -79,7 +80,7 @@
     duration: Duration,
     seed: u64,
 ) -> eyre::Result<Load> {
-    let shape = Shape {
+    let shape = RequestShape {
         model: model.to_owned(),
         key: Some(key_of(customer)),
         prompt_chars: 400,
@@ -88,21 +89,21 @@
         stream: false,
         headers: Vec::new(),
     };
-    Ok(Load { addr: world.entry()?, shape, pace, duration, seed })
+    Ok(Load { addr: testbed.entry()?, shape, pace, duration, seed })
 }
 
-/// Sets faults of all engines.
-pub(crate) fn set_faults(world: &World, faults: &Value) -> eyre::Result<()> {
-    for backend in &world.backends {
+/// Injects faults into all engines.
+pub(crate) fn set_faults(testbed: &Testbed, faults: &Value) -> eyre::Result<()> {
+    for backend in &testbed.backends {
         post(backend.addr, "/control", faults)?;
     }
     Ok(())
 }
 
-/// Counts the answers that engines gave by a version; all, and the bad ones.
-pub(crate) fn answers_by(world: &World, version: &str) -> eyre::Result<(usize, usize)> {
+/// Counts the answers of a version on all engines. Returns the total and the number of bad ones.
+pub(crate) fn answers_by(testbed: &Testbed, version: &str) -> eyre::Result<(usize, usize)> {
     let (mut all, mut bad) = (0, 0);
-    for backend in &world.backends {
+    for backend in &testbed.backends {
         for event in get(backend.addr, "/history")?.as_array().into_iter().flatten() {
             if event["what"] == "end" && event["of"] == version {
                 all += 1;
@@ -113,7 +114,7 @@
     Ok((all, bad))
 }
 
-/// Returns mean and greatest of some numbers.
+/// Returns the mean and the maximum.
 pub(crate) fn mean_max(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     (mean, values.iter().copied().fold(0.0, f64::max))
--- a/soak/src/bin/redwingfold-soak.rs
+++ b/soak/src/bin/redwingfold-soak.rs
@@ -1,75 +1,75 @@
-//! Plays seeds of the soak, and says which broke a promise.
+//! Runs seeds of the soak test and prints the guarantees that each seed violated.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use redwingfold_soak::{Settings, play};
+use redwingfold_soak::{Settings, run_seed};
 
-/// Plays random faults against gateways that run as processes.
+/// Injects random faults into gateways that run as processes.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// Play this seed, and as many as `--seeds` says from there on.
+    /// First seed to run; random by default.
     #[arg(long)]
     seed: Option<u64>,
-    /// Seeds to play.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Play fresh seeds for so many minutes instead.
+    /// Run consecutive seeds for this many minutes, regardless of `--seeds`.
     #[arg(long)]
     minutes: Option<u64>,
-    /// Seconds of faults in each play.
+    /// Seconds for which faults are injected in each run.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 3)]
     gateways: usize,
-    /// Engines of each of the two services.
+    /// Number of engines of each of the two services.
     #[arg(long, default_value_t = 4)]
     engines: usize,
-    /// Callers at a time.
+    /// Number of concurrent callers.
     #[arg(long, default_value_t = 12)]
     callers: usize,
-    /// Routes that make the configuration large, and the way to the store slow; each takes 200 bytes.
+    /// Number of unused routes of 200 bytes that enlarge the configuration; if any, connections to the store are slow.
     #[arg(long, default_value_t = 0)]
     idle_routes: usize,
-    /// A request comes under which each engine ends that runs it.
+    /// Send a request that crashes each engine that runs it.
     #[arg(long)]
     deadly: bool,
-    /// The store comes back from older copies.
+    /// Restore the store from older copies.
     #[arg(long)]
     restores: bool,
-    /// A failure domain is emptied and returned, and engines are cold.
+    /// Evacuate a failure domain and return it, and start cold engines.
     #[arg(long)]
     domains: bool,
-    /// Engines report limits, announce that they are leaving, or refuse requests with Retry-After.
+    /// Let engines report limits, announce that they are leaving, or refuse requests with Retry-After.
     #[arg(long)]
     reports: bool,
-    /// Folder for the logs of seeds that broke a promise.
+    /// Directory for the logs of seeds that violated a guarantee.
     #[arg(long, default_value = "results")]
     logs: PathBuf,
-    /// The gateway's program; by default the one beside this one.
+    /// Path of the gateway binary; by default redwingfold-platform in the directory of this binary.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
 fn main() -> eyre::Result<()> {
     let args = Args::parse();
-    let beside = std::env::current_exe()?.with_file_name("redwingfold-platform");
-    let program = args.program.clone().unwrap_or(beside);
-    let first = args.seed.unwrap_or_else(|| fastrand::u64(..1_000_000));
-    let until = args.minutes.map(|m| Instant::now() + Duration::from_secs(m * 60));
+    let default_program = std::env::current_exe()?.with_file_name("redwingfold-platform");
+    let program = args.program.clone().unwrap_or(default_program);
+    let first_seed = args.seed.unwrap_or_else(|| fastrand::u64(..1_000_000));
+    let deadline = args.minutes.map(|m| Instant::now() + Duration::from_secs(m * 60));
     let mut failed = 0;
     for n in 0.. {
-        let is_over = until.map_or(n >= args.seeds, |until| Instant::now() >= until);
+        let is_over = deadline.map_or(n >= args.seeds, |deadline| Instant::now() >= deadline);
         if is_over {
             break;
         }
         let settings = Settings {
             program: program.clone(),
-            seed: first + n,
-            length: Duration::from_secs(args.seconds),
+            seed: first_seed + n,
+            duration: Duration::from_secs(args.seconds),
             gateways: args.gateways,
             engines: args.engines,
             callers: args.callers,
@@ -79,7 +79,7 @@
             domains: args.domains,
             reports: args.reports,
         };
-        let outcome = play(&settings);
+        let outcome = run_seed(&settings);
         println!(
             "seed={} requests={} served={} quarantined={} faults={} broken={}",
             settings.seed,
@@ -92,7 +92,7 @@
         if !outcome.broken.is_empty() {
             failed += 1;
             println!("  faults: {}", outcome.faults.join(", "));
-            outcome.broken.iter().take(10).for_each(|what| println!("  {what}"));
+            outcome.broken.iter().take(10).for_each(|violation| println!("  {violation}"));
             std::fs::create_dir_all(&args.logs)?;
             let path = args.logs.join(format!("soak-{}.log", settings.seed));
             std::fs::write(&path, outcome.lines.join("\n"))?;
--- a/src/ctl/audit.rs
+++ b/src/ctl/audit.rs
@@ -1,11 +1,11 @@
-//! Who changed what, when and why.
+//! The `audit` command: lists changes to the configuration with author, time and reason.
 
 use redwingfold_core::{AuditEntry, Verdict};
 
 use super::Exit;
 use super::context::Ctl;
-use super::table::{print, print_json};
-use crate::clock::wall;
+use super::table::{print_json, print_table};
+use crate::clock::unix_time;
 
 /// Lists the newest changes.
 pub(crate) async fn audit(ctl: &Ctl, limit: usize) -> eyre::Result<Exit> {
@@ -16,7 +16,7 @@
         print_json(&entries)?;
         return Ok(Exit::Ok);
     }
-    print(
+    print_table(
         &["OFFSET", "AGE", "AUTHOR", "VERDICT", "TOUCHES", "REASON"],
         entries.iter().map(row).collect(),
     );
@@ -33,7 +33,7 @@
     };
     vec![
         entry.offset.to_string(),
-        format!("{} s", wall().since(entry.at).0 / 1000),
+        format!("{} s", unix_time().since(entry.at).0 / 1000),
         entry.author.clone(),
         verdict,
         touches.join(" "),
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,5 @@
-//! What every daemon has: who it is, the configuration, and the platform's services.
+//! State common to the entry and side daemons: identity, configuration, and clients for the
+//! platform's services.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -11,12 +12,12 @@
 
 use crate::clock::{Clock, jittered};
 use crate::config_store::ConfigStore;
-use crate::platform::{HostRecord, LogClient, read_hosts};
+use crate::platform::{HostRecord, LogClient, fetch_hosts};
 use crate::settings::{HeartbeatSettings, HostListSettings, LogSettings};
 use crate::wire::{Hello, PROTOCOL, Role};
 use redwingfold_telemetry::Telemetry;
 
-/// What every daemon has.
+/// State common to the entry and side daemons.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     pub(crate) host: HostId,
@@ -35,18 +36,18 @@
     pub(crate) traffic: PeerTraffic,
 }
 
-/// Bytes of UDP payload on the connections to peers.
+/// Bytes of UDP payload sent and received on the connections to peers.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTraffic {
     pub(crate) sent: AtomicU64,
     pub(crate) received: AtomicU64,
 }
 
-/// The newest host list, and a signal when it changes.
+/// The newest host list, and an event that signals changes to it.
 #[derive(Debug, Default)]
 pub(crate) struct HostView {
     current: ArcSwap<Vec<HostRecord>>,
-    moved: Event,
+    changed_event: Event,
 }
 
 impl HostView {
@@ -54,9 +55,10 @@
         self.current.load_full()
     }
 
-    /// Returns a future that ends at the next change; take it before looking at the present.
+    /// Returns a future that completes at the next change. Call this before [`Self::current`]: a
+    /// change between the two calls would otherwise be missed.
     pub(crate) fn changed(&self) -> EventListener {
-        self.moved.listen()
+        self.changed_event.listen()
     }
 
     fn set(&self, hosts: Vec<HostRecord>) -> bool {
@@ -64,7 +66,7 @@
             return false;
         }
         self.current.store(Arc::new(hosts));
-        self.moved.notify(usize::MAX);
+        self.changed_event.notify(usize::MAX);
         true
     }
 }
@@ -108,26 +110,26 @@
         }
     }
 
-    /// Says whether this daemon reads the log for others in its failure domain.
+    /// Returns whether this daemon reads the log for the others in its failure domain.
     pub(crate) fn is_reader(&self) -> bool {
         let members: Vec<_> = self.hosts.current().iter().map(HostRecord::member).collect();
         let own = Member { host: self.host.clone(), domain: self.domain.clone() };
         is_log_reader(&own, &members, self.log_settings.readers_per_domain)
     }
 
-    /// Follows the host list for ever. An outage leaves the last list in force.
-    pub(crate) async fn follow_hosts(&self) {
+    /// Polls the host list forever. If a read fails, the last list stays in use.
+    pub(crate) async fn poll_hosts(&self) {
         loop {
-            match read_hosts(&self.http, self.host_list.address).await {
+            match fetch_hosts(&self.http, self.host_list.address).await {
                 Ok(hosts) => {
                     let count = hosts.len();
                     if self.hosts.set(hosts) {
                         self.telemetry.info("hosts_changed", &[("hosts", &count)]);
                     }
                 }
-                Err(why) => {
+                Err(reason) => {
                     self.telemetry.count("hosts.read_failed", 1);
-                    self.telemetry.warn("hosts_read_failed", &[("why", &why)]);
+                    self.telemetry.warn("hosts_read_failed", &[("why", &reason)]);
                 }
             }
             Timer::after(jittered(self.host_list.every_ms)).await;
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,9 +8,9 @@
 use super::context::Entry;
 use super::response::RequestError;
 use super::sides::SideLink;
-use crate::peer::CallCount;
+use crate::peer::CallGuard;
 use crate::wire::{
-    Call, CallHead, FrameReader, FrameWriter, RunCall, RunEnd, RunFrame, RunHead, WireError,
+    Call, FrameReader, FrameWriter, RunCall, RunEnd, RunFrame, RunHead, RunId, WireError,
 };
 
 /// Why an attempt failed, and the offset of the side's configuration if the side reported it.
@@ -29,16 +29,16 @@
 /// A response that is being received. Dropping it cancels the run.
 pub(crate) struct ResponseStream {
     rx: FrameReader<RunFrame>,
-    // Kept open for the whole run; if it were dropped early, the sending half would finish, which
-    // the side ignores.
+    // Kept so that the sending half is open until the response ends. Dropping it earlier would
+    // finish that half, which has no effect at the side.
     _tx: FrameWriter<Call>,
-    head: CallHead,
+    run_id: RunId,
     backend: String,
     link: Arc<SideLink>,
     entry: Arc<Entry>,
     hasher: Xxh3,
     received_bytes: u64,
-    _call_guard: CallCount,
+    _call_guard: CallGuard,
 }
 
 /// A part of a response.
@@ -53,10 +53,10 @@
     link: &Arc<SideLink>,
     call: RunCall,
 ) -> Result<(RunHead, ResponseStream), AttemptError> {
-    let head = call.head;
+    let run_id = call.run_id;
     let backend = call.backend.clone();
     link.count_sent(&call.backend);
-    let call_guard = link.link.begin_call();
+    let call_guard = link.peer_link.begin_call();
     let not_sent = |e: String| RequestError::new(ErrorKind::NoBackend, e);
     // Opening a stream sends nothing, so a failure here means that nothing has run.
     let (send, recv) = link.conn.open_bi().await.map_err(|e| not_sent(e.to_string()))?;
@@ -65,7 +65,7 @@
     let mut response_stream = ResponseStream {
         rx: FrameReader::new(recv),
         _tx: tx,
-        head,
+        run_id,
         backend,
         link: link.clone(),
         entry: entry.clone(),
@@ -95,17 +95,17 @@
     /// Reads the next frame; a frame of another run is an error.
     async fn read_frame(&mut self) -> Result<RunFrame, AttemptError> {
         let frame = self.rx.next().await.map_err(|e| wire_error(&e))?;
-        self.link.link.heard(self.entry.daemon.now());
+        self.link.peer_link.record_receipt(self.entry.daemon.now());
         match frame {
             None => Err(RequestError::new(ErrorKind::BackendLost, "answer has no end").into()),
-            Some(frame) if frame.head() != self.head => {
+            Some(frame) if frame.run_id() != self.run_id => {
                 Err(RequestError::new(ErrorKind::TornFrame, "frame of another run").into())
             }
             Some(RunFrame::Failed(_, failed)) => Err(AttemptError {
                 error: RequestError {
                     kind: failed.kind,
                     run_state: failed.run,
-                    detail: failed.why,
+                    detail: failed.reason,
                     retry_after: failed.retry_after,
                 },
                 side_offset: failed.config.offset,
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -19,9 +19,9 @@
 use super::response::{RequestError, error_body};
 use super::sessions::session_version;
 use super::sides::SideLink;
-use crate::billing::Held;
-use crate::clock::span;
-use crate::wire::{CallHead, Load, RunCall, RunEnd, RunHead, Usage};
+use crate::billing::HeldBill;
+use crate::clock::to_duration;
+use crate::wire::{Load, RunCall, RunEnd, RunHead, RunId, Usage};
 
 /// Bytes of a streamed response that are buffered for rating; collection stops at the first chunk
 /// that reaches it.
@@ -31,7 +31,7 @@
 const DEFAULT_ANSWER_TOKENS: u64 = 256;
 
 /// Approximate bytes of prompt text per token.
-const CHARS_PER_TOKEN: u64 = 4;
+const PROMPT_BYTES_PER_TOKEN: u64 = 4;
 
 /// Times that a request is planned again because a side had a newer configuration.
 const MAX_REPLANS: u32 = 3;
@@ -71,7 +71,7 @@
         let contents = messages.iter().filter_map(|m| m["content"].as_str());
         let prompt = contents.collect::<Vec<_>>().join("\n");
         let answer = value["max_tokens"].as_u64().unwrap_or(DEFAULT_ANSWER_TOKENS);
-        let work_tokens = prompt.len() as u64 / CHARS_PER_TOKEN + answer;
+        let work_tokens = prompt.len() as u64 / PROMPT_BYTES_PER_TOKEN + answer;
         Ok(Self { model_name: name.to_owned(), stream, prompt, work_tokens, body })
     }
 }
@@ -124,12 +124,18 @@
     async fn plan_versions(&self) -> Result<VersionPlan, RequestError> {
         let config = self.config();
         let session = self.caller.session.as_ref();
-        let who = session.map_or_else(|| self.request.to_string(), ToString::to_string);
+        let split_key = session.map_or_else(|| self.request.to_string(), ToString::to_string);
         let quality =
             |v: &VersionName, spec: &_| self.entry.quality.lower_bound(v, spec, &self.caller.class);
-        let planned =
-            plan(&config, &self.caller.customer, session, &self.req.model_name, &who, quality);
-        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.why));
+        let planned = plan(
+            &config,
+            &self.caller.customer,
+            session,
+            &self.req.model_name,
+            &split_key,
+            quality,
+        );
+        let planned = planned.map_err(|denied| RequestError::new(denied.kind, denied.detail));
         let is_version = self.req.model_name.parse().is_ok_and(|v| config.version(&v).is_some());
         let offset = config.offset;
         match session {
@@ -189,7 +195,7 @@
                     replans += 1;
                     let offset = e.side_offset;
                     self.step("stale", format!("the side is at offset {offset}"));
-                    self.entry.daemon.store.reaches(offset, CATCH_UP_TIMEOUT).await;
+                    self.entry.daemon.store.wait_for_offset(offset, CATCH_UP_TIMEOUT).await;
                 }
                 Err(e) => {
                     return Err(RequestError {
@@ -273,17 +279,17 @@
                 Err(e) => e,
             };
             progress.run_state = progress.run_state.and(attempt_error.error.run_state);
-            let (kind, why) = (attempt_error.error.kind, attempt_error.error.detail.clone());
+            let (kind, detail) = (attempt_error.error.kind, attempt_error.error.detail.clone());
             self.step(
                 "attempt_failed",
-                format!("{kind} ({}): {why}", attempt_error.error.run_state),
+                format!("{kind} ({}): {detail}", attempt_error.error.run_state),
             );
             let may_retry =
                 is_retryable(kind) && version_attempts < self.entry.settings.retry.max_attempts;
-            if !may_retry || !self.entry.try_retry() {
+            if !may_retry || !self.entry.try_spend_retry() {
                 return Err(attempt_error);
             }
-            if !self.has_untried_backend(version, &progress.tried, kind).await {
+            if !self.wait_for_untried_backend(version, &progress.tried, kind).await {
                 return Err(attempt_error);
             }
         }
@@ -291,21 +297,21 @@
 
     /// Returns whether an untried backend server is available. After a lost connection, waits up to
     /// two heartbeat intervals for a replacement connection and the first load report on it.
-    async fn has_untried_backend(
+    async fn wait_for_untried_backend(
         &self,
         version: &VersionName,
         tried: &TriedBackends,
         kind: ErrorKind,
     ) -> bool {
-        let found = async {
+        let backend_available = async {
             while self.pick(version, tried).is_none() {
-                Timer::after(span(RECONNECT_POLL_INTERVAL)).await;
+                Timer::after(to_duration(RECONNECT_POLL_INTERVAL)).await;
             }
         };
         match kind {
             ErrorKind::BackendLost => {
-                let limit = Millis(self.entry.settings.heartbeat.interval_ms.0 * 2);
-                crate::clock::within(limit, found).await.is_some()
+                let timeout = Millis(self.entry.settings.heartbeat.interval_ms.0 * 2);
+                crate::clock::with_timeout(timeout, backend_available).await.is_some()
             }
             _ => self.pick(version, tried).is_some(),
         }
@@ -342,7 +348,7 @@
     ) -> RunCall {
         let key = self.caller.idempotency_key.as_deref();
         RunCall {
-            head: CallHead { request: self.request, attempt: progress.attempts },
+            run_id: RunId { request: self.request, attempt: progress.attempts },
             config: crate::wire::ConfigMark { offset, ..self.entry.daemon.store.mark() },
             customer: self.caller.customer.clone(),
             session: self.caller.session.clone(),
@@ -353,13 +359,13 @@
             target: self.target.clone(),
             content_type: None,
             body: self.req.body.clone(),
-            stream: self.req.stream,
-            deadline: self.deadline.since(self.entry.daemon.now()),
+            is_streamed: self.req.stream,
+            time_left: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: self.req.work_tokens,
+            work_tokens: self.req.work_tokens,
             claim: None,
             bill: Some(Bill::id_for(&self.caller.customer, key, self.request)),
-            spent: progress.usage,
+            prior_usage: progress.usage,
         }
     }
 
@@ -432,7 +438,7 @@
     ) {
         let mut text = Vec::new();
         let is_rated = is_sampled(&self.entry, &version);
-        let left = self.deadline.since(self.entry.daemon.now());
+        let time_left = self.deadline.since(self.entry.daemon.now());
         let forwarded = async {
             loop {
                 match response_stream.next_part().await? {
@@ -458,7 +464,8 @@
             tx.closed().await;
             Err(RequestError::new(ErrorKind::BackendLost, "the caller has gone"))
         };
-        let forwarded = crate::clock::within(left, smol::future::or(forwarded, disconnected)).await;
+        let forwarded =
+            crate::clock::with_timeout(time_left, smol::future::or(forwarded, disconnected)).await;
         match forwarded.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into())) {
             Ok(()) => {
                 self.step("stream_done", version.to_string());
@@ -478,7 +485,7 @@
     }
 }
 
-/// A response whose head has been received.
+/// A stream of which the head has been received, or a whole response.
 enum StartedResponse {
     Stream { head: RunHead, response_stream: Box<ResponseStream> },
     Whole { head: RunHead, body: Vec<u8>, end: Box<RunEnd>, link: Arc<SideLink> },
@@ -486,7 +493,7 @@
 
 /// Stores a bill until it is in the log; its side has the second copy.
 pub(crate) fn hold_bill(entry: &Entry, bill: Bill, link: &SideLink) {
-    let held = Held { bill, side: Some(link.host.clone()) };
+    let held = HeldBill { bill, side: Some(link.host.clone()) };
     if entry.bills.hold(held, Millis(0)).is_err() {
         entry.daemon.telemetry.count("bills.one_copy", 1);
     }
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,13 +1,13 @@
-//! Claims, which give non-idempotent calls at-most-once execution.
+//! Claims, which run a non-repeatable service call with an idempotency key at most once.
 //!
-//! Before a call runs, its entry appends a claim to the log. The first valid claim of a key holds
-//! it; a later call with the same key gets the outcome of that run.
+//! Before such a call runs, its entry appends a claim to the log. The first valid claim of a key
+//! holds it; a later call with the same key gets the outcome of that run.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use redwingfold_core::{
-    Claim, ClaimFold, ClaimId, ErrorKind, KeyHash, Millis, Offset, RequestId, RunState, Standing,
+    Claim, ClaimFold, ClaimId, ClaimStatus, ErrorKind, KeyHash, Millis, Offset, RequestId, RunState,
 };
 
 use super::connections::side_connection;
@@ -47,7 +47,7 @@
 }
 
 fn partition_of(key: KeyHash) -> String {
-    format!("{}{}", stream::CLAIMS, key.0 % PARTITION_COUNT)
+    format!("{}{}", stream::CLAIMS_PREFIX, key.0 % PARTITION_COUNT)
 }
 
 /// The result of claiming a call.
@@ -63,7 +63,7 @@
 ///
 /// If another claim holds the key, its outcome is resolved first: a response is returned, and a
 /// claim that was closed without a run is replaced.
-pub(crate) async fn claim(
+pub(crate) async fn claim_call(
     entry: &Arc<Entry>,
     link: &SideLink,
     key: KeyHash,
@@ -80,9 +80,9 @@
             replaces,
         };
         match append_and_read(entry, &claim).await? {
-            Standing::Holds => return Ok(ClaimResult::Run(claim)),
-            Standing::Absent => return Err(log_unavailable("the claim is not in the log")),
-            Standing::Behind(holder) => match resolve_holder(entry, &holder).await? {
+            ClaimStatus::HoldsKey => return Ok(ClaimResult::Run(claim)),
+            ClaimStatus::Absent => return Err(log_unavailable("the claim is not in the log")),
+            ClaimStatus::HeldByOther(holder) => match resolve_holder(entry, &holder).await? {
                 HolderOutcome::Ran(ran) => return Ok(ran),
                 HolderOutcome::Closed(id) => replaces = Some(id),
             },
@@ -102,9 +102,9 @@
 ///
 /// If the outcome of the append is unknown, the claim is looked up by its id. A claim that is not
 /// found may still be appended later. The call is then refused as not run, which stays true: this
-/// entry never runs it, and the side that the claim names closes the claim when a repeat of the
-/// call asks for its outcome.
-async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<Standing, RequestError> {
+/// entry never runs it, and the entry that handles a repeat of the call has the side that the claim
+/// names close it.
+async fn append_and_read(entry: &Entry, claim: &Claim) -> Result<ClaimStatus, RequestError> {
     let partition = partition_of(claim.key);
     let json = serde_json::to_vec(claim).unwrap_or_default();
     let up_to = match entry.daemon.log.append(&partition, json).await {
@@ -120,7 +120,7 @@
     let fold = entry.claims.fold(&partition);
     let mut fold = fold.lock().await;
     read_up_to(entry, &partition, &mut fold, up_to).await?;
-    Ok(fold.standing(claim))
+    Ok(fold.status(claim))
 }
 
 /// Reads a partition into its fold, up to an offset or up to the current end.
@@ -152,10 +152,10 @@
     Closed(ClaimId),
 }
 
-/// Asks the side that the holder's claim names for its outcome, and closes the claim if the side
-/// has not received it.
+/// Requests the outcome of the holder's claim from the side that the claim names. The claim is
+/// closed if the side has not received it.
 async fn resolve_holder(entry: &Entry, holder: &Claim) -> Result<HolderOutcome, RequestError> {
-    let unknown = |why: &str| RequestError::new(ErrorKind::OutcomeUnknown, why);
+    let unknown = |detail: &str| RequestError::new(ErrorKind::OutcomeUnknown, detail);
     let connection = side_connection(entry, &holder.host).await;
     let connection =
         connection.ok_or_else(|| unknown("the side that may have run it is out of reach"))?;
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -13,7 +13,7 @@
 use super::quality::QualityTracker;
 use super::sessions::SessionCache;
 use super::sides::Sides;
-use crate::billing::BillBox;
+use crate::billing::BillOutbox;
 use crate::daemon::Daemon;
 use crate::settings::EntrySettings;
 
@@ -24,7 +24,7 @@
     pub(crate) settings: EntrySettings,
     pub(crate) client_config: ClientConfig,
     pub(crate) sides: Sides,
-    pub(crate) bills: BillBox,
+    pub(crate) bills: BillOutbox,
     pub(crate) claims: ClaimFolds,
     pub(crate) sessions: SessionCache,
     pub(crate) decisions: Decisions,
@@ -56,7 +56,7 @@
         let per_request = f64::from(retry.budget_per_mille) / 1000.0;
         Self {
             sides: Sides::default(),
-            bills: BillBox::new(settings.batch.clone()),
+            bills: BillOutbox::new(settings.batch.clone()),
             claims: ClaimFolds::default(),
             sessions: SessionCache::new(settings.sessions.cache),
             decisions: Decisions::new(settings.limits.decisions),
@@ -80,7 +80,7 @@
     pub(crate) fn admit_request(self: &Arc<Self>) -> Result<InFlightGuard, ErrorKind> {
         let before = self.in_flight.fetch_add(1, Ordering::SeqCst);
         let in_flight = InFlightGuard(self.clone());
-        self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).request();
+        self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).record_request();
         match before < self.settings.limits.requests {
             true => Ok(in_flight),
             false => Err(ErrorKind::TooManyOpen),
@@ -97,7 +97,7 @@
     }
 
     /// Takes a retry from the budget; returns `false` if the budget is used up.
-    pub(crate) fn try_retry(&self) -> bool {
+    pub(crate) fn try_spend_retry(&self) -> bool {
         let taken = self.retry_budget.lock().unwrap_or_else(PoisonError::into_inner).try_retry();
         self.daemon.telemetry.count(if taken { "retry.taken" } else { "retry.refused" }, 1);
         taken
--- a/src/entry/rollouts.rs
+++ b/src/entry/rollouts.rs
@@ -3,21 +3,22 @@
 use std::sync::Arc;
 
 use redwingfold_core::{
-    Change, Config, Millis, ObjectKey, Offset, Record, RequestId, RolloutSpec, Spec,
-    StreamsOnWithdrawal, VersionName, Withdrawal, next_step,
+    Change, Config, ConfigRecord, Millis, ObjectKey, Offset, RequestId, RolloutSpec, Spec,
+    StreamsOnWithdrawal, VersionName, Withdrawal, next_rollout_share,
 };
 use smol::Timer;
 
 use super::context::Entry;
 use super::quality::{in_service_since, test_version};
-use crate::clock::{jittered, wall};
+use crate::clock::{jittered, unix_time};
 use crate::platform::{LogError, stream};
 
 const PAGE_RECORDS: usize = 500;
 const RETRY_DELAY: Millis = Millis(500);
 
-/// Periodically publishes this entry's rating totals to the log, reads those of the other entries,
-/// and tests versions and advances rollouts by the sum. Never returns if rating is configured.
+/// Periodically publishes this entry's rating totals to the log and reads those of the other
+/// entries. Versions are tested and rollouts are advanced by the sum of all totals. Never returns
+/// if rating is configured.
 ///
 /// Totals are published as one batch per interval, and only if ratings were added.
 pub(crate) async fn run_rating_loop(entry: &Arc<Entry>) {
@@ -27,7 +28,7 @@
     }
     loop {
         Timer::after(jittered(entry.settings.batch.every_ms)).await;
-        let records = entry.quality.records(entry);
+        let records = entry.quality.tally_records(entry);
         let rated = records.iter().map(|r| r.total.rated()).sum::<u64>();
         if rated != published_ratings {
             let json = serde_json::to_vec(&records).unwrap_or_default();
@@ -38,7 +39,7 @@
         }
         let from = Offset(entry.quality.folded_offset().0 + 1);
         match entry.daemon.log.read(stream::RATINGS, from, PAGE_RECORDS, Millis(0)).await {
-            Ok(page) => entry.quality.fold(&page.records),
+            Ok(page) => entry.quality.apply_records(&page.records),
             Err(_) => continue,
         }
         let config = entry.daemon.store.current();
@@ -65,8 +66,8 @@
             continue;
         }
         let since = in_service_since(config, &rollout.to);
-        let (tally, _) = entry.quality.evidence(entry, &rollout.to, since);
-        let next = next_step(
+        let (tally, _) = entry.quality.tallies(entry, &rollout.to, since);
+        let next = next_rollout_share(
             &rollout.steps,
             rollout.share,
             rollout.rated_before,
@@ -95,11 +96,11 @@
     let share = raised.share;
     let mut object = stored.object.clone();
     object.spec = Spec::Rollout(raised);
-    let record = Record::Change(Change {
+    let record = ConfigRecord::Change(Change {
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
-        at: wall(),
+        at: unix_time(),
         expects: [(key.clone(), stored.revision)].into(),
         put: vec![object],
         delete: Vec::new(),
@@ -119,11 +120,11 @@
 /// Appends a withdrawal to the log, retrying until it succeeds. A duplicate has the same id and no
 /// effect.
 pub(crate) async fn append_withdrawal(entry: Arc<Entry>, version: VersionName, reason: String) {
-    let record = Record::Withdraw(Withdrawal {
+    let record = ConfigRecord::Withdraw(Withdrawal {
         id: RequestId(fastrand::u128(..)),
         author: format!("entry {}", entry.daemon.host),
         reason,
-        at: wall(),
+        at: unix_time(),
         version,
         streams: StreamsOnWithdrawal::Finish,
     });
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -13,7 +13,7 @@
 use super::response::{RequestError, ResponseMetadata, error_response, json_response};
 use super::service_call::{ServiceCall, find_service};
 use super::sides::usable_links;
-use crate::clock::{wall, within};
+use crate::clock::{unix_time, with_timeout};
 
 const CHAT_PATH: &str = "/v1/chat/completions";
 const LIVE_PATH: &str = "/healthz";
@@ -34,7 +34,7 @@
     }
     let request = metadata.request;
     let started_at = entry.daemon.now();
-    let trace = entry.decisions.begin(request, wall(), started_at);
+    let trace = entry.decisions.start_trace(request, unix_time(), started_at);
     let metadata = Arc::new(Mutex::new(metadata));
     let (method, path) = (req.method().to_string(), req.url().path().to_owned());
     let result = Box::pin(route(&entry, req, &peer, &metadata, &trace)).await;
@@ -100,8 +100,11 @@
         (MODELS_PATH, "GET") => return Ok(list_models(entry, &caller)),
         (CHAT_PATH, "POST") => {}
         (MODELS_PATH | CHAT_PATH, _) => {
-            let takes = if path == MODELS_PATH { "GET" } else { "POST" };
-            return Err(RequestError::new(ErrorKind::WrongMethod, format!("{path} takes {takes}")));
+            let allowed_method = if path == MODELS_PATH { "GET" } else { "POST" };
+            return Err(RequestError::new(
+                ErrorKind::WrongMethod,
+                format!("{path} takes {allowed_method}"),
+            ));
         }
         _ => return route_service_call(entry, &config, caller, req, peer, metadata, trace).await,
     }
@@ -175,7 +178,7 @@
         Err(RequestError::new(ErrorKind::DeadlineInRun, "the caller has gone"))
     };
     let left = deadline.since(entry.daemon.now());
-    let result = within(left, smol::future::or(result, disconnected)).await;
+    let result = with_timeout(left, smol::future::or(result, disconnected)).await;
     result.unwrap_or_else(|| Err(ErrorKind::DeadlineInRun.into()))
 }
 
@@ -195,8 +198,8 @@
     use smol::io::AsyncReadExt;
     let limits = &entry.settings.limits;
     let too_large = || {
-        let why = format!("at most {} bytes", limits.body_bytes);
-        RequestError::new(ErrorKind::BodyTooLarge, why)
+        let detail = format!("at most {} bytes", limits.body_bytes);
+        RequestError::new(ErrorKind::BodyTooLarge, detail)
     };
     if req.len().is_some_and(|len| len > limits.body_bytes) {
         return Err(too_large());
@@ -205,7 +208,7 @@
     let mut body = Vec::new();
     let reader = req.take_body().into_reader();
     let mut reader = reader.take(limits.body_bytes as u64 + 1);
-    match within(limits.body_timeout_ms, reader.read_to_end(&mut body)).await {
+    match with_timeout(limits.body_timeout_ms, reader.read_to_end(&mut body)).await {
         None => Err(RequestError::new(ErrorKind::SlowSender, "the body took too long")),
         Some(Err(e)) => Err(RequestError::new(ErrorKind::BadRequest, format!("body: {e}"))),
         Some(Ok(_)) if body.len() > limits.body_bytes => Err(too_large()),
@@ -217,13 +220,13 @@
 }
 
 fn readiness(entry: &Entry) -> Response {
-    let why_not = match entry {
+    let not_ready_reason = match entry {
         e if e.drain.is_draining() => Some(ErrorKind::Stopping),
         e if e.daemon.store.mark().offset.0 == 0 => Some(ErrorKind::NoConfig),
         e if usable_links(e).is_empty() => Some(ErrorKind::NoBackend),
         _ => None,
     };
-    match why_not {
+    match not_ready_reason {
         Some(kind) => error_response(&kind.into()),
         None => json_response(&json!({"ready": true, "offset": entry.daemon.store.mark().offset})),
     }
@@ -233,7 +236,7 @@
 fn list_models(entry: &Entry, caller: &Caller) -> Response {
     let config = entry.quality.effective_config(entry.daemon.store.current());
     let session = caller.session.as_ref();
-    let may_run = |v: &VersionName| config.may_run(&caller.customer, session, v).is_ok();
+    let may_run = |v: &VersionName| config.check_access(&caller.customer, session, v).is_ok();
     let mut names = Vec::new();
     for (key, spec) in config.of_kind("version") {
         if let (Spec::Version(v), Ok(version)) = (spec, key.name.parse())
--- a/src/entry/service_call.rs
+++ b/src/entry/service_call.rs
@@ -10,13 +10,13 @@
 
 use super::attempt::{AttemptError, start_run};
 use super::auth::Caller;
-use super::claims::{ClaimResult, claim};
+use super::claims::{ClaimResult, claim_call};
 use super::context::Entry;
 use super::decisions::DecisionTrace;
 use super::pick::{BackendTarget, TriedBackends, pick_backend};
 use super::response::RequestError;
 use super::sides::SideLink;
-use crate::wire::{CallHead, Load, RunCall, Usage};
+use crate::wire::{Load, RunCall, RunId, Usage};
 
 /// Cost of a service call in the fair queue, in tokens.
 const SERVICE_CALL_WORK_TOKENS: u64 = 100;
@@ -40,13 +40,13 @@
     path: &str,
 ) -> Option<(String, &'a ServiceSpec)> {
     let services = config.of_kind("service").filter_map(|(key, spec)| match spec {
-        Spec::Service(s) if is_under(path, &s.path) => Some((key.name.clone(), s)),
+        Spec::Service(s) if is_path_under(path, &s.path) => Some((key.name.clone(), s)),
         _ => None,
     });
     services.max_by_key(|(_, s)| s.path.len())
 }
 
-fn is_under(path: &str, prefix: &str) -> bool {
+fn is_path_under(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
@@ -66,8 +66,8 @@
         let labels = config.caller_labels(&self.caller.customer, self.caller.session.as_ref());
         match spec {
             s if !s.methods.contains(&self.method) => {
-                let why = format!("{service} takes {}", s.methods.join(", "));
-                return Err(RequestError::new(ErrorKind::WrongMethod, why));
+                let detail = format!("{service} takes {}", s.methods.join(", "));
+                return Err(RequestError::new(ErrorKind::WrongMethod, detail));
             }
             s if !s.callers.matches(&labels) => return Err(ErrorKind::NotAllowed.into()),
             _ => {}
@@ -83,7 +83,8 @@
         let mut tried = TriedBackends::new();
         let mut run_state = RunState::NotRun;
         loop {
-            let (link, backend) = self.pick(service, &tried).ok_or_else(|| no_backend(service))?;
+            let (link, backend) =
+                self.pick(service, &tried).ok_or_else(|| no_backend_error(service))?;
             tried.insert((link.conn.stable_id(), backend.clone()));
             self.step("attempt", format!("{} at {}/{backend}", tried.len(), link.host));
             let call = self.run_call(service, &backend, tried.len() as u32);
@@ -94,7 +95,9 @@
             run_state = error.run_state;
             self.step("attempt_failed", format!("{} ({})", error.kind, error.run_state));
             let has_attempts_left = (tried.len() as u32) < self.entry.settings.retry.max_attempts;
-            if !has_attempts_left || self.pick(service, &tried).is_none() || !self.entry.try_retry()
+            if !has_attempts_left
+                || self.pick(service, &tried).is_none()
+                || !self.entry.try_spend_retry()
             {
                 return Err(error);
             }
@@ -107,11 +110,11 @@
     /// the caller is detected.
     async fn run_claimed(&self, service: &str) -> Result<Response, RequestError> {
         let (link, backend) =
-            self.pick(service, &TriedBackends::new()).ok_or_else(|| no_backend(service))?;
+            self.pick(service, &TriedBackends::new()).ok_or_else(|| no_backend_error(service))?;
         let mut call = self.run_call(service, &backend, 1);
         if let Some(key) = &self.caller.idempotency_key {
             let key = KeyHash::of(&self.caller.customer, &format!("{service}\0{key}"));
-            match claim(&self.entry, &link, key, self.request).await? {
+            match claim_call(&self.entry, &link, key, self.request).await? {
                 ClaimResult::AlreadyRan { status, content_type, body } => {
                     self.step("replayed", format!("status {status}"));
                     return Ok(service_response(status, content_type, body));
@@ -123,7 +126,7 @@
             }
         }
         self.step("attempt", format!("1 at {}/{backend}", link.host));
-        call.deadline = self.deadline.since(self.entry.daemon.now());
+        call.time_left = self.deadline.since(self.entry.daemon.now());
         self.run_attempt(&link, call).await.map_err(|e| {
             self.step("attempt_failed", format!("{} ({})", e.error.kind, e.error.run_state));
             e.error
@@ -150,7 +153,7 @@
 
     fn run_call(&self, service: &str, backend: &str, attempt: u32) -> RunCall {
         RunCall {
-            head: CallHead { request: self.request, attempt },
+            run_id: RunId { request: self.request, attempt },
             config: self.entry.daemon.store.mark(),
             customer: self.caller.customer.clone(),
             session: self.caller.session.clone(),
@@ -161,13 +164,13 @@
             target: self.target.clone(),
             content_type: self.content_type.clone(),
             body: self.body.clone(),
-            stream: false,
-            deadline: self.deadline.since(self.entry.daemon.now()),
+            is_streamed: false,
+            time_left: self.deadline.since(self.entry.daemon.now()),
             priority: self.caller.priority,
-            work: SERVICE_CALL_WORK_TOKENS,
+            work_tokens: SERVICE_CALL_WORK_TOKENS,
             claim: None,
             bill: None,
-            spent: Usage::default(),
+            prior_usage: Usage::default(),
         }
     }
 
@@ -177,7 +180,7 @@
     }
 }
 
-fn no_backend(service: &str) -> RequestError {
+fn no_backend_error(service: &str) -> RequestError {
     RequestError::new(ErrorKind::NoBackend, format!("none serves {service}"))
 }
 
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! The load tool: sends requests to an entry, or to an engine for comparison, and measures.
+//! Load generator: sends requests to an entry, or directly to an engine for comparison, and
+//! measures the responses.
 
 mod args;
 mod driver;
@@ -6,6 +7,6 @@
 mod summary;
 
 pub use args::{LoadArgs, LoadCommand, run};
-pub use driver::{Load, Pace, Sample, Shape, drive, once};
+pub use driver::{Load, Pace, RequestShape, Sample, run_load, send_request};
 pub use proc_usage::{ProcUsage, proc_usage};
 pub use summary::{Quantiles, Summary};
--- a/src/peer/connect.rs
+++ b/src/peer/connect.rs
@@ -1,12 +1,12 @@
-//! Opening connections.
+//! Opens connections to other processes and makes calls on them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use quinn::{ClientConfig, Connection, Endpoint};
 use redwingfold_core::Millis;
 
-use crate::clock::within;
-use crate::tls::FLEET_NAME;
+use crate::clock::with_timeout;
+use crate::tls::FLEET_SERVER_NAME;
 use crate::wire::{Call, Control, FrameReader, FrameWriter, Hello, PROTOCOL, Reply, WireError};
 
 /// A connection with its control stream.
@@ -15,15 +15,15 @@
     pub(crate) hello: Hello,
     pub(crate) tx: FrameWriter<Control>,
     pub(crate) rx: FrameReader<Control>,
-    /// Keeps the socket; it must live as long as the connection.
+    /// Owns the socket, so it must live as long as the connection.
     pub(crate) endpoint: Endpoint,
 }
 
-/// Opens a connection from a port of its own.
+/// Opens a connection from a new local port.
 ///
-/// When something on the way has lost track of a connection, it drops what belongs to its pair of
-/// ports: the peer looks dead although it is not. A new connection from the same port would be
-/// dropped like the old one, so each gets a new port.
+/// A network device that has lost its state for a connection drops all packets between that pair of
+/// ports, so that the peer appears dead although it is not. A new connection from the same port
+/// would be dropped too, so each connection gets a new one.
 pub(crate) async fn dial(
     config: &ClientConfig,
     addr: SocketAddr,
@@ -32,9 +32,10 @@
     let lost = |e: String| WireError::Lost(format!("{addr}: {e}"));
     let endpoint =
         Endpoint::client((Ipv4Addr::UNSPECIFIED, 0).into()).map_err(|e| lost(e.to_string()))?;
-    let connecting =
-        endpoint.connect_with(config.clone(), addr, FLEET_NAME).map_err(|e| lost(e.to_string()))?;
-    match within(timeout, connecting).await {
+    let connecting = endpoint
+        .connect_with(config.clone(), addr, FLEET_SERVER_NAME)
+        .map_err(|e| lost(e.to_string()))?;
+    match with_timeout(timeout, connecting).await {
         Some(Ok(conn)) => Ok((endpoint, conn)),
         Some(Err(e)) => Err(lost(e.to_string())),
         None => Err(lost("connect timeout".to_owned())),
@@ -49,7 +50,7 @@
     own: Hello,
 ) -> Result<Connected, WireError> {
     let (endpoint, conn) = dial(config, addr, timeout).await?;
-    let greet = async {
+    let handshake = async {
         let lost = |e: quinn::ConnectionError| WireError::Lost(e.to_string());
         let (send, recv) = conn.open_bi().await.map_err(lost)?;
         let mut tx = FrameWriter::<Call>::new(send);
@@ -63,12 +64,12 @@
             other => Err(WireError::Torn(format!("no hello: {other:?}"))),
         }
     };
-    let late = || Err(WireError::Lost(format!("{addr}: no hello in time")));
-    let (tx, rx, hello) = within(timeout, greet).await.unwrap_or_else(late)?;
+    let timed_out = || Err(WireError::Lost(format!("{addr}: no hello in time")));
+    let (tx, rx, hello) = with_timeout(timeout, handshake).await.unwrap_or_else(timed_out)?;
     Ok(Connected { conn, hello, tx, rx, endpoint })
 }
 
-/// Makes one call that is answered by one reply.
+/// Makes one call and waits for its single reply.
 pub(crate) async fn call(
     conn: &Connection,
     call: &Call,
@@ -83,6 +84,6 @@
         let reply = FrameReader::new(recv).next().await?;
         reply.ok_or_else(|| WireError::Torn("no reply".to_owned()))
     };
-    let late = || Err(WireError::Lost("no reply in time".to_owned()));
-    within(timeout, exchange).await.unwrap_or_else(late)
+    let timed_out = || Err(WireError::Lost("no reply in time".to_owned()));
+    with_timeout(timeout, exchange).await.unwrap_or_else(timed_out)
 }
--- a/src/side/backend.rs
+++ b/src/side/backend.rs
@@ -1,9 +1,9 @@
-//! One backend server: the queue before it, and what is known of its load.
+//! One backend server: its request queue and its current load.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use redwingfold_core::{
-    CustomerName, ErrorKind, FairQueue, Millis, QueueLimits, VersionName, Waiting,
+    CustomerName, ErrorKind, FairQueue, Millis, QueueEntry, QueueLimits, VersionName,
 };
 use smol::channel::{Sender, bounded};
 
@@ -12,25 +12,25 @@
 use crate::settings::{BackendKind, BackendSettings, QueueSettings};
 use crate::wire::Load;
 
-/// Part of a new measurement in the smoothed time to the first token: one eighth.
-const SMOOTHING: u64 = 8;
+/// Inverse weight of a new sample in the moving average of the time to first token.
+const FIRST_TOKEN_SMOOTHING: u64 = 8;
 
-/// What waits in the queue: the way to tell the request, and its version.
+/// A queued request: the channel for its admission result, and the version that it needs.
 #[derive(Debug)]
-struct Ticket {
-    tell: Sender<Result<Permit, ErrorKind>>,
+struct QueuedRequest {
+    result_tx: Sender<Result<Permit, ErrorKind>>,
     version: Option<VersionName>,
 }
 
 #[derive(Debug)]
 struct State {
-    queue: FairQueue<Ticket>,
+    queue: FairQueue<QueuedRequest>,
     running: u32,
     slots: u32,
-    reported: u32,
+    reported_busy: u32,
     versions: Vec<VersionName>,
-    first_token: Millis,
-    up: bool,
+    smoothed_first_token: Millis,
+    is_up: bool,
 }
 
 /// One backend server.
@@ -41,7 +41,7 @@
     state: Mutex<State>,
 }
 
-/// Permission to run a request; dropping it lets the next one run.
+/// Permission to run a request; dropping it frees the slot and dispatches the next request.
 #[derive(Debug)]
 pub(crate) struct Permit {
     backend: Arc<Backend>,
@@ -50,7 +50,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         self.backend.lock().running -= 1;
-        self.backend.pump();
+        self.backend.dispatch();
     }
 }
 
@@ -60,7 +60,7 @@
     pub(crate) version: Option<VersionName>,
     pub(crate) weight: u32,
     pub(crate) priority: u8,
-    pub(crate) work: u64,
+    pub(crate) work_tokens: u64,
     pub(crate) deadline: Millis,
 }
 
@@ -74,11 +74,12 @@
             queue: FairQueue::new(limits),
             running: 0,
             slots: settings.slots,
-            reported: 0,
+            reported_busy: 0,
             versions: Vec::new(),
-            first_token: Millis(20),
-            // A plain service does not say how it is: it is up until calls fail.
-            up: settings.kind == BackendKind::Service,
+            smoothed_first_token: Millis(20),
+            // A plain service sends no load reports: it counts as up, and only failed calls show
+            // that it is down.
+            is_up: settings.kind == BackendKind::Service,
         };
         Self { settings, clock, state: Mutex::new(state) }
     }
@@ -87,21 +88,21 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an engine's report.
-    pub(crate) fn report(&self, load: EngineLoad) {
+    /// Records the load that an engine reported, and marks it as up.
+    pub(crate) fn record_engine_load(&self, load: EngineLoad) {
         let mut state = self.lock();
-        state.reported = load.running + load.waiting;
+        state.reported_busy = load.running + load.waiting;
         state.slots = load.slots.min(self.settings.slots).max(1);
         state.versions = load.versions;
-        state.up = true;
+        state.is_up = true;
     }
 
-    /// Notes that an engine did not report.
-    pub(crate) fn down(&self) {
-        self.lock().up = false;
+    /// Marks an engine as down after a failed load report.
+    pub(crate) fn mark_down(&self) {
+        self.lock().is_up = false;
     }
 
-    pub(crate) fn has(&self, version: &VersionName) -> bool {
+    pub(crate) fn has_version(&self, version: &VersionName) -> bool {
         self.lock().versions.contains(version)
     }
 
@@ -109,18 +110,22 @@
         self.lock().versions.clone()
     }
 
-    /// Notes how long a request that did not wait took to its first byte.
-    pub(crate) fn note_first_token(&self, took: Millis) {
+    /// Adds a sample to the moving average of the time from sending a request to its first byte.
+    pub(crate) fn record_first_token_time(&self, elapsed: Millis) {
         let mut state = self.lock();
-        let old = state.first_token.0;
-        state.first_token = Millis((old * (SMOOTHING - 1) + took.0).div_ceil(SMOOTHING));
+        let previous = state.smoothed_first_token.0;
+        state.smoothed_first_token = Millis(
+            (previous * (FIRST_TOKEN_SMOOTHING - 1) + elapsed.0).div_ceil(FIRST_TOKEN_SMOOTHING),
+        );
     }
 
-    /// Returns the load as entries are told it: what this side sent itself is known at once, the
-    /// engine's own report counts where it is higher.
+    /// Returns the load that is reported to the entries.
+    ///
+    /// The busy slots are the requests that this side runs and queues, or the engine's last report
+    /// if that is higher. The side's own count is always current, the report only after a poll.
     pub(crate) fn load(&self) -> Load {
         let state = self.lock();
-        let own = state.running + state.queue.len() as u32;
+        let own_busy = state.running + state.queue.len() as u32;
         Load {
             backend: self.settings.name.clone(),
             service: match self.settings.kind {
@@ -129,75 +134,83 @@
             },
             versions: state.versions.clone(),
             slots: state.slots,
-            busy: own.max(state.reported),
-            first_token: state.first_token,
-            up: state.up,
+            busy: own_busy.max(state.reported_busy),
+            first_token: state.smoothed_first_token,
+            up: state.is_up,
         }
     }
 
-    /// Waits for permission to run.
+    /// Queues a request and waits for permission to run it.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Overloaded`] at once if the queue is full or the deadline cannot be met, and
-    /// whatever happened to the request while it waited.
-    pub(crate) async fn admit(self: &Arc<Self>, ask: Admission) -> Result<Permit, ErrorKind> {
+    /// [`ErrorKind::Overloaded`] at once if the queue is full or the estimated start is after the
+    /// deadline. While the request waits: [`ErrorKind::DeadlinePassed`], [`ErrorKind::Withdrawn`]
+    /// if its version is withdrawn, or [`ErrorKind::Stopping`].
+    pub(crate) async fn admit(self: &Arc<Self>, request: Admission) -> Result<Permit, ErrorKind> {
         let (tx, rx) = bounded(1);
-        let ticket = Ticket { tell: tx, version: ask.version };
+        let queued = QueuedRequest { result_tx: tx, version: request.version };
         {
             let mut state = self.lock();
-            let rounds = state.queue.len() as u64 / u64::from(state.slots.max(1));
-            let begins = self.clock.now().after(Millis(rounds * state.first_token.0));
-            if begins > ask.deadline {
+            let rounds_ahead = state.queue.len() as u64 / u64::from(state.slots.max(1));
+            let estimated_start =
+                self.clock.now().after(Millis(rounds_ahead * state.smoothed_first_token.0));
+            if estimated_start > request.deadline {
                 return Err(ErrorKind::Overloaded);
             }
-            let waiting = Waiting {
-                item: ticket,
-                customer: ask.customer,
-                work: ask.work,
-                deadline: ask.deadline,
+            let waiting = QueueEntry {
+                item: queued,
+                customer: request.customer,
+                work: request.work_tokens,
+                deadline: request.deadline,
             };
-            state.queue.push(waiting, ask.weight, ask.priority).map_err(|(_, kind)| kind)?;
+            state
+                .queue
+                .push(waiting, request.weight, request.priority)
+                .map_err(|(_, kind)| kind)?;
         }
-        self.pump();
-        let left = ask.deadline.since(self.clock.now());
-        match crate::clock::within(left, rx.recv()).await {
+        self.dispatch();
+        let remaining = request.deadline.since(self.clock.now());
+        match crate::clock::with_timeout(remaining, rx.recv()).await {
             Some(Ok(outcome)) => outcome,
             Some(Err(_)) => Err(ErrorKind::Stopping),
             None => Err(ErrorKind::DeadlinePassed),
         }
     }
 
-    /// Gives free slots to those who wait. Permits are sent without the lock: one whose receiver
-    /// has gone is dropped here, and dropping it takes the lock.
-    fn pump(self: &Arc<Self>) {
+    /// Gives free slots to queued requests.
+    ///
+    /// Permits are sent without holding the lock: if the receiver was dropped, the permit is
+    /// dropped here, and its `Drop` takes the lock.
+    fn dispatch(self: &Arc<Self>) {
         let now = self.clock.now();
         loop {
-            let mut late = Vec::new();
+            let mut expired = Vec::new();
             let next = {
                 let mut state = self.lock();
                 let next = match state.running < state.slots {
-                    true => state.queue.pop(now, &mut late),
+                    true => state.queue.pop(now, &mut expired),
                     false => None,
                 };
                 state.running += u32::from(next.is_some());
                 next
             };
-            for ticket in late {
-                ticket.item.tell.try_send(Err(ErrorKind::DeadlinePassed)).ok();
+            for queued in expired {
+                queued.item.result_tx.try_send(Err(ErrorKind::DeadlinePassed)).ok();
             }
-            let Some(ticket) = next else { return };
+            let Some(queued) = next else { return };
             let permit = Permit { backend: self.clone() };
-            ticket.item.tell.try_send(Ok(permit)).ok();
+            queued.item.result_tx.try_send(Ok(permit)).ok();
         }
     }
 
-    /// Refuses those who wait for a version that is withdrawn.
-    pub(crate) fn refuse_if(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
-        let refused = |t: &Ticket| t.version.as_ref().is_some_and(&is_withdrawn);
-        let taken = self.lock().queue.take_if(|waiting| refused(&waiting.item));
-        for waiting in taken {
-            waiting.item.tell.try_send(Err(ErrorKind::Withdrawn)).ok();
+    /// Rejects queued requests for withdrawn versions.
+    pub(crate) fn reject_queued(&self, is_withdrawn: impl Fn(&VersionName) -> bool) {
+        let waits_for_withdrawn =
+            |queued: &QueuedRequest| queued.version.as_ref().is_some_and(&is_withdrawn);
+        let rejected = self.lock().queue.remove_if(|waiting| waits_for_withdrawn(&waiting.item));
+        for waiting in rejected {
+            waiting.item.result_tx.try_send(Err(ErrorKind::Withdrawn)).ok();
         }
     }
 }
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -14,37 +14,37 @@
 
 use crate::settings::TlsSettings;
 
-/// The name in every certificate of a fleet; hosts are replaced at any time, so that addresses and
-/// host names would be the wrong thing to certify.
-pub(crate) const FLEET_NAME: &str = "redwingfold.fleet";
+/// Server name in every certificate of a fleet. All hosts share one name, as their addresses and
+/// host names change when hosts are replaced.
+pub(crate) const FLEET_SERVER_NAME: &str = "redwingfold.fleet";
 
 const ALPN: &[u8] = b"redwingfold/1";
-const MAX_IDLE: Duration = Duration::from_secs(20);
-const MAX_STREAMS: u32 = 4096;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_CONCURRENT_STREAMS: u32 = 4096;
 
-/// Configurations of both ends of a connection.
+/// QUIC configurations of both ends of a connection.
 #[derive(Clone, Debug)]
-pub struct TlsEnds {
-    /// For connections that this process opens.
+pub struct TlsConfigs {
+    /// Configuration of connections that this process opens.
     pub client: ClientConfig,
-    /// For connections that it accepts.
+    /// Configuration of connections that it accepts.
     pub server: ServerConfig,
 }
 
 fn read_certs(path: &Path) -> eyre::Result<Vec<CertificateDer<'static>>> {
-    let read = CertificateDer::pem_file_iter(path)
-        .and_then(|certs| certs.collect::<Result<Vec<_>, _>>())
+    let certs = CertificateDer::pem_file_iter(path)
+        .and_then(|items| items.collect::<Result<Vec<_>, _>>())
         .map_err(|e| eyre::eyre!("{}: {e:?}", path.display()))?;
-    eyre::ensure!(!read.is_empty(), "{}: holds no certificate", path.display());
-    Ok(read)
+    eyre::ensure!(!certs.is_empty(), "{}: the file contains no certificate", path.display());
+    Ok(certs)
 }
 
-/// Reads the certificates that the settings name.
+/// Loads the certificates and the key that the settings name.
 ///
 /// # Errors
 ///
-/// Names the file that cannot be read or does not fit.
-pub fn tls_ends(settings: &TlsSettings) -> eyre::Result<TlsEnds> {
+/// Names the file that cannot be read or is not valid.
+pub fn load_tls_configs(settings: &TlsSettings) -> eyre::Result<TlsConfigs> {
     let certs = read_certs(&settings.cert)?;
     let key = PrivateKeyDer::from_pem_file(&settings.key)
         .map_err(|e| eyre::eyre!("{}: {e:?}", settings.key.display()))?;
@@ -70,28 +70,29 @@
         .with_client_auth_cert(certs, key)?;
     client.alpn_protocols = vec![ALPN.to_vec()];
 
-    let transport = Arc::new(transport()?);
+    let transport = Arc::new(transport_config()?);
     let mut server = ServerConfig::with_crypto(Arc::new(QuicServerConfig::try_from(server)?));
     server.transport_config(transport.clone());
     let mut client = ClientConfig::new(Arc::new(QuicClientConfig::try_from(client)?));
     client.transport_config(transport);
-    Ok(TlsEnds { client, server })
+    Ok(TlsConfigs { client, server })
 }
 
-fn transport() -> eyre::Result<TransportConfig> {
+fn transport_config() -> eyre::Result<TransportConfig> {
     let mut transport = TransportConfig::default();
-    transport.max_idle_timeout(Some(IdleTimeout::try_from(MAX_IDLE)?));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
+    transport.max_idle_timeout(Some(IdleTimeout::try_from(IDLE_TIMEOUT)?));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_CONCURRENT_STREAMS));
     transport.max_concurrent_uni_streams(VarInt::from_u32(0));
     Ok(transport)
 }
 
-/// Makes a fleet's authority and one certificate for each name, as PEM files in `dir`.
+/// Issues a certificate and key for each name, as PEM files in `dir`. The fleet's certificate
+/// authority in `dir` is used; it is created first if its files are missing.
 ///
 /// # Errors
 ///
-/// If a file exists already or cannot be written.
-pub fn make_keys(dir: &Path, names: &[String]) -> eyre::Result<Vec<std::path::PathBuf>> {
+/// If a certificate's file already exists or cannot be written, or a name is not valid.
+pub fn issue_certificates(dir: &Path, names: &[String]) -> eyre::Result<Vec<std::path::PathBuf>> {
     use rcgen::{
         BasicConstraints, CertificateParams, DistinguishedName, DnType, ExtendedKeyUsagePurpose,
         IsCa, Issuer, KeyPair, KeyUsagePurpose,
@@ -100,11 +101,11 @@
     let mut written = Vec::new();
     let mut write = |name: String, text: String| -> eyre::Result<()> {
         let path = dir.join(name);
-        write_new(&path, &text)?;
+        create_private_file(&path, &text)?;
         written.push(path);
         Ok(())
     };
-    let authority = {
+    let issuer = {
         let (fleet, fleet_key) = (dir.join("fleet.pem"), dir.join("fleet.key"));
         if fleet.exists() && fleet_key.exists() {
             let key = KeyPair::from_pem(&std::fs::read_to_string(&fleet_key)?)?;
@@ -123,22 +124,22 @@
         }
     };
     for name in names {
-        eyre::ensure!(name != "fleet", "the name fleet is the authority's");
+        eyre::ensure!(name != "fleet", "the name fleet is reserved for the certificate authority");
         let host: redwingfold_core::HostId = name.parse()?;
-        let mut params = CertificateParams::new(vec![FLEET_NAME.to_owned()])?;
+        let mut params = CertificateParams::new(vec![FLEET_SERVER_NAME.to_owned()])?;
         params.distinguished_name = DistinguishedName::new();
         params.distinguished_name.push(DnType::CommonName, host.as_str());
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         let key = KeyPair::generate()?;
-        let cert = params.signed_by(&key, &authority)?;
+        let cert = params.signed_by(&key, &issuer)?;
         write(format!("{name}.pem"), cert.pem())?;
         write(format!("{name}.key"), key.serialize_pem())?;
     }
     Ok(written)
 }
 
-fn write_new(path: &Path, text: &str) -> eyre::Result<()> {
+fn create_private_file(path: &Path, text: &str) -> eyre::Result<()> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
     let mut file = std::fs::OpenOptions::new()
@@ -148,6 +149,6 @@
         .open(path)
         .wrap_err_with(|| path.display().to_string())?;
     file.write_all(text.as_bytes())?;
-    path.file_name().ok_or_eyre("no file name")?;
+    path.file_name().ok_or_eyre("the path has no file name")?;
     Ok(())
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,18 +1,18 @@
-//! Messages are read back as written, and no bytes break the reader.
+//! Tests of the message encoding: round trips, and decoding of malformed bytes.
 
 use redwingfold_core::{Offset, RequestId};
 
 use super::frame::{decode, encode};
-use super::message::{Call, CallHead, Control, Reply, RunFrame, RunHead};
+use super::message::{Call, Control, Reply, RunFrame, RunHead, RunId};
 
 const LENGTH_BYTES: usize = 4;
 
 #[test]
 fn messages_are_read_back_as_written() {
-    let head = CallHead { request: RequestId(7), attempt: 2 };
+    let run_id = RunId { request: RequestId(7), attempt: 2 };
     let frames = [
-        RunFrame::Head(head, RunHead { status: 200, content_type: None }),
-        RunFrame::Chunk(head, b"data".to_vec()),
+        RunFrame::Head(run_id, RunHead { status: 200, content_type: None }),
+        RunFrame::Chunk(run_id, b"data".to_vec()),
     ];
     for frame in frames {
         let bytes = encode(&frame).unwrap();
@@ -20,7 +20,8 @@
     }
 }
 
-/// A frame that was cut or has bytes behind its end is torn, never taken for a shorter message.
+/// A truncated frame, or one with trailing bytes, must be an error and never decode as a shorter
+/// message.
 #[test]
 fn cut_and_overlong_frames_are_torn() {
     let message = Control::Records(vec![(Offset(1), b"record".to_vec())]);
--- a/tests/exposure.rs
+++ b/tests/exposure.rs
@@ -1,4 +1,4 @@
-//! A bad version is stopped by the ratings of its answers, a good one goes on by itself.
+//! Ratings of answers stop the rollout of a bad version and advance that of a good one.
 
 mod common;
 
@@ -19,7 +19,7 @@
         .start(&objects())
 }
 
-fn spoil(fleet: &Fleet, version: &str, bad_per_mille: u32) {
+fn set_bad_share(fleet: &Fleet, version: &str, bad_per_mille: u32) {
     for engine in fleet.engines.values() {
         engine.set(|f| {
             f.bad.insert(version.to_owned(), bad_per_mille);
@@ -53,34 +53,35 @@
     })
 }
 
-/// Callers see few answers of a new version that reads everything wrong: it never leaves its first
-/// step, an entry withdraws it, and both entries stop. The audit trail says by whom and why.
+/// A new version that gives only bad answers never leaves the first step of its rollout: an entry
+/// withdraws it, and both entries stop using it. The audit trail names the entry and the reason.
 #[test]
 fn bad_version_is_stopped_in_its_first_step() {
     let fleet = fleet(1000);
-    spoil(&fleet, "slip-2", 1000);
+    set_bad_share(&fleet, "slip-2", 1000);
     roll_out(&fleet, 50);
     let traffic = traffic(&fleet);
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-2"));
     fleet.wait_in_force();
-    let known = now_us();
+    let in_force_at_us = now_us();
     traffic.wait_for(100);
     let calls = traffic.stop();
     assert_eq!(share(&fleet), 50);
-    let by_bad = |c: &&Call| c.answered.header("x-model-version") == Some("slip-2");
-    assert!(calls.iter().filter(by_bad).all(|c| c.sent_us < known));
+    let from_bad_version = |c: &&Call| c.answered.header("x-model-version") == Some("slip-2");
+    assert!(calls.iter().filter(from_bad_version).all(|c| c.sent_us < in_force_at_us));
     assert!(calls.iter().all(|c| c.answered.status == 200));
     let audit = String::from_utf8_lossy(&fleet.ctl(&["audit"]).stdout).into_owned();
     assert!(audit.contains("entry entry-") && audit.contains("rated answers were bad"), "{audit}");
 }
 
-/// A good version gets all new sessions in the end, through every step, and nobody had to say so.
+/// The rollout of a good version advances through every step to all new sessions without an
+/// operator.
 #[test]
 fn good_version_goes_on_by_itself() {
     let fleet = fleet(1000);
     roll_out(&fleet, 50);
     let traffic = traffic(&fleet);
-    wait_until("it has all", || share(&fleet) == 1000);
+    wait_until("the share is 1000 per mille", || share(&fleet) == 1000);
     traffic.stop();
     assert!(!is_withdrawn(&fleet, "slip-2"));
     let audit: Value = serde_json::from_slice(&fleet.ctl(&["audit", "--json"]).stdout).unwrap();
@@ -88,32 +89,32 @@
     let accepted = audit.iter().filter(|e| {
         e["verdict"] == "accepted" && e["author"].as_str().unwrap().starts_with("entry ")
     });
-    assert_eq!(accepted.count(), 2, "one change for each step, whichever entry was first");
+    assert_eq!(accepted.count(), 2, "one change per step, by whichever entry was first");
 }
 
-/// A version is stopped by what two entries saw together, although neither saw enough: at one false
-/// stop in a million it takes eight bad answers of eight, and each entry has had five.
+/// The ratings of two entries are added up. At one false stop per million, a version is withdrawn
+/// after eight bad answers out of eight; each entry alone has only five.
 #[test]
 fn evidence_of_two_entries_adds_up() {
     let fleet = fleet(1);
-    spoil(&fleet, "slip-1", 1000);
+    set_bad_share(&fleet, "slip-1", 1000);
     for n in 0..10 {
         let answered =
             fleet.caller(n % 2).send_blocking(&Ask::chat("ani", "slip", &format!("slip {n}")));
-        // The entries tell each other while this goes on, so that the last ones may be refused.
+        // The entries exchange ratings meanwhile, so the last requests may be refused.
         let is_refused = answered.error_code().0 == "version_withdrawn";
         assert!(answered.status == 200 || is_refused, "{}", answered.text());
     }
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-1"));
 }
 
-/// A version that turns bad long after its roll-out is caught by the same test.
+/// A version whose answers turn bad after its rollout is withdrawn by the same statistical test.
 #[test]
 fn version_that_turns_bad_later() {
     let fleet = fleet(1000);
     let traffic = traffic(&fleet);
     traffic.wait_for(60);
-    spoil(&fleet, "slip-1", 900);
+    set_bad_share(&fleet, "slip-1", 900);
     wait_until("it is withdrawn", || is_withdrawn(&fleet, "slip-1"));
     traffic.stop();
 }
